--- a/capacity/schedule.go
+++ b/capacity/schedule.go
@@ -55,7 +55,7 @@
 	message := roomMessage(agent, 0)
 	message.GetRoom().Targets = []string{modelName(agent)}
 	message.GetRoom().Running = running
-	w.step(sched.Received{Agent: agentName(agent), Incarnation: 1, Message: message})
+	w.step(sched.MessageReceived{Agent: agentName(agent), Incarnation: 1, Message: message})
 }
 
 func (w *schedule) arrive(organisations int) {
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -147,7 +147,7 @@
 // arrive hands a request to the scheduler. With an error the scheduler never heard of it.
 func (e *Entry) arrive(r *sched.Request) (*call, *result.Error) {
 	if end := e.endBy.Load(); end != nil {
-		r.EndBy = *end
+		r.EntryStopsBy = *end
 	}
 	call := newCall(r, int(e.settings.Limits.MaxAnswer))
 	if !e.calls.open(call) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -96,9 +96,9 @@
 	view      atomic.Pointer[catalogue]
 	caps      *quota.Caps
 	patience  *patience
-	sequence  atomic.Uint64                      // of verbatim requests
-	waiting   atomic.Pointer[[]sched.TargetWait] // as of the last look, see report
-	wanted    atomic.Uint64                      // highest configuration version that any process has shown
+	sequence  atomic.Uint64                       // of verbatim requests
+	waiting   atomic.Pointer[[]sched.TargetQueue] // as of the last look, see report
+	wanted    atomic.Uint64                       // highest configuration version that any process has shown
 
 	successor  atomic.Pointer[Entry]     // the incarnation that followed on this one, nil while this one runs
 	leaving    atomic.Bool               // says that it isn't ready, and still takes requests
@@ -243,7 +243,7 @@
 		Seed:             seed,
 		Reservations:     e.settings.Limits.MaxReservations,
 		MaxQueued:        e.settings.Limits.MaxQueued,
-		MaxAnswer:        int(e.settings.Limits.MaxAnswer),
+		MaxAnswerBytes:   int(e.settings.Limits.MaxAnswer),
 		LeaseDuration:    e.settings.Timing.Lease,
 		RetryRatio:       e.settings.Limits.RetryRatio,
 		RetryWindow:      e.settings.Timing.RetryWindow,
--- a/entry/links.go
+++ b/entry/links.go
@@ -229,7 +229,7 @@
 		l.entry.observe(beat.GetConfigVersion())
 		return nil
 	}
-	return l.entry.tell(ctx, sched.Received{Agent: hello.GetAgent(), Incarnation: hello.GetIncarnation(), Message: message})
+	return l.entry.tell(ctx, sched.MessageReceived{Agent: hello.GetAgent(), Incarnation: hello.GetIncarnation(), Message: message})
 }
 
 // send passes a message of the scheduler on. What can't be sent is lost and counted; the scheduler asks again.
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -98,8 +98,8 @@
 func (m *meter) ended(t sched.Trace, took time.Duration) {
 	label := fmt.Sprintf(`{tier="%d"}`, t.Tier)
 	m.set.GetOrCreateHistogram(metricAnswer + label).Update(took.Seconds())
-	if t.FirstAfter > 0 {
-		m.set.GetOrCreateHistogram(metricFirstEvent + label).Update(t.FirstAfter.Seconds())
+	if t.FirstEventAfter > 0 {
+		m.set.GetOrCreateHistogram(metricFirstEvent + label).Update(t.FirstEventAfter.Seconds())
 	}
 	m.set.GetOrCreateGauge(metricRoomAge, nil).Set(t.RoomAge.Seconds())
 }
--- a/entry/operation.go
+++ b/entry/operation.go
@@ -133,7 +133,7 @@
 	if taken {
 		op.entry.links.need(r.Candidates)
 	}
-	r.Earlier = record.GetEarlier()
+	r.EarlierServers = record.GetEarlier()
 }
 
 // mayRun returns nil if the request may go to the scheduler. If it may not, the record is released first where nothing
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -35,7 +35,7 @@
 			e.logPoison(poison.KeyOf(record).Record())
 		}
 	}
-	return e.tell(ctx, sched.Poisoned{Records: records})
+	return e.tell(ctx, sched.PoisonRecords{Records: records})
 }
 
 // logPoison notes how a request stands from now on.
--- a/entry/report.go
+++ b/entry/report.go
@@ -84,7 +84,7 @@
 
 // look notes what waits. Only the scheduler duty may call it.
 func (e *Entry) look() {
-	waiting := e.scheduler.Waiting()
+	waiting := e.scheduler.TargetQueues()
 	e.waiting.Store(&waiting)
 }
 
@@ -102,8 +102,8 @@
 	return report
 }
 
-func targetReport(w sched.TargetWait) *wire.TargetReport {
-	report := &wire.TargetReport{Name: w.Target, Kind: w.Kind, OldestWaitMs: uint64(w.Oldest.Milliseconds())}
+func targetReport(w sched.TargetQueue) *wire.TargetReport {
+	report := &wire.TargetReport{Name: w.Target, Kind: w.Kind, OldestWaitMs: uint64(w.OldestWait.Milliseconds())}
 	for _, queued := range w.Queued {
 		report.QueuedByTier = append(report.QueuedByTier, uint32(queued))
 	}
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -18,7 +18,7 @@
 
 // schedulerDuty is the only one that touches the scheduler.
 func (e *Entry) schedulerDuty(ctx context.Context) error {
-	ticks := pause.NewTimer(sched.TickInterval)
+	ticks := pause.NewTimer(sched.MinTickInterval)
 	defer ticks.Stop()
 	looks := time.NewTicker(lookInterval)
 	defer looks.Stop()
@@ -82,7 +82,7 @@
 		e.calls.answer(a)
 	case sched.Fail:
 		e.fail(a)
-	case sched.Widen:
+	case sched.WidenCandidates:
 		return e.widen(a)
 	case sched.ProveAtEngine:
 		e.prover.ask(a)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -138,14 +138,14 @@
 		"attempts":    t.Attempts,
 		"refusals":    t.Refusals,
 		"sent_ms":     t.SentAfter.Milliseconds(),
-		"first_ms":    t.FirstAfter.Milliseconds(),
+		"first_ms":    t.FirstEventAfter.Milliseconds(),
 		"pause_ms":    t.LongestPause.Milliseconds(),
 		"due_ms":      t.DueAfter.Milliseconds(),
 		"overdue":     t.Overdue,
 		"ahead":       t.Ahead,
-		"ready":       t.Ready,
-		"roomy":       t.Roomy,
+		"ready":       t.ReadyServers,
+		"roomy":       t.ServersWithRoom,
 		"room_age_ms": t.RoomAge.Milliseconds(),
-		"pool_pace":   int(t.PoolPace),
+		"pool_pace":   int(t.PoolDispatchRate),
 	})
 }
--- a/entry/widen.go
+++ b/entry/widen.go
@@ -9,10 +9,10 @@
 )
 
 // widen has a record allow more servers. It returns the answer at once when it can't be asked.
-func (e *Entry) widen(a sched.Widen) sched.Event {
+func (e *Entry) widen(a sched.WidenCandidates) sched.Event {
 	call := e.calls.get(a.Request)
 	if call == nil {
-		return sched.Widened{Request: a.Request, Code: result.NotFound}
+		return sched.CandidatesWidened{Request: a.Request, Code: result.NotFound}
 	}
 	r := call.request
 	command := &wire.Command{Kind: &wire.Command_WidenOperation{WidenOperation: &wire.WidenOperation{
@@ -27,21 +27,21 @@
 		_ = e.tell(ctx, e.widened(ctx, a, command))
 	})
 	if !started {
-		return sched.Widened{Request: a.Request, Code: result.ProposalQueueFull}
+		return sched.CandidatesWidened{Request: a.Request, Code: result.ProposalQueueFull}
 	}
 	return nil
 }
 
-func (e *Entry) widened(ctx context.Context, a sched.Widen, command *wire.Command) sched.Widened {
+func (e *Entry) widened(ctx context.Context, a sched.WidenCandidates, command *wire.Command) sched.CandidatesWidened {
 	ctx, cancel := context.WithTimeout(ctx, commitTry)
 	defer cancel()
 	res, err := e.propose(ctx, "widen", command)
 	switch {
 	case err != nil:
-		return sched.Widened{Request: a.Request, Code: result.CodeOf(err)}
+		return sched.CandidatesWidened{Request: a.Request, Code: result.CodeOf(err)}
 	case res.GetCode() != 0:
-		return sched.Widened{Request: a.Request, Code: result.Code(res.GetCode())}
+		return sched.CandidatesWidened{Request: a.Request, Code: result.Code(res.GetCode())}
 	default:
-		return sched.Widened{Request: a.Request, Candidates: res.GetOperation().GetCandidates()}
+		return sched.CandidatesWidened{Request: a.Request, Candidates: res.GetOperation().GetCandidates()}
 	}
 }
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -64,18 +64,18 @@
 	return tag
 }
 
-// TrueUp replaces an estimated cost, as passed to Start, by the actual one. An item that was cancelled before
+// Reconcile replaces an estimated cost, as passed to Start, by the actual one. An item that was cancelled before
 // anything was served for it has an actual cost of 0.
 //
 // Without it an organisation that asks for more output than its class usually makes would get more than its share
 // for ever, and nobody would see it but in the served tokens.
-func (c *Clock) TrueUp(name string, estimated, actual int64) {
+func (c *Clock) Reconcile(name string, estimated, actual int64) {
 	o := c.get(name)
 	o.tag += max(actual, 0) - max(estimated, 0)
 }
 
-// Virtual returns the virtual time in tokens.
-func (c *Clock) Virtual() int64 {
+// VirtualTime returns the virtual time in tokens.
+func (c *Clock) VirtualTime() int64 {
 	return c.virtual
 }
 
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -83,7 +83,7 @@
 			name = "b"
 		}
 		c.Start(name, 10)
-		c.TrueUp(name, 10, actual[name])
+		c.Reconcile(name, 10, actual[name])
 		total[name] += actual[name]
 	}
 	assert.InDelta(t, total["a"], total["b"], 80)
@@ -96,12 +96,12 @@
 	c := fair.New()
 	for range 10 {
 		c.Start("a", 100)
-		c.TrueUp("a", 100, 0)
+		c.Reconcile("a", 100, 0)
 	}
 	c.Start("b", 500)
 	c.Start("b", 500)
 	c.Enter("a")
-	assert.Equal(t, c.Virtual(), c.Tag("a"))
+	assert.Equal(t, c.VirtualTime(), c.Tag("a"))
 }
 
 func TestForgottenOrganisationStandsAsNew(t *testing.T) {
@@ -116,6 +116,6 @@
 		c.Leave(name)
 	}
 	assert.Equal(t, int64(1_000_000), c.Tag("busy"))
-	assert.Equal(t, c.Virtual(), c.Tag("o1"))
+	assert.Equal(t, c.VirtualTime(), c.Tag("o1"))
 	assert.LessOrEqual(t, c.Len(), 1000)
 }
--- a/gate/room.go
+++ b/gate/room.go
@@ -142,7 +142,7 @@
 		cost = g.settle(a, o)
 	}
 	if a.run.estimate != 0 {
-		g.waiting.tier(a.tier()).clock.TrueUp(a.work.GetOrganisation(), a.run.estimate, cost)
+		g.waiting.tier(a.tier()).clock.Reconcile(a.work.GetOrganisation(), a.run.estimate, cost)
 		a.run.estimate = 0
 	}
 	g.giveSlotBack(a)
--- a/sched/attempts_test.go
+++ b/sched/attempts_test.go
@@ -64,7 +64,7 @@
 			}}})
 		}},
 		{"proof of an older incarnation", func(w *world, d sentTo) {
-			w.step(Received{Agent: agentOf(d.server), Incarnation: 0, Message: &wire.AgentMessage{
+			w.step(MessageReceived{Agent: agentOf(d.server), Incarnation: 0, Message: &wire.AgentMessage{
 				Kind: &wire.AgentMessage_Over{Over: &wire.Over{Attempt: d.id, Server: d.server, Proof: wire.Proof_PROOF_CANCELLED}},
 			}})
 		}},
@@ -150,9 +150,9 @@
 	// Cause: the engine was asked before the agent's lease had certainly run out.
 	w, d := twoServers(t, summary)
 	w.down(d.server)
-	w.pass(leaseMargin*DefaultLeaseDuration - TickInterval)
+	w.pass(leaseMargin*DefaultLeaseDuration - MinTickInterval)
 	assert.Empty(t, w.proves)
-	w.pass(TickInterval)
+	w.pass(MinTickInterval)
 	assert.Len(t, w.proves, 1)
 }
 
@@ -178,7 +178,7 @@
 	w, d := twoServers(t, summary)
 	w.up(d.server, 0)
 	w.step(AgentDown{Agent: agentOf(d.server), Incarnation: 0})
-	w.step(Received{Agent: agentOf(d.server), Incarnation: 1, Message: &wire.AgentMessage{Kind: &wire.AgentMessage_Over{
+	w.step(MessageReceived{Agent: agentOf(d.server), Incarnation: 1, Message: &wire.AgentMessage{Kind: &wire.AgentMessage_Over{
 		Over: &wire.Over{Attempt: d.id, Server: d.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: endOf(0)},
 	}}})
 	assert.Contains(t, w.answers, "r")
@@ -316,9 +316,9 @@
 	// Cause: the final answer held back in the hope of a proof.
 	w, d := twoServers(t, summary)
 	w.down(d.server)
-	w.pass(time.Duration(summary.DeadlineMs)*time.Millisecond - TickInterval)
+	w.pass(time.Duration(summary.DeadlineMs)*time.Millisecond - MinTickInterval)
 	assert.Empty(t, w.failures)
-	w.pass(TickInterval)
+	w.pass(MinTickInterval)
 	require.Contains(t, w.failures, "r")
 	// The late proof is only cleaned up after: the agent is told to cancel when it is back.
 	w.up(d.server, 1)
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -49,7 +49,7 @@
 func benchTarget(i int) string { return fmt.Sprint("model-", i%benchTargets) }
 
 func (w *benchWorld) say(i int, m *wire.AgentMessage) []Action {
-	return w.s.Step(w.now, Received{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1, Message: m})
+	return w.s.Step(w.now, MessageReceived{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1, Message: m})
 }
 
 func (w *benchWorld) room(i int, free uint32) []Action {
--- a/sched/choose.go
+++ b/sched/choose.go
@@ -13,7 +13,7 @@
 	}
 	var best *server
 	var bestAt time.Duration
-	for _, v := range s.sample(r, s.options.Choices, s.canDispatch) {
+	for _, v := range s.sample(r, s.options.SampledServers, s.canDispatch) {
 		at := s.estimateFinish(r, v)
 		if best == nil || at < bestAt {
 			if best != nil {
--- a/sched/early.go
+++ b/sched/early.go
@@ -13,11 +13,11 @@
 // middle when the process ends, which its caller only sees seconds later; refused at once, it is sent to another entry.
 func (s *Scheduler) refuseBeforeStop(r *request) *result.Error {
 	known := r.certain() || r.MaxTokens > 0
-	if r.EndBy.IsZero() || !known {
+	if r.EntryStopsBy.IsZero() || !known {
 		return nil
 	}
 	most := s.predictWait(r) + s.longestRun(r)
-	if s.now.Add(time.Duration(stopMargin * float64(most))).Before(r.EndBy) {
+	if s.now.Add(time.Duration(stopMargin * float64(most))).Before(r.EntryStopsBy) {
 		return nil
 	}
 	return result.New(result.Stopping, "the request would probably outlast the process")
@@ -196,7 +196,7 @@
 // idleRun is how long the request takes at the fastest server if nothing else runs there.
 func (s *Scheduler) idleRun(r *request) time.Duration {
 	best := time.Duration(-1)
-	for _, v := range s.sample(r, s.options.Choices, s.canReserve) {
+	for _, v := range s.sample(r, s.options.SampledServers, s.canReserve) {
 		if d := s.runAt(r, v, max(v.room.GetDecodeTokensPerS(), defaultDecodeRate)); best < 0 || d < best {
 			best = d
 		}
@@ -207,7 +207,7 @@
 // bestRun is how long the request takes at the server that is fastest for it.
 func (s *Scheduler) bestRun(r *request) time.Duration {
 	best := time.Duration(-1)
-	for _, v := range s.sample(r, s.options.Choices, s.canReserve) {
+	for _, v := range s.sample(r, s.options.SampledServers, s.canReserve) {
 		if d := s.estimateRun(r, v); best < 0 || d < best {
 			best = d
 		}
@@ -225,7 +225,7 @@
 		return s.bestRun(r)
 	}
 	best := time.Duration(-1)
-	for _, v := range s.sample(r, s.options.Choices, s.canReserve) {
+	for _, v := range s.sample(r, s.options.SampledServers, s.canReserve) {
 		if d := s.startAt(r, v); best < 0 || d < best {
 			best = d
 		}
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -186,7 +186,7 @@
 // trueUp replaces the charge of the present attempt by what it came to.
 func (s *Scheduler) trueUp(r *request, proof wire.Proof) {
 	a := r.attempt
-	s.clocks[r.tier].TrueUp(r.Organisation, a.cost, s.actualCost(r, proof))
+	s.clocks[r.tier].Reconcile(r.Organisation, a.cost, s.actualCost(r, proof))
 }
 
 func (s *Scheduler) actualCost(r *request, proof wire.Proof) int64 {
--- a/sched/frames.go
+++ b/sched/frames.go
@@ -124,7 +124,7 @@
 	}
 	r.buffer = append(r.buffer, events...)
 	r.bufferSize += eventBytes(events)
-	if r.bufferSize > s.options.MaxAnswer {
+	if r.bufferSize > s.options.MaxAnswerBytes {
 		s.breakOff(r, result.New(result.AnswerTooLarge, ""), retryIncomplete)
 	}
 }
--- a/sched/frames_test.go
+++ b/sched/frames_test.go
@@ -227,7 +227,7 @@
 }
 
 func TestAnswerOverTheBound(t *testing.T) {
-	w := newWorld(t, Options{MaxAnswer: 3})
+	w := newWorld(t, Options{MaxAnswerBytes: 3})
 	w.serve("s1", kindModel, testModel, 4)
 	w.arrive("r", summary)
 	d := w.last("r", 1)
--- a/sched/harness_test.go
+++ b/sched/harness_test.go
@@ -38,7 +38,7 @@
 	answers  map[string]*wire.AnswerEnd
 	failures map[string]*result.Error
 	events   map[string][]string
-	widens   []Widen
+	widens   []WidenCandidates
 	proves   []ProveAtEngine
 	counts   []Count
 }
@@ -77,7 +77,7 @@
 	case Fail:
 		w.ended(a.Request)
 		w.failures[a.Request] = a.Err
-	case Widen:
+	case WidenCandidates:
 		w.widens = append(w.widens, a)
 	case ProveAtEngine:
 		w.proves = append(w.proves, a)
@@ -96,7 +96,7 @@
 func (w *world) pass(d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(TickInterval)
+		w.now = w.now.Add(MinTickInterval)
 		w.step(Tick{})
 	}
 }
@@ -156,7 +156,7 @@
 func (w *world) say(server string, m *wire.AgentMessage) {
 	w.t.Helper()
 	a := w.s.agents[agentOf(server)]
-	w.step(Received{Agent: a.name, Incarnation: a.incarnation, Message: m})
+	w.step(MessageReceived{Agent: a.name, Incarnation: a.incarnation, Message: m})
 }
 
 func (w *world) over(server string, o *wire.Over) {
--- a/sched/keyed_test.go
+++ b/sched/keyed_test.go
@@ -52,7 +52,7 @@
 			w, d := twoServers(t, passIssue)
 			row.do(w, d)
 			w.room(d.other(), kindService, testService, 4)
-			w.pass(TickInterval)
+			w.pass(MinTickInterval)
 			assert.Len(t, w.dispatches("r"), 1)
 			require.Contains(t, w.failures, "r")
 			assert.Equal(t, row.code, w.failures["r"].Code)
@@ -132,10 +132,10 @@
 	require.Len(t, w.widens, 1)
 	assert.Equal(t, []string{"s2", "s1"}, w.widens[0].Candidates)
 	assert.Empty(t, w.dispatches("r"), "nothing is sent before the record is committed")
-	w.step(Widened{Request: "r", Code: result.ControlUnavailable})
+	w.step(CandidatesWidened{Request: "r", Code: result.ControlUnavailable})
 	w.pass(2 * widenRetry)
 	require.Len(t, w.widens, 2)
-	w.step(Widened{Request: "r", Candidates: []string{"s2", "s1"}})
+	w.step(CandidatesWidened{Request: "r", Candidates: []string{"s2", "s1"}})
 	assert.Equal(t, "s1", w.last("r", 1).server)
 }
 
@@ -144,7 +144,7 @@
 	w.serve("s1", kindService, testService, 4)
 	w.arriveKeyed("r", passIssue, "gone")
 	require.Len(t, w.widens, 1)
-	w.step(Widened{Request: "r", Code: result.AttemptSuperseded})
+	w.step(CandidatesWidened{Request: "r", Code: result.AttemptSuperseded})
 	require.Contains(t, w.failures, "r")
 	assert.Equal(t, result.AttemptSuperseded, w.failures["r"].Code)
 	assert.Empty(t, w.dispatches("r"))
@@ -157,7 +157,7 @@
 		w.serve(name, class.GetKind(), testService, 4)
 	}
 	r := w.request("r", class)
-	r.Key, r.Epoch, r.Earlier = "key", 2, []string{"s1", "s2"}
+	r.Key, r.Epoch, r.EarlierServers = "key", 2, []string{"s1", "s2"}
 	w.step(Arrive{Request: r})
 	return w
 }
--- a/sched/objective_test.go
+++ b/sched/objective_test.go
@@ -123,7 +123,7 @@
 			r.MaxTokens = row.tokens
 			r.Deadline = w.now.Add(time.Minute)
 			if row.left > 0 {
-				r.EndBy = w.now.Add(row.left)
+				r.EntryStopsBy = w.now.Add(row.left)
 			}
 			w.step(Arrive{Request: r})
 			if row.code == 0 {
--- a/sched/options.go
+++ b/sched/options.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// TickInterval is the least time between two Ticks.
-	TickInterval = 10 * time.Millisecond
-	// RestInterval is the longest time between two Ticks, for what has no time of its own and is in no hurry.
-	RestInterval = 200 * time.Millisecond
+	// MinTickInterval is the least time between two Ticks.
+	MinTickInterval = 10 * time.Millisecond
+	// MaxTickInterval is the longest time between two Ticks, for what has no time of its own and is in no hurry.
+	MaxTickInterval = 200 * time.Millisecond
 )
 
 // Policy chooses how requests are ordered and backend servers are chosen. All but PolicyTargets are baselines to
@@ -42,18 +42,18 @@
 	Reservations int
 	// ReservationsPerServer bounds how many requests of this entry wait at one server on average.
 	ReservationsPerServer int
-	// Choices is how many random servers are compared for each dispatch.
-	Choices int
+	// SampledServers is how many random servers are compared for each dispatch.
+	SampledServers int
 	// CandidateCount bounds the servers in a keyed request's record.
 	CandidateCount int
 	// MaxQueued bounds the queued requests, over all pools.
 	MaxQueued int
 	// MaxOutstanding bounds the attempts of this entry at one server under a baseline policy.
 	MaxOutstanding int
-	// MaxAnswer is the largest answer, in bytes, that is held for a caller who didn't ask for a stream.
-	MaxAnswer int
-	// History is the number of finished requests that Explain still knows.
-	History int
+	// MaxAnswerBytes is the largest answer, in bytes, that is held for a caller who didn't ask for a stream.
+	MaxAnswerBytes int
+	// HistorySize is the number of finished requests that Explain still knows.
+	HistorySize int
 	// PrefixEntries bounds the remembered prefix digests.
 	PrefixEntries int
 	// LeaseDuration is how long an agent keeps an attempt without a heartbeat of this entry.
@@ -63,37 +63,37 @@
 	RetryRatio     float64
 	RetryWindow    time.Duration
 	RetryAllowance int
-	// EvidenceAge is how old a Room may be to count as fresh.
-	EvidenceAge time.Duration
+	// MaxRoomAge is how old a Room may be to count as fresh.
+	MaxRoomAge time.Duration
 }
 
 // Defaults of Options.
 const (
 	DefaultReservations          = 3
 	DefaultReservationsPerServer = 8
-	DefaultChoices               = 4
+	DefaultSampledServers        = 4
 	DefaultCandidateCount        = 6
 	DefaultMaxQueued             = 10_000
 	DefaultMaxOutstanding        = 16
-	DefaultMaxAnswer             = 16 << 20
-	DefaultHistory               = 1024
+	DefaultMaxAnswerBytes        = 16 << 20
+	DefaultHistorySize           = 1024
 	DefaultPrefixEntries         = 1 << 16
 	DefaultLeaseDuration         = 3 * time.Second
-	DefaultEvidenceAge           = 2 * time.Second
+	DefaultMaxRoomAge            = 2 * time.Second
 )
 
 func (o Options) withDefaults() Options {
 	o.Reservations = orDefault(o.Reservations, DefaultReservations)
 	o.ReservationsPerServer = orDefault(o.ReservationsPerServer, DefaultReservationsPerServer)
-	o.Choices = orDefault(o.Choices, DefaultChoices)
+	o.SampledServers = orDefault(o.SampledServers, DefaultSampledServers)
 	o.CandidateCount = orDefault(o.CandidateCount, DefaultCandidateCount)
 	o.MaxQueued = orDefault(o.MaxQueued, DefaultMaxQueued)
 	o.MaxOutstanding = orDefault(o.MaxOutstanding, DefaultMaxOutstanding)
-	o.MaxAnswer = orDefault(o.MaxAnswer, DefaultMaxAnswer)
-	o.History = orDefault(o.History, DefaultHistory)
+	o.MaxAnswerBytes = orDefault(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	o.HistorySize = orDefault(o.HistorySize, DefaultHistorySize)
 	o.PrefixEntries = orDefault(o.PrefixEntries, DefaultPrefixEntries)
 	o.LeaseDuration = orDefault(o.LeaseDuration, DefaultLeaseDuration)
-	o.EvidenceAge = orDefault(o.EvidenceAge, DefaultEvidenceAge)
+	o.MaxRoomAge = orDefault(o.MaxRoomAge, DefaultMaxRoomAge)
 	return o
 }
 
--- a/sched/poison_test.go
+++ b/sched/poison_test.go
@@ -32,7 +32,7 @@
 	w.over(at.server, &wire.Over{
 		Attempt: at.id, Proof: wire.Proof_PROOF_CANCELLED, Began: true, Crash: w.crashAt(at),
 	})
-	w.pass(TickInterval)
+	w.pass(MinTickInterval)
 }
 
 // crashAt is the crash of an attempt's server, as its agent reports it.
@@ -129,7 +129,7 @@
 			over := &wire.Over{
 				Attempt: at.id, Server: at.server, Proof: proof, Began: true, Crash: w.crashAt(at),
 			}
-			for _, a := range w.step(Received{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+			for _, a := range w.step(MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 				Kind: &wire.AgentMessage_Over{Over: over},
 			}}) {
 				if report, ok := a.(ReportCrash); ok {
@@ -137,7 +137,7 @@
 				}
 			}
 		}
-		w.pass(TickInterval)
+		w.pass(MinTickInterval)
 	}
 	require.Len(t, notes, poison.QuarantinedAt, "each crash once, though it is heard of before and with the proof")
 	record := w.print(gateCheck).Record()
@@ -155,14 +155,14 @@
 	w.arrive("runs", gateCheck)
 	w.room("s0", kindService, testService, 0)
 	w.arrive("waits", gateCheck)
-	w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 9)}})
+	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 9)}})
 	require.Equal(t, result.RequestQuarantined, w.failures["waits"].Code)
 	require.Nil(t, w.failures["runs"])
 	w.crash(w.last("runs", 1))
 	require.Len(t, w.dispatches("runs"), 1)
 	require.Equal(t, result.EngineLost, w.failures["runs"].Code)
 
-	w.step(Poisoned{})
+	w.step(PoisonRecords{})
 	w.room("s0", kindService, testService, 1)
 	w.pass(ownCrashLife)
 	w.arrive("later", gateCheck)
@@ -179,7 +179,7 @@
 		room.Running = 1
 		w.say(fmt.Sprint("s", i), &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 	}
-	w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
+	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
 	w.arrive("r1", gateCheck)
 	require.Empty(t, w.dispatches("r1"))
 	reserved := w.reserves("r1")
@@ -191,7 +191,7 @@
 
 func TestCrashesSeenHereAndElsewhereAddUp(t *testing.T) {
 	w := poisonWorld(t, 3)
-	w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
+	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
 	w.arrive("r1", gateCheck)
 	at := w.last("r1", 1)
 	require.True(t, w.isWatched(at))
@@ -204,24 +204,24 @@
 // answered a moment before three servers died at once. Cause: crashes that nothing takes back.
 func TestAnswerRefutesCrashes(t *testing.T) {
 	w := poisonWorld(t, 2)
-	w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
+	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
 	w.arrive("r1", gateCheck)
 	at := w.last("r1", 1)
 	w.frame(at.server, at.id, 0, "x")
-	actions := w.s.Step(w.now, Received{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+	actions := w.s.Step(w.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 		Kind: &wire.AgentMessage_Over{Over: &wire.Over{
 			Attempt: at.id, Server: at.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: endOf(0, "x"),
 		}},
 	}})
 	require.Equal(t, []uint64{9}, cleared(actions))
 
-	require.Equal(t, []uint64{12}, cleared(w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 12)}})))
+	require.Equal(t, []uint64{12}, cleared(w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 12)}})))
 	w.room(at.server, kindService, testService, 1)
 	w.arrive("r2", gateCheck)
 	require.Len(t, w.dispatches("r2"), 1, "it isn't refused meanwhile")
 
 	w.pass(wholeAnswerLife + time.Second)
-	require.Empty(t, cleared(w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 15)}})))
+	require.Empty(t, cleared(w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 15)}})))
 	w.arrive("r3", gateCheck)
 	require.Equal(t, result.RequestQuarantined, w.failures["r3"].Code, "an answer of long ago says nothing")
 }
@@ -229,13 +229,13 @@
 // A server may answer with an error before it begins to run a request.
 func TestErrorOfAServerRefutesNothing(t *testing.T) {
 	w := poisonWorld(t, 2)
-	w.step(Poisoned{Records: []*wire.PoisonRecord{committed(w.print(passIssue), 2, 9)}})
+	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(passIssue), 2, 9)}})
 	w.arrive("r1", passIssue)
 	at := w.last("r1", 1)
 	w.frame(at.server, at.id, 0, "x")
 	end := endOf(0, "x")
 	end.Status = 500
-	actions := w.s.Step(w.now, Received{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+	actions := w.s.Step(w.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 		Kind: &wire.AgentMessage_Over{Over: &wire.Over{
 			Attempt: at.id, Server: at.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: end,
 		}},
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -118,7 +118,7 @@
 		}, false},
 		{"one report is old", func(w *world) {
 			w.say("s1", busyRoom("s1", 1))
-			w.pass(DefaultEvidenceAge + TickInterval)
+			w.pass(DefaultMaxRoomAge + MinTickInterval)
 			w.say("s2", busyRoom("s2", 1))
 		}, false},
 		{"one server is silent", func(w *world) { w.say("s1", busyRoom("s1", 1)); w.down("s2") }, false},
@@ -220,7 +220,7 @@
 	w.serve("s1", kindModel, testModel, 0)
 	w.arrive("on time", summary)
 	w.arrive("may be late", appeal)
-	w.pass(20*time.Second + TickInterval)
+	w.pass(20*time.Second + MinTickInterval)
 	require.Contains(t, w.failures, "on time")
 	assert.Equal(t, result.DeadlinePassedInQueue, w.failures["on time"].Code)
 	assert.Equal(t, result.RanNo, w.failures["on time"].Ran)
@@ -235,7 +235,7 @@
 	w.arrive("too late", appeal)
 	w.room("s1", kindModel, testModel, 0)
 	w.down("s1")
-	w.pass(lateFactor*20*time.Second + TickInterval)
+	w.pass(lateFactor*20*time.Second + MinTickInterval)
 	assert.Contains(t, w.failures, "too late")
 }
 
--- a/sched/precedence_test.go
+++ b/sched/precedence_test.go
@@ -89,7 +89,7 @@
 	require.Equal(t, "s1", got.Server)
 	require.EqualValues(t, 2, got.Tier)
 	require.Equal(t, 100*time.Millisecond, got.SentAfter)
-	require.Equal(t, 150*time.Millisecond, got.FirstAfter)
+	require.Equal(t, 150*time.Millisecond, got.FirstEventAfter)
 	require.Equal(t, time.Second, got.DueAfter)
 	require.Equal(t, 50*time.Millisecond, got.RoomAge)
 }
--- a/sched/rapid_test.go
+++ b/sched/rapid_test.go
@@ -106,7 +106,7 @@
 	}
 	receive := onAgent(func(a *modelAgent) {
 		if len(a.toEntry) > 0 {
-			m.step(Received{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
+			m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
 		}
 	})
 	deliver := onAgent(func(a *modelAgent) {
@@ -175,7 +175,7 @@
 		m.progress(a, at)
 	}
 	for len(a.toEntry) > 0 {
-		m.step(Received{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
+		m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
 	}
 }
 
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -52,7 +52,7 @@
 // server that says nothing is no evidence, nor is a pool without servers.
 func (s *Scheduler) onlyTierOne(p *pool) bool {
 	for _, v := range p.servers {
-		if v.room == nil || s.now.Sub(v.roomAt) > s.options.EvidenceAge {
+		if v.room == nil || s.now.Sub(v.roomAt) > s.options.MaxRoomAge {
 			return false
 		}
 		if v.room.GetLowestRunningTier() > 1 || v.room.GetLowestWaitingTier() > 1 {
--- a/sched/request.go
+++ b/sched/request.go
@@ -96,7 +96,7 @@
 	r.outputs = s.estimateOutput(r)
 	s.requests[in.ID] = r
 	s.setWake(r)
-	if len(in.Earlier) > 0 {
+	if len(in.EarlierServers) > 0 {
 		s.takeOver(r)
 		return
 	}
--- a/sched/retries_test.go
+++ b/sched/retries_test.go
@@ -23,7 +23,7 @@
 				Started: &wire.Started{Attempt: d.id, Server: d.server},
 			}})
 			w.prove(d.server, d.id, wire.Proof_PROOF_FAILED)
-			w.pass(TickInterval)
+			w.pass(MinTickInterval)
 			w.room(d.server, kindService, testService, 4)
 		}
 		retries += len(w.dispatches(id)) - 1
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -56,7 +56,7 @@
 		table:    table,
 		requests: map[string]*request{},
 		lingers:  newLingerTable(),
-		history:  newHistory(options.History),
+		history:  newHistory(options.HistorySize),
 		pools:    map[poolKey]*pool{},
 		classes:  map[string]*class{},
 		agents:   map[string]*agent{},
@@ -97,18 +97,18 @@
 		s.agentUp(e.Hello)
 	case AgentDown:
 		s.agentDown(e.Agent, e.Incarnation)
-	case Received:
+	case MessageReceived:
 		s.received(e)
 	case Directory:
 		s.setDirectory(e.Agents)
 		s.entries = max(e.Entries, 1)
 	case Config:
 		s.setClasses(e.Classes)
-	case Widened:
+	case CandidatesWidened:
 		s.widened(e)
 	case EngineProved:
 		s.engineProved(e)
-	case Poisoned:
+	case PoisonRecords:
 		s.setPoison(e.Records)
 	case CacheHint:
 		s.prefixes.hint(e.Server, e.Digest, e.Evicted)
@@ -117,7 +117,7 @@
 
 // received passes an agent's message on. A message of an incarnation that isn't the present one is dropped: what an
 // older one says was overtaken by the proof that a newer one is.
-func (s *Scheduler) received(e Received) {
+func (s *Scheduler) received(e MessageReceived) {
 	a := s.agents[e.Agent]
 	if a == nil || a.incarnation != e.Incarnation {
 		s.countStray(strayIncarnation)
--- a/sched/servers_test.go
+++ b/sched/servers_test.go
@@ -200,7 +200,7 @@
 }
 
 func TestLongPromptGoesWhereItsPrefixIs(t *testing.T) {
-	w := newWorld(t, Options{Choices: 2})
+	w := newWorld(t, Options{SampledServers: 2})
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 	for _, name := range names {
 		w.serve(name, kindModel, testModel, 100)
@@ -237,7 +237,7 @@
 }
 
 func TestExplainSaysWhy(t *testing.T) {
-	w := newWorld(t, Options{History: 2})
+	w := newWorld(t, Options{HistorySize: 2})
 	w.serve("s1", kindModel, testModel, 0)
 	w.list("s2", kindModel, testModel)
 	w.arrive("r", appeal)
--- a/sched/takeover.go
+++ b/sched/takeover.go
@@ -22,7 +22,7 @@
 func (s *Scheduler) takeOver(r *request) {
 	r.earlier = &earlierProofs{
 		id:      &wire.AttemptID{Request: r.ID, Number: r.Epoch<<EpochShift - 1},
-		waiting: slices.Clone(r.Earlier),
+		waiting: slices.Clone(r.EarlierServers),
 		ran:     result.RanNo,
 	}
 	_ = s.fire(r, evTakeOver)
--- a/sched/trace.go
+++ b/sched/trace.go
@@ -18,8 +18,8 @@
 	Attempts, Refusals int
 	// SentAfter is the time from its arrival to its last attempt, 0 without one.
 	SentAfter time.Duration
-	// FirstAfter is the time from its arrival to the first event of its answer, 0 without one.
-	FirstAfter time.Duration
+	// FirstEventAfter is the time from its arrival to the first event of its answer, 0 without one.
+	FirstEventAfter time.Duration
 	// LongestPause is the longest time between two events of its answer as they came here, 0 with fewer than two.
 	LongestPause time.Duration
 	// DueAfter is the time from its arrival by which the answer or its first event was due.
@@ -28,12 +28,12 @@
 	Overdue bool
 	// Ahead is how many queued requests of its pool go first, as of its end.
 	Ahead int
-	// Ready and Roomy are how many servers of its pool may have new work, and have room for it, as of its end.
-	Ready, Roomy int
+	// ReadyServers and ServersWithRoom are how many servers of its pool may have new work, and have room for it, as of its end.
+	ReadyServers, ServersWithRoom int
 	// RoomAge is how old the oldest word of a ready server about its room is, as of its end.
 	RoomAge time.Duration
-	// PoolPace is how many requests of the pool this entry dispatches a second, as of its end.
-	PoolPace float64
+	// PoolDispatchRate is how many requests of the pool this entry dispatches a second, as of its end.
+	PoolDispatchRate float64
 }
 
 // trace sums up a request that ends now.
@@ -42,24 +42,24 @@
 		Tier:        uint32(r.tier) + 1,
 		Fingerprint: r.fingerprint,
 
-		Attempts: len(r.attempts),
-		Refusals: r.refusals,
-		DueAfter: r.due().Sub(r.Arrived),
-		Overdue:  r.Overdue,
-		Ahead:    s.aheadOf(r),
-		Ready:    r.pool.ready,
-		Roomy:    r.pool.roomy,
-		RoomAge:  s.roomAge(r.pool),
+		Attempts:        len(r.attempts),
+		Refusals:        r.refusals,
+		DueAfter:        r.due().Sub(r.Arrived),
+		Overdue:         r.Overdue,
+		Ahead:           s.aheadOf(r),
+		ReadyServers:    r.pool.ready,
+		ServersWithRoom: r.pool.roomy,
+		RoomAge:         s.roomAge(r.pool),
 
-		LongestPause: r.longestPause,
-		PoolPace:     r.pool.drain.value(s.now),
+		LongestPause:     r.longestPause,
+		PoolDispatchRate: r.pool.drain.value(s.now),
 	}
 	if len(r.attempts) > 0 {
 		t.Server = r.record().server
 		t.SentAfter = r.record().sent.Sub(r.Arrived)
 	}
 	if !r.firstEventAt.IsZero() {
-		t.FirstAfter = r.firstEventAt.Sub(r.Arrived)
+		t.FirstEventAfter = r.firstEventAt.Sub(r.Arrived)
 	}
 	return t
 }
--- a/sched/types.go
+++ b/sched/types.go
@@ -42,9 +42,9 @@
 	// those of its class that may still be in time.
 	Overdue bool
 
-	// EndBy is when the entry ends at the latest, zero while it isn't stopping. What would probably run longer is refused
+	// EntryStopsBy is when the entry ends at the latest, zero while it isn't stopping. What would probably run longer is refused
 	// on arrival.
-	EndBy time.Time
+	EntryStopsBy time.Time
 
 	// Verbatim is set for a request that goes to its backend server byte for byte. MaxAttempts then bounds the attempts
 	// that may have begun; 0 means the scheduler's own bound.
@@ -52,10 +52,10 @@
 	MaxAttempts int
 
 	// Key and what follows are set for a keyed request, whose operation record is committed before Arrive.
-	Key        string
-	Epoch      uint64
-	Candidates []string // servers that the record allows; empty: any
-	Earlier    []string // servers whose proofs are needed first, after a takeover
+	Key            string
+	Epoch          uint64
+	Candidates     []string // servers that the record allows; empty: any
+	EarlierServers []string // servers whose proofs are needed first, after a takeover
 }
 
 // fingerprint identifies the request over its repeats by the same caller.
@@ -97,8 +97,8 @@
 		Incarnation uint64
 	}
 
-	// Received carries a message of an agent.
-	Received struct {
+	// MessageReceived carries a message of an agent.
+	MessageReceived struct {
 		Agent       string
 		Incarnation uint64
 		Message     *wire.AgentMessage
@@ -117,8 +117,8 @@
 		Classes []*wire.Class
 	}
 
-	// Widened answers a Widen action: the record now allows the candidates, or code says why not.
-	Widened struct {
+	// CandidatesWidened answers a Widen action: the record now allows the candidates, or code says why not.
+	CandidatesWidened struct {
 		Request    string
 		Candidates []string
 		Code       result.Code
@@ -131,8 +131,8 @@
 		Proof   wire.Proof
 	}
 
-	// Poisoned carries the requests that are watched or quarantined (whole).
-	Poisoned struct{ Records []*wire.PoisonRecord }
+	// PoisonRecords carries the requests that are watched or quarantined (whole).
+	PoisonRecords struct{ Records []*wire.PoisonRecord }
 
 	// CacheHint carries a prefix cache event of a server, late and with gaps.
 	CacheHint struct {
@@ -142,18 +142,18 @@
 	}
 )
 
-func (Tick) schedEvent()         {}
-func (Arrive) schedEvent()       {}
-func (CallerLeft) schedEvent()   {}
-func (AgentUp) schedEvent()      {}
-func (AgentDown) schedEvent()    {}
-func (Received) schedEvent()     {}
-func (Directory) schedEvent()    {}
-func (Config) schedEvent()       {}
-func (Widened) schedEvent()      {}
-func (EngineProved) schedEvent() {}
-func (Poisoned) schedEvent()     {}
-func (CacheHint) schedEvent()    {}
+func (Tick) schedEvent()              {}
+func (Arrive) schedEvent()            {}
+func (CallerLeft) schedEvent()        {}
+func (AgentUp) schedEvent()           {}
+func (AgentDown) schedEvent()         {}
+func (MessageReceived) schedEvent()   {}
+func (Directory) schedEvent()         {}
+func (Config) schedEvent()            {}
+func (CandidatesWidened) schedEvent() {}
+func (EngineProved) schedEvent()      {}
+func (PoisonRecords) schedEvent()     {}
+func (CacheHint) schedEvent()         {}
 
 // Action is something the entry has to do, in the order given.
 type Action interface{ schedAction() }
@@ -188,8 +188,8 @@
 		Trace   Trace
 	}
 
-	// Widen asks control to let a keyed request go to more servers; Widened follows.
-	Widen struct {
+	// WidenCandidates asks control to let a keyed request go to more servers; Widened follows.
+	WidenCandidates struct {
 		Request    string
 		Candidates []string
 	}
@@ -218,15 +218,15 @@
 	}
 )
 
-func (Send) schedAction()          {}
-func (Deliver) schedAction()       {}
-func (Answer) schedAction()        {}
-func (Fail) schedAction()          {}
-func (Widen) schedAction()         {}
-func (ProveAtEngine) schedAction() {}
-func (ReportCrash) schedAction()   {}
-func (ClearPoison) schedAction()   {}
-func (Count) schedAction()         {}
+func (Send) schedAction()            {}
+func (Deliver) schedAction()         {}
+func (Answer) schedAction()          {}
+func (Fail) schedAction()            {}
+func (WidenCandidates) schedAction() {}
+func (ProveAtEngine) schedAction()   {}
+func (ReportCrash) schedAction()     {}
+func (ClearPoison) schedAction()     {}
+func (Count) schedAction()           {}
 
 // Counter names a counter of the scheduler.
 type Counter uint8
--- a/sched/waiting.go
+++ b/sched/waiting.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// TargetWait is what waits for one model or service.
-type TargetWait struct {
-	Kind   string
-	Target string
-	Queued [tierCount]int // tier 1 first
-	Oldest time.Duration  // since the arrival of the one that has waited longest
+// TargetQueue is what waits for one model or service.
+type TargetQueue struct {
+	Kind       string
+	Target     string
+	Queued     [tierCount]int // tier 1 first
+	OldestWait time.Duration  // since the arrival of the one that has waited longest
 }
 
-// Waiting returns what waits for each target as of the last Step, sorted by kind and target. A target for which
+// TargetQueues returns what waits for each target as of the last Step, sorted by kind and target. A target for which
 // nothing waits isn't listed. It looks at every live request.
-func (s *Scheduler) Waiting() []TargetWait {
-	byPool := make(map[poolKey]*TargetWait)
+func (s *Scheduler) TargetQueues() []TargetQueue {
+	byPool := make(map[poolKey]*TargetQueue)
 	for _, r := range s.requests {
 		if r.state != queued && r.state != reserved {
 			continue
 		}
 		w := byPool[r.pool.key]
 		if w == nil {
-			w = &TargetWait{Kind: r.pool.key.kind, Target: r.pool.key.target}
+			w = &TargetQueue{Kind: r.pool.key.kind, Target: r.pool.key.target}
 			byPool[r.pool.key] = w
 		}
 		w.Queued[r.tier]++
-		w.Oldest = max(w.Oldest, s.now.Sub(r.Arrived))
+		w.OldestWait = max(w.OldestWait, s.now.Sub(r.Arrived))
 	}
-	all := make([]TargetWait, 0, len(byPool))
+	all := make([]TargetQueue, 0, len(byPool))
 	for _, w := range byPool {
 		all = append(all, *w)
 	}
-	slices.SortFunc(all, func(a, b TargetWait) int {
+	slices.SortFunc(all, func(a, b TargetQueue) int {
 		if order := cmp.Compare(a.Kind, b.Kind); order != 0 {
 			return order
 		}
--- a/sched/wake.go
+++ b/sched/wake.go
@@ -85,12 +85,12 @@
 // core, and a seventh of what an entry with 16 requests a second spends on a machine with 0.144 of one.
 func (s *Scheduler) NextTick() time.Duration {
 	if len(s.dirty) > 0 {
-		return TickInterval
+		return MinTickInterval
 	}
 	if len(s.wakes.items) == 0 {
-		return RestInterval
+		return MaxTickInterval
 	}
-	return min(max(s.wakes.items[0].wakeAt.Sub(s.now), TickInterval), RestInterval)
+	return min(max(s.wakes.items[0].wakeAt.Sub(s.now), MinTickInterval), MaxTickInterval)
 }
 
 // wakeDue looks at every request whose time has come, each at most once for an event: what else is due for it waits
@@ -101,7 +101,7 @@
 		s.wake(r)
 		s.setWake(r)
 		if r.wakeIndex >= 0 && !s.now.Before(r.wakeAt) {
-			s.wakes.set(r, s.now.Add(TickInterval))
+			s.wakes.set(r, s.now.Add(MinTickInterval))
 		}
 	}
 	s.lingers.expire(s.now)
--- a/sched/widen.go
+++ b/sched/widen.go
@@ -27,7 +27,7 @@
 		return
 	}
 	r.widen.asked = true
-	s.act(Widen{Request: r.ID, Candidates: append(slices.Clone(r.Candidates), more...)})
+	s.act(WidenCandidates{Request: r.ID, Candidates: append(slices.Clone(r.Candidates), more...)})
 }
 
 func (s *Scheduler) anyCandidate(r *request) bool {
@@ -51,7 +51,7 @@
 }
 
 // widened takes control's answer.
-func (s *Scheduler) widened(e Widened) {
+func (s *Scheduler) widened(e CandidatesWidened) {
 	r := s.requests[e.Request]
 	if r == nil || !r.widen.asked {
 		return
