--- a/agent/agent.go
+++ b/agent/agent.go
@@ -223,20 +223,20 @@
 func (a *Agent) newGate() admission {
 	timing, limits := a.settings.Timing, a.settings.Limits
 	return gate.New(gate.Config{
-		OfferTimeout:  timing.Offer,
-		TombstoneLife: timing.Tombstone,
-		SilentAfter:   timing.Silent,
-		MaxRecords:    limits.MaxTombstones,
-		MaxWaiting:    limits.MaxReservations,
-		UnprovenHold:  timing.UnprovenHold,
-		SlowRatio:     limits.SlowRatio,
-		SlotsFloor:    limits.SlotsFloor,
+		OfferTimeout:      timing.Offer,
+		TombstoneLifetime: timing.Tombstone,
+		SilentAfter:       timing.Silent,
+		MaxRecords:        limits.MaxTombstones,
+		MaxWaiting:        limits.MaxReservations,
+		UnprovenHold:      timing.UnprovenHold,
+		SlowRatio:         limits.SlowRatio,
+		SlotsFloor:        limits.SlotsFloor,
 
-		Reporter:       a.settings.Instance,
-		RunNames:       a.follow.selects != nil,
-		UnlistedSettle: timing.UnlistedSettle,
-		ProcessStarted: a.started,
-		ProbeAtStart:   true,
+		Reporter:           a.settings.Instance,
+		UniqueNamePerStart: a.follow.selects != nil,
+		UnlistedSettle:     timing.UnlistedSettle,
+		ProcessStarted:     a.started,
+		TrialAtStart:       true,
 	})
 }
 
--- a/agent/control.go
+++ b/agent/control.go
@@ -108,7 +108,7 @@
 func (a *Agent) tellAdvice(ctx context.Context, told *adviceWatch, view *session.View) {
 	if senders := a.senders(view); senders != told.senders {
 		told.senders = senders
-		a.servers.tellAll(ctx, gateEvent{gate.Senders{Count: senders}})
+		a.servers.tellAll(ctx, gateEvent{gate.SendersChanged{Count: senders}})
 	}
 	versions := make(map[string]uint64, len(view.Advice))
 	for name, record := range view.Advice {
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -71,7 +71,7 @@
 	entry := gate.EntryID(id)
 	if beat := message.GetHeartbeat(); beat != nil {
 		a.session.ObserveVersion(beat.GetConfigVersion())
-		a.servers.tellAll(ctx, gateEvent{gate.Received{Entry: entry, Message: message}})
+		a.servers.tellAll(ctx, gateEvent{gate.MessageReceived{Entry: entry, Message: message}})
 		return nil
 	}
 	name, attempt := addressee(message)
@@ -131,10 +131,10 @@
 	reserve := in.message.GetReserve()
 	code := s.ready.closed()
 	if reserve == nil || code == 0 {
-		s.step(now, gate.Received{Entry: in.entry, Message: in.message})
+		s.step(now, gate.MessageReceived{Entry: in.entry, Message: in.message})
 		return
 	}
-	s.stepRefusing(now, gate.Received{Entry: in.entry, Message: unservable(reserve)}, refusal{
+	s.stepRefusing(now, gate.MessageReceived{Entry: in.entry, Message: unservable(reserve)}, refusal{
 		key:  keyOf(reserve.GetAttempt()),
 		code: code,
 	})
--- a/agent/server_actions.go
+++ b/agent/server_actions.go
@@ -33,14 +33,14 @@
 		s.verify()
 	case gate.Crashed:
 		s.crashed(a)
-	case gate.Report:
+	case gate.ReportOutcome:
 		s.log.WithField("request", a.Complete.GetRequest()).Info("outcome_reported")
 		s.report(outcomeReport(a.Complete))
-	case gate.Advised:
+	case gate.ThrottleChanged:
 		s.noteAdvice(now, a)
 	case gate.Throttled:
 		s.noteThrottled(now, a)
-	case gate.Changed:
+	case gate.ServerChanged:
 		s.noteCondition(a.Server)
 	case gate.Count:
 		s.meter.count(s.refusing.counted(a))
--- a/agent/server_advice.go
+++ b/agent/server_advice.go
@@ -55,7 +55,7 @@
 		return
 	}
 	s.noteMalformed(now, in.observation)
-	s.step(now, gate.Heard{Observation: in.observation})
+	s.step(now, gate.ServerObserved{Observation: in.observation})
 	s.noteLeaving(now, in.observation)
 	s.advised.directory.Heard(s.recordable(in.observation), s.advised.limit)
 	s.shareAdvice(now)
@@ -94,7 +94,7 @@
 		Version:  record.GetVersion(),
 	})
 	if isNews {
-		s.step(now, gate.Heard{Observation: word})
+		s.step(now, gate.ServerObserved{Observation: word})
 		s.noteLeaving(now, word)
 	}
 }
@@ -132,7 +132,7 @@
 }
 
 // noteAdvice counts and logs a change of what the server is known to ask.
-func (s *server) noteAdvice(now time.Time, a gate.Advised) {
+func (s *server) noteAdvice(now time.Time, a gate.ThrottleChanged) {
 	o := a.Observation
 	s.advised.limit = a.Rate
 	s.advised.expects.Store(a.Expects)
--- a/agent/server_announce.go
+++ b/agent/server_announce.go
@@ -108,7 +108,7 @@
 	s.client = client
 	s.publish()
 	s.observe(s.base, client)
-	s.step(time.Now(), gate.Senders{Count: s.senders()})
+	s.step(time.Now(), gate.SendersChanged{Count: s.senders()})
 	s.learnAdvice(time.Now(), s.advice(s.name))
 	s.spawn(func(ctx context.Context) { s.probeLoop(ctx, client) })
 	return nil
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -27,11 +27,11 @@
 func (s *server) verify() {
 	client := s.client
 	if client == nil {
-		s.then(gate.Verified{}, refusal{})
+		s.then(gate.ServerVerified{}, refusal{})
 		return
 	}
 	s.spawn(func(ctx context.Context) {
-		_ = s.push(ctx, gateEvent{gate.Verified{Ended: processEnded(ctx, client)}})
+		_ = s.push(ctx, gateEvent{gate.ServerVerified{Ended: processEnded(ctx, client)}})
 	})
 }
 
@@ -76,7 +76,7 @@
 		fingerprints = append(fingerprints, key.String())
 	}
 	s.report(outbox.Crash(note))
-	if !a.Again {
+	if !a.Repeated {
 		s.meter.crashed()
 	}
 	s.log.WithField("runs", len(a.Runs)).
--- a/agent/server_leave.go
+++ b/agent/server_leave.go
@@ -75,7 +75,7 @@
 	s.gate = s.newGate()
 	s.advised.expects.Store(true)
 	for _, id := range s.linked() {
-		s.step(now, gate.EntryUp{Entry: id})
+		s.step(now, gate.EntryConnected{Entry: id})
 	}
 	s.publish()
 }
--- a/agent/servers.go
+++ b/agent/servers.go
@@ -59,7 +59,7 @@
 	}
 	s := newServer(name, l.deps)
 	for _, id := range sortedEntries(l.entries) {
-		s.inputs.TryPush(gateEvent{gate.EntryUp{Entry: id}})
+		s.inputs.TryPush(gateEvent{gate.EntryConnected{Entry: id}})
 	}
 	l.list[name] = s
 	l.begin(s)
@@ -69,13 +69,13 @@
 // entryUp tells all servers that an entry is linked, also those that are made while it is.
 func (l *servers) entryUp(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, true)
-	l.tellAll(ctx, gateEvent{gate.EntryUp{Entry: id}})
+	l.tellAll(ctx, gateEvent{gate.EntryConnected{Entry: id}})
 }
 
 // entryDown tells all servers that an entry's link is lost.
 func (l *servers) entryDown(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, false)
-	l.tellAll(ctx, gateEvent{gate.EntryDown{Entry: id}})
+	l.tellAll(ctx, gateEvent{gate.EntryDisconnected{Entry: id}})
 }
 
 func (l *servers) setLinked(id gate.EntryID, linked bool) {
--- a/agent/servers_test.go
+++ b/agent/servers_test.go
@@ -32,7 +32,7 @@
 	for s.inputs.Len() > 0 {
 		s.take(<-s.inputs.C())
 	}
-	assert.Equal(t, []gate.Event{gate.EntryUp{Entry: linked}}, recorder.events)
+	assert.Equal(t, []gate.Event{gate.EntryConnected{Entry: linked}}, recorder.events)
 }
 
 func TestLaterServerMeetsLinkedEntries(t *testing.T) {
--- a/gate/config.go
+++ b/gate/config.go
@@ -10,24 +10,24 @@
 
 // Defaults of Config.
 const (
-	DefaultLeaseDuration  = 3 * time.Second
-	DefaultOfferTimeout   = 250 * time.Millisecond
-	DefaultTombstoneLife  = 2 * time.Minute
-	DefaultKeepOver       = 15 * time.Second
-	DefaultRequestLife    = 15 * time.Minute
-	DefaultOperationLife  = 24 * time.Hour
-	DefaultSilentAfter    = 3 * time.Second
-	DefaultGoneAfter      = 10 * time.Second
-	DefaultSlotsFloor     = 0.25
-	DefaultUnlistedSettle = time.Second
-	DefaultUnprovenHold   = 30 * time.Second
-	DefaultSlowRatio      = 3.0
-	DefaultMaxRecords     = 1 << 16
-	DefaultMaxWaiting     = 4096
-	DefaultMaxMemory      = 1 << 18
-	DefaultProbeFailures  = 2
-	DefaultAnswerBound    = 1 << 20
-	DefaultResendBound    = 256 << 10
+	DefaultLeaseDuration     = 3 * time.Second
+	DefaultOfferTimeout      = 250 * time.Millisecond
+	DefaultTombstoneLifetime = 2 * time.Minute
+	DefaultOverRetention     = 15 * time.Second
+	DefaultRequestLifetime   = 15 * time.Minute
+	DefaultOperationLifetime = 24 * time.Hour
+	DefaultSilentAfter       = 3 * time.Second
+	DefaultGoneAfter         = 10 * time.Second
+	DefaultSlotsFloor        = 0.25
+	DefaultUnlistedSettle    = time.Second
+	DefaultUnprovenHold      = 30 * time.Second
+	DefaultSlowRatio         = 3.0
+	DefaultMaxRecords        = 1 << 16
+	DefaultMaxWaiting        = 4096
+	DefaultMaxHistoryDigests = 1 << 18
+	DefaultProbeFailures     = 2
+	DefaultMaxAnswerBytes    = 1 << 20
+	DefaultMaxResendBytes    = 256 << 10
 )
 
 // Config holds the settings of a Gate. A zero value means the default of that name.
@@ -36,15 +36,15 @@
 	LeaseDuration time.Duration
 	// OfferTimeout is how long an offered slot is kept for the dispatch.
 	OfferTimeout time.Duration
-	// TombstoneLife is how long an ended attempt is remembered after its end and after its deadline. It has to be
+	// TombstoneLifetime is how long an ended attempt is remembered after its end and after its deadline. It has to be
 	// longer than any message can be under way.
-	TombstoneLife time.Duration
-	// KeepOver is how long an Over message and its answer are kept for those who lost it.
-	KeepOver time.Duration
-	// RequestLife is the longest that an entry itself may ask about an attempt after it sent it.
-	RequestLife time.Duration
-	// OperationLife is the longest that another entry, which takes an operation over, may ask about an attempt.
-	OperationLife time.Duration
+	TombstoneLifetime time.Duration
+	// OverRetention is how long an Over message and its answer are kept for those who lost it.
+	OverRetention time.Duration
+	// RequestLifetime is the longest that an entry itself may ask about an attempt after it sent it.
+	RequestLifetime time.Duration
+	// OperationLifetime is the longest that another entry, which takes an operation over, may ask about an attempt.
+	OperationLifetime time.Duration
 	// SilentAfter and GoneAfter are how long after its last announcement a server is suspect and then gone.
 	SilentAfter, GoneAfter time.Duration
 	// UnlistedSettle is how long a new incarnation admits nothing at a server that keeps no list of what it runs.
@@ -66,19 +66,19 @@
 	// ProcessStarted is when this incarnation's process began, zero if not known. What an earlier one left at a server that
 	// keeps no list lost its connections before that, so the settle time counts from here; otherwise from the listing.
 	ProcessStarted time.Time
-	// MaxMemory bounds the digests of keyed requests that ran here, in each of two generations.
-	MaxMemory int
+	// MaxHistoryDigests bounds the digests of keyed requests that ran here, in each of two generations.
+	MaxHistoryDigests int
 	// ProbeFailures is how many failed probes in a row make the server suspect.
 	ProbeFailures int
-	// AnswerBound and ResendBound bound the bytes of an answer kept for control and for an entry that lost its link.
-	AnswerBound, ResendBound int
+	// MaxAnswerBytes and MaxResendBytes bound the bytes of an answer kept for control and for an entry that lost its link.
+	MaxAnswerBytes, MaxResendBytes int
 	// Reporter names this agent in what it reports of crashes.
 	Reporter string
-	// RunNames says that each start of a server has another name.
-	RunNames bool
-	// ProbeAtStart has the first attempts at a server wait for the first answer, since an earlier process may have been asked to keep
+	// UniqueNamePerStart says that each start of a server has another name.
+	UniqueNamePerStart bool
+	// TrialAtStart has the first attempts at a server wait for the first answer, since an earlier process may have been asked to keep
 	// away from it.
-	ProbeAtStart bool
+	TrialAtStart bool
 	// NoPredecessor says that no earlier incarnation of this agent can have run anything at this server. Without it
 	// a Cancel for an attempt that the gate never heard of is not answered with PROOF_NEVER_STARTED as long as it may
 	// speak of an attempt of an earlier incarnation.
@@ -96,10 +96,10 @@
 func (c Config) withDefaults() Config {
 	c.LeaseDuration = orDefault(c.LeaseDuration, DefaultLeaseDuration)
 	c.OfferTimeout = orDefault(c.OfferTimeout, DefaultOfferTimeout)
-	c.TombstoneLife = orDefault(c.TombstoneLife, DefaultTombstoneLife)
-	c.KeepOver = orDefault(c.KeepOver, DefaultKeepOver)
-	c.RequestLife = orDefault(c.RequestLife, DefaultRequestLife)
-	c.OperationLife = orDefault(c.OperationLife, DefaultOperationLife)
+	c.TombstoneLifetime = orDefault(c.TombstoneLifetime, DefaultTombstoneLifetime)
+	c.OverRetention = orDefault(c.OverRetention, DefaultOverRetention)
+	c.RequestLifetime = orDefault(c.RequestLifetime, DefaultRequestLifetime)
+	c.OperationLifetime = orDefault(c.OperationLifetime, DefaultOperationLifetime)
 	c.SilentAfter = orDefault(c.SilentAfter, DefaultSilentAfter)
 	c.GoneAfter = orDefault(c.GoneAfter, DefaultGoneAfter)
 	c.UnlistedSettle = orDefault(c.UnlistedSettle, DefaultUnlistedSettle)
@@ -108,9 +108,9 @@
 	c.SlowRatio = orDefault(c.SlowRatio, DefaultSlowRatio)
 	c.MaxRecords = orDefault(c.MaxRecords, DefaultMaxRecords)
 	c.MaxWaiting = orDefault(c.MaxWaiting, DefaultMaxWaiting)
-	c.MaxMemory = orDefault(c.MaxMemory, DefaultMaxMemory)
+	c.MaxHistoryDigests = orDefault(c.MaxHistoryDigests, DefaultMaxHistoryDigests)
 	c.ProbeFailures = orDefault(c.ProbeFailures, DefaultProbeFailures)
-	c.AnswerBound = orDefault(c.AnswerBound, DefaultAnswerBound)
-	c.ResendBound = orDefault(c.ResendBound, DefaultResendBound)
+	c.MaxAnswerBytes = orDefault(c.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	c.MaxResendBytes = orDefault(c.MaxResendBytes, DefaultMaxResendBytes)
 	return c
 }
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -60,7 +60,7 @@
 }
 
 // verified takes the answer to VerifyServer.
-func (g *Gate) verified(e Verified) {
+func (g *Gate) verified(e ServerVerified) {
 	b := &g.broken
 	b.asked = false
 	if g.isLeaving() {
@@ -121,7 +121,7 @@
 		Server:   g.serverName(),
 		Alone:    len(g.broken.attempts) == 1 && g.broken.attempts[0].alone,
 		Reporter: g.config.Reporter,
-		Once:     g.config.RunNames,
+		Once:     g.config.UniqueNamePerStart,
 	}
 	var runs []Run
 	for _, one := range g.broken.attempts {
@@ -135,7 +135,7 @@
 		})
 	}
 	g.broken.attempts = nil
-	g.emit(Crashed{Crash: crash, Runs: runs, Again: g.broken.told})
+	g.emit(Crashed{Crash: crash, Runs: runs, Repeated: g.broken.told})
 	g.broken.told = true
 }
 
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -40,7 +40,7 @@
 	b.lost(id("r1", 1))
 	require.Len(t, of[VerifyServer](b.actions), 1)
 	require.Empty(t, crashed(b.actions), "a broken connection alone is no evidence")
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	b.now = b.now.Add(10 * time.Millisecond)
 	b.lost(id("r2", 1))
 	require.Equal(t, []poison.Fingerprint{1, 2}, crashed(b.actions))
@@ -55,14 +55,14 @@
 	b.startPrint("r1", 1)
 	b.startPrint("r2", 2)
 	b.lost(id("r1", 1))
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	b.now = b.now.Add(10 * time.Millisecond)
 	b.lost(id("r2", 1))
 	crashes := of[Crashed](b.actions)
 	require.Len(t, crashes, 2)
 	require.Equal(t, crashes[0].Crash.GetId(), crashes[1].Crash.GetId())
-	require.False(t, crashes[0].Again)
-	require.True(t, crashes[1].Again)
+	require.False(t, crashes[0].Repeated)
+	require.True(t, crashes[1].Repeated)
 }
 
 // Symptom: a crash is evidence against nobody. Sequence: a server spoils an answer; while its process is looked for, it crashes
@@ -75,9 +75,9 @@
 	b.now = b.now.Add(5 * time.Millisecond)
 	b.lost(id("r2", 1))
 	b.actions = nil
-	b.step(Verified{})
+	b.step(ServerVerified{})
 	require.Len(t, of[VerifyServer](b.actions), 1, "once more")
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	require.Equal(t, []poison.Fingerprint{2}, crashed(b.actions))
 }
 
@@ -87,7 +87,7 @@
 	for name, play := range map[string]func(b *bench){
 		"the process is there": func(b *bench) {
 			b.lost(id("r1", 1))
-			b.step(Verified{})
+			b.step(ServerVerified{})
 		},
 		"it is cancelled": func(b *bench) {
 			b.callerLeft(entryA, id("r1", 1))
@@ -110,16 +110,16 @@
 		"the server says so meanwhile": func(b *bench) {
 			b.lost(id("r1", 1))
 			b.step(Leaving{})
-			b.step(Verified{Ended: true})
+			b.step(ServerVerified{Ended: true})
 		},
 		"it was broken off long before": func(b *bench) {
 			b.lost(id("r1", 1))
-			b.step(Verified{})
+			b.step(ServerVerified{})
 			b.answer(id("r1", 1), engine.CancelUnknownID)
 			b.pass(2 * crashWindow)
 			b.startPrint("r2", 2)
 			b.lost(id("r2", 1))
-			b.step(Verified{Ended: true})
+			b.step(ServerVerified{Ended: true})
 			require.Equal(b.t, []poison.Fingerprint{2}, crashed(b.actions))
 			b.actions = nil
 		},
@@ -163,7 +163,7 @@
 	b.actions = nil
 	b.lost(id("r2", 1))
 	b.lost(id("w1", 1))
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	require.Len(t, crashed(b.actions), 2)
 	require.False(t, of[Crashed](b.actions)[0].Crash.GetAlone())
 	noChartErrors(t, b)
@@ -173,7 +173,7 @@
 	b := openBench(t)
 	b.start(entryA, id("w1", 1), watchedWork())
 	b.lost(id("w1", 1))
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	require.True(t, of[Crashed](b.actions)[0].Crash.GetAlone())
 	over := onlyOver(t, b.answer(id("w1", 1), engine.CancelUnknownID), entryA, wire.Proof_PROOF_CANCELLED)
 	require.Equal(t, of[Crashed](b.actions)[0].Crash, over.GetCrash(), "its entry reports the same crash")
@@ -186,7 +186,7 @@
 	b.startPrint("r1", 1)
 	b.lost(id("r1", 1))
 	require.Equal(t, serverReady, b.gate.server.state)
-	b.step(Verified{Ended: true})
+	b.step(ServerVerified{Ended: true})
 	require.Equal(t, serverSuspect, b.gate.server.state)
 	over := onlyOver(t, b.answer(id("r1", 1), engine.CancelUnknownID), entryA, wire.Proof_PROOF_CANCELLED)
 	require.NotNil(t, over.GetCrash(), "its entry hears of it")
--- a/gate/frames.go
+++ b/gate/frames.go
@@ -79,9 +79,9 @@
 
 func (g *Gate) keepBound(a *attempt) int {
 	if a.dispatch.GetReportToControl() {
-		return g.config.AnswerBound
+		return g.config.MaxAnswerBytes
 	}
-	return g.config.ResendBound
+	return g.config.MaxResendBytes
 }
 
 func (g *Gate) sendFrame(a *attempt, offset uint64, events [][]byte, tokens []uint32) {
--- a/gate/frames_test.go
+++ b/gate/frames_test.go
@@ -54,9 +54,9 @@
 }
 
 func TestKeptEventsAreBounded(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true, ResendBound: 3}, sampleRecord(1))
+	b := openBenchWith(t, Config{NoPredecessor: true, MaxResendBytes: 3}, sampleRecord(1))
 	b.start(entryA, id("r", 1), work())
 	b.progress(id("r", 1), "ab", "cd")
-	require.Empty(t, framesOf(b.step(EntryUp{Entry: entryA}), "r"))
+	require.Empty(t, framesOf(b.step(EntryConnected{Entry: entryA}), "r"))
 	require.Nil(t, b.gate.runs[0].frames.kept)
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -48,12 +48,12 @@
 		config:  config,
 		entries: newEntryTable(),
 		records: newRecordTable(),
-		memory:  newMemory(config.MaxMemory, config.OperationLife),
+		memory:  newMemory(config.MaxHistoryDigests, config.OperationLifetime),
 		waiting: newWaiting(),
 		pace:    newPace(),
 		limit:   limiter{floor: config.SlotsFloor},
 	}
-	if config.ProbeAtStart {
+	if config.TrialAtStart {
 		g.throttle = backpressure.NewLimiter()
 	}
 	return g
@@ -81,13 +81,13 @@
 	switch e := event.(type) {
 	case Tick:
 		g.tick()
-	case EntryUp:
+	case EntryConnected:
 		g.entryUp(e.Entry)
-	case EntryDown:
+	case EntryDisconnected:
 		g.entryDown(e.Entry)
 	case EntryEnded:
 		g.entryEnded(e.Entry)
-	case Received:
+	case MessageReceived:
 		g.received(e.Entry, e.Message)
 	case Announced:
 		g.announced(e.Server)
@@ -105,11 +105,11 @@
 		g.engineCancelled(e)
 	case EngineLoad:
 		g.engineLoad(e.Load)
-	case Heard:
+	case ServerObserved:
 		g.heard(e.Observation)
-	case Senders:
+	case SendersChanged:
 		g.shareRate(e.Count)
-	case Verified:
+	case ServerVerified:
 		g.verified(e)
 	default:
 		g.chartError("unknown event")
--- a/gate/harness_test.go
+++ b/gate/harness_test.go
@@ -52,8 +52,8 @@
 	b := newBench(t, config)
 	b.step(Announced{Server: record})
 	b.step(EngineListed{})
-	b.step(EntryUp{Entry: entryA})
-	b.step(EntryUp{Entry: entryB})
+	b.step(EntryConnected{Entry: entryA})
+	b.step(EntryConnected{Entry: entryB})
 	b.actions = nil
 	return b
 }
@@ -134,7 +134,7 @@
 }
 
 func (b *bench) receive(from EntryID, m *wire.EntryMessage) []Action {
-	return b.step(Received{Entry: from, Message: m})
+	return b.step(MessageReceived{Entry: from, Message: m})
 }
 
 func (b *bench) reserve(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
--- a/gate/keep.go
+++ b/gate/keep.go
@@ -22,7 +22,7 @@
 	if a.unheard {
 		return
 	}
-	g.kept = append(g.kept, keptOver{a, over, g.now.Add(g.config.KeepOver)})
+	g.kept = append(g.kept, keptOver{a, over, g.now.Add(g.config.OverRetention)})
 }
 
 // dropKept forgets answers that were kept long enough. The tombstones stay.
@@ -107,7 +107,7 @@
 	default:
 		return
 	}
-	g.emit(Report{Complete: &wire.CompleteOperation{
+	g.emit(ReportOutcome{Complete: &wire.CompleteOperation{
 		Organisation: a.work.GetOrganisation(),
 		Key:          a.dispatch.GetIdempotencyKey(),
 		Request:      a.record.request,
--- a/gate/leases_test.go
+++ b/gate/leases_test.go
@@ -71,7 +71,7 @@
 func TestLostLinkAloneEndsNoLease(t *testing.T) {
 	b := openBench(t)
 	b.start(entryA, id("run", 1), work())
-	b.step(EntryDown{Entry: entryA})
+	b.step(EntryDisconnected{Entry: entryA})
 	b.silentA(DefaultLeaseDuration - time.Second)
 	require.Empty(t, of[CancelEngine](b.actions))
 }
@@ -85,7 +85,7 @@
 	b.silentA(DefaultLeaseDuration + time.Second)
 	require.Empty(t, of[CancelEngine](b.actions))
 	b.progress(id("r", 3<<epochShift+1), `{"pass":`, `1}`)
-	reports := of[Report](b.finish(id("r", 3<<epochShift+1)))
+	reports := of[ReportOutcome](b.finish(id("r", 3<<epochShift+1)))
 	require.Len(t, reports, 1)
 	c := reports[0].Complete
 	require.Equal(t, "org", c.Organisation)
@@ -103,9 +103,9 @@
 	b := openBench(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.progress(id("r", 1), "done")
-	require.Empty(t, of[Report](b.finish(id("r", 1))))
+	require.Empty(t, of[ReportOutcome](b.finish(id("r", 1))))
 	b.silentA(DefaultLeaseDuration + time.Second)
-	require.Len(t, of[Report](b.actions), 1)
+	require.Len(t, of[ReportOutcome](b.actions), 1)
 }
 
 func TestReports(t *testing.T) {
@@ -116,7 +116,7 @@
 	}{
 		"too large": {
 			end: func(b *bench) []Action {
-				b.progress(id("r", 1), strings.Repeat("x", DefaultAnswerBound), "x")
+				b.progress(id("r", 1), strings.Repeat("x", DefaultMaxAnswerBytes), "x")
 				return b.finish(id("r", 1))
 			},
 			reports: 1,
@@ -140,7 +140,7 @@
 			b := openBench(t)
 			b.dispatchOf(entryA, keyedCall(id("r", 1)))
 			b.step(EntryEnded{Entry: entryA})
-			reports := of[Report](c.end(b))
+			reports := of[ReportOutcome](c.end(b))
 			require.Len(t, reports, c.reports)
 			if c.check != nil {
 				c.check(t, reports[0].Complete.Answer)
@@ -157,7 +157,7 @@
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.callerLeft(entryA, id("r", 1))
 	onlyOver(t, b.answer(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
-	require.Empty(t, of[Report](b.step(EntryEnded{Entry: entryA})))
+	require.Empty(t, of[ReportOutcome](b.step(EntryEnded{Entry: entryA})))
 }
 
 func TestWhatALostLinkDroppedIsRepeated(t *testing.T) {
@@ -168,11 +168,11 @@
 	b.start(entryA, id("run", 1), work())
 	b.progress(id("run", 1), "a", "b")
 	b.start(entryA, id("done", 1), work())
-	b.step(EntryDown{Entry: entryA})
+	b.step(EntryDisconnected{Entry: entryA})
 	b.progress(id("run", 1), "c")
 	b.finish(id("done", 1))
 	b.reserve(entryA, id("wait", 1), work())
-	up := b.step(EntryUp{Entry: entryA})
+	up := b.step(EntryConnected{Entry: entryA})
 	require.Equal(t, []string{"wait.1"}, offeredIDs(up))
 	require.Equal(t, "done", onlyOver(t, up, entryA, completedProof).Attempt.Request)
 	frames := framesOf(up, "run")
@@ -186,7 +186,7 @@
 	for i := range 10 {
 		b.receive(EntryID{Name: fmt.Sprint("old-", i), Incarnation: 1}, heartbeat())
 	}
-	b.step(EntryDown{Entry: entryA})
+	b.step(EntryDisconnected{Entry: entryA})
 	b.pass(forgetEntryAfter + 2*DefaultLeaseDuration)
 	require.Len(t, b.gate.entries.order, 2)
 }
--- a/gate/machine_test.go
+++ b/gate/machine_test.go
@@ -77,8 +77,8 @@
 
 func newMachine(rt *rapid.T) *machine {
 	config := Config{
-		NoPredecessor: true, TombstoneLife: 4 * time.Second, MaxWaiting: 4, MaxRecords: 200,
-		KeepOver: time.Second, LeaseDuration: 2 * time.Second,
+		NoPredecessor: true, TombstoneLifetime: 4 * time.Second, MaxWaiting: 4, MaxRecords: 200,
+		OverRetention: time.Second, LeaseDuration: 2 * time.Second,
 	}
 	m := &machine{
 		bench:   openBenchWith(rt, config, sampleRecord(machineSlots)),
@@ -277,13 +277,13 @@
 		return
 	}
 	message := &wire.Reserve{Attempt: r.id(), Server: sampleServer, Work: r.work()}
-	m.do(Received{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: message}}})
+	m.do(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: message}}})
 }
 
 // bodyArrives delivers a body, in any order, perhaps long after its entry gave it up.
 func (m *machine) bodyArrives(rt *rapid.T) {
 	m.bodies = slices.DeleteFunc(m.bodies, func(b modelBody) bool {
-		return m.now.Sub(b.sent) >= m.gate.config.TombstoneLife
+		return m.now.Sub(b.sent) >= m.gate.config.TombstoneLifetime
 	})
 	if len(m.bodies) == 0 {
 		rt.Skip("none")
@@ -293,13 +293,13 @@
 	if rapid.Bool().Draw(rt, "once") {
 		m.bodies = slices.Delete(m.bodies, at, at+1)
 	}
-	m.do(Received{body.from, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: body.dispatch}}})
+	m.do(MessageReceived{body.from, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: body.dispatch}}})
 }
 
 func (m *machine) cancelIt(rt *rapid.T) {
 	r := m.pickRequest(rt, isPending)
 	message := &wire.Cancel{Attempt: r.id(), Server: sampleServer, Cause: retryCause}
-	m.do(Received{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
+	m.do(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
 }
 
 // endEntry ends an entry; the other one takes its requests over and asks about all earlier attempts.
@@ -317,7 +317,7 @@
 		r.number = 1 << epochShift
 		r.asked = r.number
 		message := &wire.Cancel{Attempt: r.id(), Server: sampleServer, Cause: takeoverCause}
-		m.do(Received{entryB, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
+		m.do(MessageReceived{entryB, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
 	}
 }
 
@@ -411,7 +411,7 @@
 	m.do(Announced{Server: sampleRecord(machineSlots)})
 	for _, e := range []EntryID{entryA, entryB} {
 		if rapid.IntRange(0, 9).Draw(rt, "silent") > 0 {
-			m.do(Received{e, heartbeat()})
+			m.do(MessageReceived{e, heartbeat()})
 		}
 	}
 }
--- a/gate/over.go
+++ b/gate/over.go
@@ -41,7 +41,7 @@
 	if a.deadline.After(from) {
 		from = a.deadline
 	}
-	g.records.release(r, from.Add(g.config.TombstoneLife))
+	g.records.release(r, from.Add(g.config.TombstoneLifetime))
 }
 
 // dropBody lets go of the prompt. The record outlives the attempt by minutes, and with the bodies of all of them the
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -381,7 +381,7 @@
 	b.stream(id("r", 1), 100*time.Millisecond, 12)
 	s := b.gate.Status()
 	require.Equal(t, suspect, s.Condition)
-	require.Equal(t, []string{"slower than its own past"}, s.Doubts)
+	require.Equal(t, []string{"slower than its own past"}, s.SuspectReasons)
 	require.Zero(t, s.Free)
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("wait", 1), work())))
 	refusedWith(t, b.dispatch(entryA, id("direct", 1), work()), result.RefusedNeverStarted)
--- a/gate/proofs_test.go
+++ b/gate/proofs_test.go
@@ -135,7 +135,7 @@
 		again := onlyOver(t, b.callerLeft(entryA, id("done", 1)), entryA, completedProof)
 		require.Equal(t, first.Answer.Digest, again.Answer.Digest)
 		require.Equal(t, second.Code, onlyOver(t, b.callerLeft(entryA, id("cut", 1)), entryA, cancelledProof).Code)
-		b.pass(DefaultKeepOver + time.Second)
+		b.pass(DefaultOverRetention + time.Second)
 	}
 }
 
--- a/gate/receive.go
+++ b/gate/receive.go
@@ -210,7 +210,7 @@
 	}
 	g.waiting.taken.note(false)
 	r.current = nil
-	g.records.release(r, g.now.Add(g.config.TombstoneLife))
+	g.records.release(r, g.now.Add(g.config.TombstoneLifetime))
 }
 
 // cancelUpTo ends all attempts of a request up to a number. One that was never heard of gets its tombstone too.
@@ -259,9 +259,9 @@
 	if g.config.NoPredecessor {
 		return false
 	}
-	horizon := g.config.RequestLife
+	horizon := g.config.RequestLifetime
 	if cause == wire.CancelCause_CANCEL_CAUSE_TAKEOVER {
-		horizon = g.config.OperationLife
+		horizon = g.config.OperationLifetime
 	}
 	return g.now.Sub(g.begun) < horizon
 }
--- a/gate/server.go
+++ b/gate/server.go
@@ -143,7 +143,7 @@
 		return
 	}
 	g.server.changed = record
-	g.emit(Changed{Server: proto.CloneOf(record)})
+	g.emit(ServerChanged{Server: proto.CloneOf(record)})
 }
 
 // serves tells whether the server has what the work needs.
--- a/gate/status.go
+++ b/gate/status.go
@@ -19,8 +19,8 @@
 	Cleared bool
 	// Unlisted says that the server keeps no list of what it runs, so that nothing proved that.
 	Unlisted bool
-	// Doubts are the reasons for a suspect server.
-	Doubts []string
+	// SuspectReasons are the reasons for a suspect server.
+	SuspectReasons []string
 	// Slots is how many attempts are let in at a time, of AnnouncedSlots; Headroom of them are kept for the first tier.
 	Slots, AnnouncedSlots, Headroom int
 	// Held is how many slots are taken, offers included.
@@ -110,7 +110,7 @@
 	}
 	for _, d := range doubtNames {
 		if g.server.doubts&d.doubt != 0 {
-			s.Doubts = append(s.Doubts, d.name)
+			s.SuspectReasons = append(s.SuspectReasons, d.name)
 		}
 	}
 	for _, e := range g.entries.order {
--- a/gate/step_test.go
+++ b/gate/step_test.go
@@ -42,7 +42,7 @@
 		w.now = w.now.Add(time.Millisecond)
 		next := id(fmt.Sprint("new-", i), 1)
 		work := works[i%len(works)]
-		w.gate.Step(w.now, Received{entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{
+		w.gate.Step(w.now, MessageReceived{entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{
 			Reserve: &wire.Reserve{Attempt: next, Server: sampleServer, Work: work},
 		}}})
 		for _, action := range w.finish(offer) {
--- a/gate/throttle.go
+++ b/gate/throttle.go
@@ -15,7 +15,7 @@
 	if !g.throttle.Hear(o) {
 		return
 	}
-	g.emit(Advised{
+	g.emit(ThrottleChanged{
 		Rate:        g.throttle.Rate(),
 		Until:       g.throttle.Until(),
 		Expects:     g.throttle.Expects(),
--- a/gate/throttle_test.go
+++ b/gate/throttle_test.go
@@ -15,7 +15,7 @@
 
 // hearRate lets an answer name a rate.
 func (b *bench) hearRate(perSecond float64) []Action {
-	return b.step(Heard{backpressure.Observation{
+	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Rate: backpressure.Rate{Limited: true, PerSecond: perSecond}},
 		Route:  backpressure.RouteRun, Asked: b.now, Heard: b.now,
 	}})
@@ -23,7 +23,7 @@
 
 // hearNoRate lets an answer to a call of this moment name none.
 func (b *bench) hearNoRate() []Action {
-	return b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
+	return b.step(ServerObserved{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
 }
 
 // busyServer is a gate that entries reserve at all the time; its runs end after a while.
@@ -102,7 +102,7 @@
 		b.reserve(entryA, id(fmt.Sprint("r", i), 1), work())
 	}
 	require.Len(t, offeredIDs(b.actions), 3)
-	require.Len(t, of[Advised](b.hearRate(1)), 1)
+	require.Len(t, of[ThrottleChanged](b.hearRate(1)), 1)
 	require.Empty(t, b.gate.held)
 	for i := range 3 {
 		over := refusedWith(t, b.dispatchOffered(entryA, id(fmt.Sprint("r", i), 1), work()), result.ServerRateLimited)
@@ -148,7 +148,7 @@
 
 func TestSendersShareARate(t *testing.T) {
 	s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
-	s.step(Senders{Count: 4})
+	s.step(SendersChanged{Count: 4})
 	s.hearRate(8)
 	s.run(20 * time.Second)
 	require.LessOrEqual(t, backpressure.MostWithin(s.started, 4*time.Second), 9)
@@ -184,8 +184,8 @@
 		s.next++
 		s.take(s.dispatch(entryB, id(fmt.Sprint("straight", s.next), 1), firstTierWork()))
 	case 3:
-		s.step(EntryDown{Entry: entryB})
-		s.step(EntryUp{Entry: entryB})
+		s.step(EntryDisconnected{Entry: entryB})
+		s.step(EntryConnected{Entry: entryB})
 	case 4:
 		for _, attempt := range s.offered {
 			s.take(s.receive(entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Decline{
@@ -194,16 +194,16 @@
 		}
 		s.offered = nil
 	case 5:
-		s.step(Senders{Count: rapid.IntRange(1, 3).Draw(rt, "senders")})
+		s.step(SendersChanged{Count: rapid.IntRange(1, 3).Draw(rt, "senders")})
 	case 6:
-		s.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Refused: true, Asked: s.now, Heard: s.now}})
+		s.step(ServerObserved{backpressure.Observation{Route: backpressure.RouteRun, Refused: true, Asked: s.now, Heard: s.now}})
 	default:
 	}
 }
 
 // hearBackoff lets a refusal ask to keep away.
 func (b *bench) hearBackoff(backoff time.Duration) []Action {
-	return b.step(Heard{backpressure.Observation{
+	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Backoff: backoff},
 		Route:  backpressure.RouteRun, Refused: true, Asked: b.now, Heard: b.now,
 	}})
@@ -247,6 +247,6 @@
 	}
 	require.Len(t, offeredIDs(b.actions), 1)
 	b.dispatchOffered(entryA, id("r0", 1), work())
-	b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
+	b.step(ServerObserved{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
 	require.Len(t, offeredIDs(b.actions), 4)
 }
--- a/gate/tombstones_test.go
+++ b/gate/tombstones_test.go
@@ -68,7 +68,7 @@
 func TestTombstonesEndOnlyWhenNoDispatchCanBeUnderWay(t *testing.T) {
 	b := openBench(t)
 	b.cancelAttempt(entryA, id("r", 1), retryCause)
-	b.pass(DefaultTombstoneLife - time.Second)
+	b.pass(DefaultTombstoneLifetime - time.Second)
 	require.Equal(t, 1, b.gate.Status().Records)
 	b.pass(2 * time.Second)
 	require.Zero(t, b.gate.Status().Records)
@@ -114,14 +114,14 @@
 	// Cause: ended incarnations were forgotten with their tombstones.
 	b := openBench(t)
 	b.step(EntryEnded{Entry: EntryID{Name: entryA.Name, Incarnation: 5}})
-	b.step(EntryDown{Entry: entryA})
-	b.pass(DefaultTombstoneLife + forgetEntryAfter)
-	b.step(EntryUp{Entry: entryA})
+	b.step(EntryDisconnected{Entry: entryA})
+	b.pass(DefaultTombstoneLifetime + forgetEntryAfter)
+	b.step(EntryConnected{Entry: entryA})
 	refusedWith(t, b.dispatch(entryA, id("r", 1), work()), result.LeaseExpired)
 	refusedWith(t, b.reserve(entryA, id("s", 1), work()), result.LeaseExpired)
 	onlyOver(t, b.cancelAttempt(entryA, id("q", 1), retryCause), entryA, unprovenProof)
 	next := EntryID{Name: entryA.Name, Incarnation: 6}
-	b.step(EntryUp{Entry: next})
+	b.step(EntryConnected{Entry: next})
 	require.Len(t, of[StartEngine](b.dispatch(next, id("n", 1), work())), 1)
 }
 
@@ -160,7 +160,7 @@
 	b := openBench(t)
 	b.dispatchOf(entryA, &wire.Dispatch{Attempt: id("r", 1), Work: work(), IdempotencyKey: "key"})
 	b.finish(id("r", 1))
-	b.pass(DefaultTombstoneLife + 2*time.Minute)
+	b.pass(DefaultTombstoneLifetime + 2*time.Minute)
 	require.Zero(t, b.gate.Status().Records)
 	onlyOver(t, b.cancelAttempt(entryB, id("r", 65535), takeoverCause), entryB, cancelledProof)
 	onlyOver(t, b.cancelAttempt(entryB, id("other", 1), takeoverCause), entryB, neverStartedProof)
@@ -171,7 +171,7 @@
 	// Sequence: it asks twice, just before and just after the incarnation is old enough to be sure.
 	// Cause: the second answer looked at the age alone, though the record was made when nothing was sure.
 	b := openBenchWith(t, Config{}, sampleRecord(1))
-	b.now = b.now.Add(DefaultRequestLife - time.Second)
+	b.now = b.now.Add(DefaultRequestLifetime - time.Second)
 	b.step(Announced{Server: sampleRecord(1)})
 	b.receive(entryA, heartbeat())
 	onlyOver(t, b.cancelAttempt(entryA, id("r", 1), retryCause), entryA, cancelledProof)
@@ -207,9 +207,9 @@
 	}{
 		"young":                 {retryCause, 0, false, cancelledProof},
 		"no predecessor":        {retryCause, 0, true, neverStartedProof},
-		"old":                   {retryCause, DefaultRequestLife, false, neverStartedProof},
-		"old, takeover":         {takeoverCause, DefaultRequestLife, false, cancelledProof},
-		"older than operations": {takeoverCause, DefaultOperationLife, false, neverStartedProof},
+		"old":                   {retryCause, DefaultRequestLifetime, false, neverStartedProof},
+		"old, takeover":         {takeoverCause, DefaultRequestLifetime, false, cancelledProof},
+		"older than operations": {takeoverCause, DefaultOperationLifetime, false, neverStartedProof},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -233,7 +233,7 @@
 	b.finish(id("r", 1))
 	last := b.gate.records.get("r").last
 	require.Empty(t, last.dispatch.Body)
-	b.pass(DefaultKeepOver + time.Second)
+	b.pass(DefaultOverRetention + time.Second)
 	require.Empty(t, last.frames.kept)
 	require.Empty(t, b.gate.kept)
 }
--- a/gate/types.go
+++ b/gate/types.go
@@ -40,17 +40,17 @@
 	// Tick lets time pass: leases, probes and estimates are looked at. The agent sends one when NextTick says so.
 	Tick struct{}
 
-	// EntryUp says that an entry's link pair is open.
-	EntryUp struct{ Entry EntryID }
+	// EntryConnected says that an entry's link pair is open.
+	EntryConnected struct{ Entry EntryID }
 
-	// EntryDown says that an entry's link was lost. Its leases run on until they expire.
-	EntryDown struct{ Entry EntryID }
+	// EntryDisconnected says that an entry's link was lost. Its leases run on until they expire.
+	EntryDisconnected struct{ Entry EntryID }
 
 	// EntryEnded says that control committed the end of an entry incarnation.
 	EntryEnded struct{ Entry EntryID }
 
-	// Received carries a message of an entry. A Dispatch is passed on only once its body is whole and its digest holds.
-	Received struct {
+	// MessageReceived carries a message of an entry. A Dispatch is passed on only once its body is whole and its digest holds.
+	MessageReceived struct {
 		Entry   EntryID
 		Message *wire.EntryMessage
 	}
@@ -102,14 +102,14 @@
 		Err     error
 	}
 
-	// Verified answers a VerifyServer: Ended says that nothing listens at the server's address any more.
-	Verified struct{ Ended bool }
+	// ServerVerified answers a VerifyServer: Ended says that nothing listens at the server's address any more.
+	ServerVerified struct{ Ended bool }
 
-	// Heard carries what an answer of the server said of the work that it takes.
-	Heard struct{ Observation backpressure.Observation }
+	// ServerObserved carries what an answer of the server said of the work that it takes.
+	ServerObserved struct{ Observation backpressure.Observation }
 
-	// Senders says how many agents send to the server, this one included; they share its rate limit.
-	Senders struct{ Count int }
+	// SendersChanged says how many agents send to the server, this one included; they share its rate limit.
+	SendersChanged struct{ Count int }
 
 	// EngineLoad carries a load report, as old as Age.
 	EngineLoad struct {
@@ -118,22 +118,22 @@
 	}
 )
 
-func (Tick) gateEvent()            {}
-func (EntryUp) gateEvent()         {}
-func (EntryDown) gateEvent()       {}
-func (EntryEnded) gateEvent()      {}
-func (Received) gateEvent()        {}
-func (Announced) gateEvent()       {}
-func (Leaving) gateEvent()         {}
-func (Probed) gateEvent()          {}
-func (EngineListed) gateEvent()    {}
-func (EngineProgress) gateEvent()  {}
-func (EngineEnded) gateEvent()     {}
-func (EngineCancelled) gateEvent() {}
-func (EngineLoad) gateEvent()      {}
-func (Heard) gateEvent()           {}
-func (Senders) gateEvent()         {}
-func (Verified) gateEvent()        {}
+func (Tick) gateEvent()              {}
+func (EntryConnected) gateEvent()    {}
+func (EntryDisconnected) gateEvent() {}
+func (EntryEnded) gateEvent()        {}
+func (MessageReceived) gateEvent()   {}
+func (Announced) gateEvent()         {}
+func (Leaving) gateEvent()           {}
+func (Probed) gateEvent()            {}
+func (EngineListed) gateEvent()      {}
+func (EngineProgress) gateEvent()    {}
+func (EngineEnded) gateEvent()       {}
+func (EngineCancelled) gateEvent()   {}
+func (EngineLoad) gateEvent()        {}
+func (ServerObserved) gateEvent()    {}
+func (SendersChanged) gateEvent()    {}
+func (ServerVerified) gateEvent()    {}
 
 // Action is something the agent has to do, in the order given.
 type Action interface{ gateAction() }
@@ -170,19 +170,19 @@
 	Crashed struct {
 		Crash *wire.Crash
 		Runs  []Run
-		// Again: the same end was told before, with other attempts.
-		Again bool
+		// Repeated: the same end was told before, with other attempts.
+		Repeated bool
 	}
 
-	// Report proposes the outcome of a keyed attempt to control because its entry is gone.
-	Report struct{ Complete *wire.CompleteOperation }
+	// ReportOutcome proposes the outcome of a keyed attempt to control because its entry is gone.
+	ReportOutcome struct{ Complete *wire.CompleteOperation }
 
-	// Changed says that the server's record must go to control's directory (condition, models, slots).
-	Changed struct{ Server *wire.ServerRecord }
+	// ServerChanged says that the server's record must go to control's directory (condition, models, slots).
+	ServerChanged struct{ Server *wire.ServerRecord }
 
-	// Advised says that an answer changed what the gate believes of the server: Rate is the limit from now on, Until the end of the
+	// ThrottleChanged says that an answer changed what the gate believes of the server: Rate is the limit from now on, Until the end of the
 	// time to keep away, and Expects whether answers that say nothing matter.
-	Advised struct {
+	ThrottleChanged struct {
 		Rate        backpressure.Rate
 		Until       time.Time
 		Expects     bool
@@ -208,18 +208,18 @@
 	}
 )
 
-func (Send) gateAction()         {}
-func (Broadcast) gateAction()    {}
-func (StartEngine) gateAction()  {}
-func (CancelEngine) gateAction() {}
-func (ListEngine) gateAction()   {}
-func (VerifyServer) gateAction() {}
-func (Crashed) gateAction()      {}
-func (Report) gateAction()       {}
-func (Changed) gateAction()      {}
-func (Advised) gateAction()      {}
-func (Throttled) gateAction()    {}
-func (Count) gateAction()        {}
+func (Send) gateAction()            {}
+func (Broadcast) gateAction()       {}
+func (StartEngine) gateAction()     {}
+func (CancelEngine) gateAction()    {}
+func (ListEngine) gateAction()      {}
+func (VerifyServer) gateAction()    {}
+func (Crashed) gateAction()         {}
+func (ReportOutcome) gateAction()   {}
+func (ServerChanged) gateAction()   {}
+func (ThrottleChanged) gateAction() {}
+func (Throttled) gateAction()       {}
+func (Count) gateAction()           {}
 
 // Run is a request that a server ran when it crashed.
 type Run struct {
