--- a/agent/server_advice.go
+++ b/agent/server_advice.go
@@ -27,7 +27,7 @@
 	words, throttles lineBound
 
 	limit     backpressure.Rate // that the gate goes by
-	directory backpressure.Directory
+	directory backpressure.DirectorySync
 }
 
 // observe has the gate duty hear what the client's answers say of the server.
@@ -37,7 +37,7 @@
 		return
 	}
 	observable.Observe(func(o backpressure.Observation) {
-		if o.IsSilent() && !s.advised.expects.Load() {
+		if o.IsEmpty() && !s.advised.expects.Load() {
 			return
 		}
 		_ = s.push(ctx, observed{client: client, observation: o})
@@ -57,7 +57,7 @@
 	s.noteMalformed(now, in.observation)
 	s.step(now, gate.Heard{Observation: in.observation})
 	s.noteLeaving(now, in.observation)
-	s.advised.directory.Heard(s.recordable(in.observation), s.advised.limit)
+	s.advised.directory.Observe(s.recordable(in.observation), s.advised.limit)
 	s.shareAdvice(now)
 }
 
@@ -88,7 +88,7 @@
 
 // learnAdvice goes by what another sender heard of the server, or an earlier process beside it.
 func (s *server) learnAdvice(now time.Time, record *wire.ServerAdvice) {
-	word, isNews := s.advised.directory.Learn(now, backpressure.Record{
+	word, isNews := s.advised.directory.ApplyRecord(now, backpressure.Record{
 		Rate:     backpressure.Rate{Limited: record.GetRateLimited(), PerSecond: record.GetRatePerS()},
 		Draining: record.GetDraining(),
 		Version:  record.GetVersion(),
@@ -101,7 +101,7 @@
 
 // shareAdvice has control record what the server asks where that isn't known there. What isn't committed is proposed again.
 func (s *server) shareAdvice(now time.Time) {
-	record, isDue := s.advised.directory.Propose(now)
+	record, isDue := s.advised.directory.NextProposal(now)
 	if !isDue {
 		return
 	}
@@ -124,7 +124,7 @@
 type adviceShared struct{ err error }
 
 func (in adviceShared) apply(s *server, _ time.Time) {
-	s.advised.directory.Proposed()
+	s.advised.directory.ProposalEnded()
 	if in.err != nil {
 		s.meter.retried(retryAdvice)
 		s.log.WithError(in.err).Warn("server_advice_not_committed")
@@ -145,7 +145,7 @@
 		WithField("route", string(o.Route)).
 		WithField("request", o.Request).
 		WithField("refused", o.Refused).
-		WithField("age_ms", now.Sub(o.Heard).Milliseconds()).
+		WithField("age_ms", now.Sub(o.ReceivedAt).Milliseconds()).
 		WithField("skipped", s.advised.words.takeSkipped()).
 		Info("server_advice")
 }
--- a/agent/server_advice_test.go
+++ b/agent/server_advice_test.go
@@ -69,7 +69,7 @@
 		entry.dispatch(completion("first", 1))
 		entry.awaitOver("first", 1)
 		got := flood(model, entry, "r", 20*time.Second)
-		require.LessOrEqual(t, backpressure.MostWithin(got, window), int(perSecond*window.Seconds())+1)
+		require.LessOrEqual(t, backpressure.MaxInWindow(got, window), int(perSecond*window.Seconds())+1)
 		require.GreaterOrEqual(t, float64(len(got)), 0.9*perSecond*20, "the limit is used")
 	})
 }
@@ -147,7 +147,7 @@
 		entry.dispatch(completion("first", 1))
 		entry.awaitOver("first", 1)
 		times := flood(model, entry, "r", 20*time.Second)
-		require.LessOrEqual(t, backpressure.MostWithin(times, 4*time.Second), 9)
+		require.LessOrEqual(t, backpressure.MaxInWindow(times, 4*time.Second), 9)
 		require.GreaterOrEqual(t, len(times), 36)
 	})
 }
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -71,7 +71,7 @@
 	fingerprints := make([]string, 0, len(a.Runs))
 	for _, run := range a.Runs {
 		key := poison.Key{Organisation: run.Organisation, Fingerprint: run.Fingerprint}
-		note.Ran = append(note.Ran, key.Record())
+		note.Ran = append(note.Ran, key.NewRecord())
 		requests = append(requests, run.Request)
 		fingerprints = append(fingerprints, key.String())
 	}
--- a/backpressure/advice.go
+++ b/backpressure/advice.go
@@ -38,15 +38,15 @@
 // Observation is one answer of a server, as far as it speaks of the server.
 type Observation struct {
 	Advice
-	Malformed []Malformed
+	Malformed []MalformedHeader
 	Route     Route
 	// Request is the attempt that was answered, empty for a call without one.
 	Request string
-	// Asked is when the call was sent, Heard when the head of its answer arrived.
-	Asked, Heard time.Time
+	// SentAt is when the call was sent, ReceivedAt when the head of its answer arrived.
+	SentAt, ReceivedAt time.Time
 	// Refused: the server says that the call didn't run. Mismatched: the answer is to another call on the connection.
 	Refused, Mismatched bool
 }
 
-// IsSilent tells whether the answer said nothing, not even something that can't be read.
-func (o Observation) IsSilent() bool { return o.Advice.IsZero() && len(o.Malformed) == 0 }
+// IsEmpty tells whether the answer said nothing, not even something that can't be read.
+func (o Observation) IsEmpty() bool { return o.Advice.IsZero() && len(o.Malformed) == 0 }
--- a/backpressure/backoff.go
+++ b/backpressure/backoff.go
@@ -24,7 +24,7 @@
 	if o.Backoff > 0 {
 		return b.ask(o)
 	}
-	isAnswer := o.Route == RouteRun && !o.Mismatched && !o.Asked.Before(b.until)
+	isAnswer := o.Route == RouteRun && !o.Mismatched && !o.SentAt.Before(b.until)
 	if b.most == 0 || !isAnswer {
 		return false
 	}
@@ -34,7 +34,7 @@
 
 // ask begins a time to keep away. A shorter time that overlaps a longer one ends none of it.
 func (b *backoff) ask(o Observation) bool {
-	until := o.Heard.Add(o.Backoff)
+	until := o.ReceivedAt.Add(o.Backoff)
 	if !until.After(b.until) {
 		return false
 	}
--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -18,13 +18,13 @@
 // BenchmarkLimitedSend is what a send costs at a server with a rate limit.
 func BenchmarkLimitedSend(b *testing.B) {
 	var l Limiter
-	l.Hear(named(start, 1000))
+	l.Observe(named(start, 1000))
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(2 * time.Millisecond)
-		l.Ready(now)
+		l.Available(now)
 		l.Take(now)
-		l.Sent(now)
+		l.RecordSend(now)
 	}
 }
--- a/backpressure/directory.go
+++ b/backpressure/directory.go
@@ -18,9 +18,9 @@
 // says tells whether two records hold the same, whatever their versions.
 func (r Record) says(other Record) bool { return r.Rate == other.Rate && r.Draining == other.Draining }
 
-// Directory joins what a sender hears of a server with what the directory has of it, so that senders know of each other's words and a
+// DirectorySync joins what a sender hears of a server with what the directory has of it, so that senders know of each other's words and a
 // successor knows its predecessor's. It isn't safe for concurrent use.
-type Directory struct {
+type DirectorySync struct {
 	record    Record
 	own       Record // what answers to this sender said last; that it leaves is never taken back
 	isNews    bool   // own was heard after the record was
@@ -28,9 +28,9 @@
 	next      time.Time // of the next proposal
 }
 
-// Heard takes an answer to this sender; limit is what the sender goes by after it. An answer that neither names a rate nor ended one
+// Observe takes an answer to this sender; limit is what the sender goes by after it. An answer that neither names a rate nor ended one
 // says nothing.
-func (d *Directory) Heard(o Observation, limit Rate) {
+func (d *DirectorySync) Observe(o Observation, limit Rate) {
 	if o.Rate.Limited || !limit.Limited {
 		d.own.Rate, d.isNews = o.Rate, true
 	}
@@ -39,9 +39,9 @@
 	}
 }
 
-// Learn takes the directory's record, and returns the word that it stands for. That the directory has nothing any more is no word:
+// ApplyRecord takes the directory's record, and returns the word that it stands for. That the directory has nothing any more is no word:
 // this sender's own answers show whether a rate has ended.
-func (d *Directory) Learn(now time.Time, record Record) (word Observation, isNews bool) {
+func (d *DirectorySync) ApplyRecord(now time.Time, record Record) (word Observation, isNews bool) {
 	if record.Version == d.record.Version {
 		return Observation{}, false
 	}
@@ -52,13 +52,13 @@
 	d.own.Draining = d.own.Draining || record.Draining
 	return Observation{
 		Advice: Advice{Rate: record.Rate, Draining: record.Draining},
-		Route:  RouteDirectory, Asked: now, Heard: now,
+		Route:  RouteDirectory, SentAt: now, ReceivedAt: now,
 	}, true
 }
 
-// Propose returns what the directory should have, if it has something else. Proposed follows for each. The directory is to
+// NextProposal returns what the directory should have, if it has something else. Proposed follows for each. The directory is to
 // keep a record whose version is later.
-func (d *Directory) Propose(now time.Time) (Record, bool) {
+func (d *DirectorySync) NextProposal(now time.Time) (Record, bool) {
 	if !d.isNews || d.proposing || d.own.says(d.record) || now.Before(d.next) {
 		return Record{}, false
 	}
@@ -67,5 +67,5 @@
 	return Record{Rate: d.own.Rate, Draining: d.own.Draining, Version: d.record.Version}, true
 }
 
-// Proposed says that a proposal has ended, whatever became of it.
-func (d *Directory) Proposed() { d.proposing = false }
+// ProposalEnded says that a proposal has ended, whatever became of it.
+func (d *DirectorySync) ProposalEnded() { d.proposing = false }
--- a/backpressure/fleet_test.go
+++ b/backpressure/fleet_test.go
@@ -20,7 +20,7 @@
 // fleetSender is one sender of a simulated fleet: the product's own limiter and directory logic.
 type fleetSender struct {
 	limiter   Limiter
-	directory Directory
+	directory DirectorySync
 	frozen    time.Time // until when nothing happens
 	cut       time.Time // until when it hears nothing of the directory
 	told      time.Time // when it passed on the first answer that named a rate, zero before
@@ -66,9 +66,9 @@
 // newSender starts a sender, which knows what the directory has.
 func (f *fleet) newSender() *fleetSender {
 	s := &fleetSender{eager: true}
-	s.limiter.Share(f.now, max(len(f.senders), 1))
-	if word, isNews := s.directory.Learn(f.now, f.record); isNews {
-		s.limiter.Hear(word)
+	s.limiter.SetSenders(f.now, max(len(f.senders), 1))
+	if word, isNews := s.directory.ApplyRecord(f.now, f.record); isNews {
+		s.limiter.Observe(word)
 	}
 	return s
 }
@@ -106,23 +106,23 @@
 	if f.now.Before(s.frozen) {
 		return
 	}
-	for range min(s.limiter.Ready(f.now), 2) {
+	for range min(s.limiter.Available(f.now), 2) {
 		if s.eager {
 			s.limiter.Take(f.now)
-			s.limiter.Sent(f.now)
+			s.limiter.RecordSend(f.now)
 			f.send(s)
 		}
 	}
-	record, isDue := s.directory.Propose(f.now)
+	record, isDue := s.directory.NextProposal(f.now)
 	if !isDue {
 		return
 	}
 	if f.now.Before(s.cut) {
-		s.directory.Proposed()
+		s.directory.ProposalEnded()
 		return
 	}
 	f.after(time.Millisecond, 60*time.Millisecond, "commit", func(time.Time) {
-		s.directory.Proposed()
+		s.directory.ProposalEnded()
 		f.commit(record)
 	})
 }
@@ -135,9 +135,9 @@
 		if s.told.IsZero() && rate.Limited {
 			s.told = now
 		}
-		o := Observation{Advice: Advice{Rate: rate}, Route: RouteRun, Asked: asked, Heard: now}
-		s.limiter.Hear(o)
-		s.directory.Heard(o, s.limiter.Rate())
+		o := Observation{Advice: Advice{Rate: rate}, Route: RouteRun, SentAt: asked, ReceivedAt: now}
+		s.limiter.Observe(o)
+		s.directory.Observe(o, s.limiter.Rate())
 	})
 }
 
@@ -157,8 +157,8 @@
 			if now.Before(s.cut) {
 				return
 			}
-			if word, isNews := s.directory.Learn(now, committed); isNews {
-				s.limiter.Hear(word)
+			if word, isNews := s.directory.ApplyRecord(now, committed); isNews {
+				s.limiter.Observe(word)
 			}
 		})
 	}
@@ -206,7 +206,7 @@
 		}
 	}
 	allowed := rates*(ruleWindow+catchUp).Seconds() + float64(len(f.senders))
-	if got := MostWithin(counted, ruleWindow); float64(got) > allowed {
+	if got := MaxInWindow(counted, ruleWindow); float64(got) > allowed {
 		f.t.Fatalf("%d requests in %s at %g a second from %d senders", got, ruleWindow, rates, len(f.senders))
 	}
 }
@@ -217,7 +217,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(1, 6).Draw(t, "senders"))
 		for _, s := range f.senders {
-			s.limiter.Share(f.now, len(f.senders))
+			s.limiter.SetSenders(f.now, len(f.senders))
 		}
 		highest := rapid.Float64Range(0.3, 12).Draw(t, "highest")
 		f.pass(time.Second)
@@ -254,6 +254,6 @@
 		f.pass(2 * time.Second)
 		s := f.newSender()
 		require.Equal(t, 2.0, s.limiter.Rate().PerSecond)
-		require.Zero(t, s.limiter.Ready(f.now))
+		require.Zero(t, s.limiter.Available(f.now))
 	})
 }
--- a/backpressure/limiter.go
+++ b/backpressure/limiter.go
@@ -47,11 +47,11 @@
 // trials only.
 func NewLimiter() Limiter { return Limiter{backoff: backoff{most: firstTrials}} }
 
-// Until is the end of the time that the server asked to keep away for last.
-func (l *Limiter) Until() time.Time { return l.backoff.until }
+// BackoffUntil is the end of the time that the server asked to keep away for last.
+func (l *Limiter) BackoffUntil() time.Time { return l.backoff.until }
 
-// Expects tells whether answers that say nothing matter.
-func (l *Limiter) Expects() bool { return l.rate.Limited || l.backoff.most > 0 }
+// IsActive tells whether answers that say nothing matter.
+func (l *Limiter) IsActive() bool { return l.rate.Limited || l.backoff.most > 0 }
 
 // Reason is what keeps a sender from a server.
 type Reason string
@@ -78,8 +78,8 @@
 	}
 }
 
-// Hear takes what an answer said, and tells whether that changed anything.
-func (l *Limiter) Hear(o Observation) bool {
+// Observe takes what an answer said, and tells whether that changed anything.
+func (l *Limiter) Observe(o Observation) bool {
 	isBackoff, isRate := l.backoff.hear(o), l.hearRate(o)
 	return isBackoff || isRate
 }
@@ -100,31 +100,31 @@
 // name takes a rate that an answer names.
 func (l *Limiter) name(o Observation) bool {
 	known := l.rate
-	if known.Limited && o.Heard.Before(l.heard) {
+	if known.Limited && o.ReceivedAt.Before(l.heard) {
 		return false
 	}
 	l.byReport = l.byReport || o.Route == RouteReport
-	l.heard = o.Heard
+	l.heard = o.ReceivedAt
 	if o.Rate == known {
 		return false
 	}
 	before := l.interval()
 	l.rate = o.Rate
-	l.reschedule(o.Heard, before)
+	l.reschedule(o.ReceivedAt, before)
 	return true
 }
 
 // ends tells whether an answer that names no rate shows that there is none any more. An answer to a call that was sent before
 // the rate was named, or one that the server refused without running it, doesn't.
 func (l *Limiter) ends(o Observation) bool {
-	if !l.rate.Limited || o.Refused || o.Mismatched || len(o.Malformed) > 0 || o.Asked.Before(l.heard) {
+	if !l.rate.Limited || o.Refused || o.Mismatched || len(o.Malformed) > 0 || o.SentAt.Before(l.heard) {
 		return false
 	}
 	return o.Route == RouteRun || o.Route == RouteReport && l.byReport
 }
 
-// Share has the rate shared by so many senders, and tells whether that is a change.
-func (l *Limiter) Share(now time.Time, senders int) bool {
+// SetSenders has the rate shared by so many senders, and tells whether that is a change.
+func (l *Limiter) SetSenders(now time.Time, senders int) bool {
 	senders = max(senders, 1)
 	if senders == max(l.senders, 1) {
 		return false
@@ -159,8 +159,8 @@
 	return interval
 }
 
-// Ready is how many sends may be made now.
-func (l *Limiter) Ready(now time.Time) int { return min(l.backoff.ready(now), l.rateReady(now)) }
+// Available is how many sends may be made now.
+func (l *Limiter) Available(now time.Time) int { return min(l.backoff.ready(now), l.rateReady(now)) }
 
 // rateReady is how many sends the rate allows now.
 func (l *Limiter) rateReady(now time.Time) int {
@@ -207,17 +207,17 @@
 	return Permit{l.schedule}
 }
 
-// GiveBack returns a send that was counted and isn't made. One of an earlier schedule isn't in the present one.
-func (l *Limiter) GiveBack(p Permit) {
+// Refund returns a send that was counted and isn't made. One of an earlier schedule isn't in the present one.
+func (l *Limiter) Refund(p Permit) {
 	l.backoff.giveBack()
 	if p == (Permit{l.schedule}) {
 		l.next = l.next.Add(-l.interval())
 	}
 }
 
-// Sent notes that a send that was counted before has left now: the one after it may follow it as soon as if it had left when it
+// RecordSend notes that a send that was counted before has left now: the one after it may follow it as soon as if it had left when it
 // was due, but not sooner.
-func (l *Limiter) Sent(now time.Time) {
+func (l *Limiter) RecordSend(now time.Time) {
 	interval := l.interval()
 	if interval == 0 {
 		return
--- a/backpressure/parse.go
+++ b/backpressure/parse.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Names are the header fields of a protocol.
-type Names struct {
+// HeaderNames are the header fields of a protocol.
+type HeaderNames struct {
 	// RateLimit holds requests a second, a decimal number.
 	RateLimit string
 	// Backoff holds seconds, a decimal number, or a date. It counts in refusals only: status 429 and 503.
@@ -20,8 +20,8 @@
 	Draining string
 }
 
-// Malformed is a header field whose value has no meaning. It changes nothing.
-type Malformed struct {
+// MalformedHeader is a header field whose value has no meaning. It changes nothing.
+type MalformedHeader struct {
 	Name, Value string
 	Err         error
 }
@@ -30,7 +30,7 @@
 const maxShown = 64
 
 // Read gives what the head of an answer says that came now. Of several values of a field the one that asks most counts.
-func (n Names) Read(status int, header http.Header, now time.Time) (Advice, []Malformed) {
+func (n HeaderNames) Read(status int, header http.Header, now time.Time) (Advice, []MalformedHeader) {
 	var advice Advice
 	malformed := each(header, n.RateLimit, func(value string) error {
 		rate, err := ParseRate(value)
@@ -55,8 +55,8 @@
 }
 
 // each reads all values of a field, and returns those that can't be read.
-func each(header http.Header, name string, read func(value string) error) []Malformed {
-	var malformed []Malformed
+func each(header http.Header, name string, read func(value string) error) []MalformedHeader {
+	var malformed []MalformedHeader
 	for _, value := range header.Values(name) {
 		if err := read(value); err != nil {
 			malformed = append(malformed, newMalformed(name, value, err))
@@ -73,8 +73,8 @@
 	return now
 }
 
-func newMalformed(name, value string, err error) Malformed {
-	return Malformed{Name: name, Value: value[:min(len(value), maxShown)], Err: err}
+func newMalformed(name, value string, err error) MalformedHeader {
+	return MalformedHeader{Name: name, Value: value[:min(len(value), maxShown)], Err: err}
 }
 
 // stricter joins two values of one answer.
--- a/backpressure/parse_test.go
+++ b/backpressure/parse_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testNames = Names{RateLimit: "Rate-Limit", Backoff: "Retry-After", Draining: "Draining"}
+var testNames = HeaderNames{RateLimit: "Rate-Limit", Backoff: "Retry-After", Draining: "Draining"}
 
 func TestRates(t *testing.T) {
 	for _, c := range []struct {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -170,11 +170,11 @@
 			}
 			return true
 		}
-		for i := range poison.QuarantinedAt {
+		for i := range poison.QuarantineThreshold {
 			_, err := f.sessions[fmt.Sprint("agent-", i)].Propose(t.Context(), &wire.Command{Kind: &wire.Command_NoteCrash{
 				NoteCrash: &wire.NoteCrash{
 					Crash: &wire.Crash{Id: fmt.Sprint(i), Server: fmt.Sprint("server-", i), Alone: true},
-					Ran:   []*wire.PoisonRecord{key.Record()},
+					Ran:   []*wire.PoisonRecord{key.NewRecord()},
 				},
 			}})
 			require.NoError(t, err)
@@ -187,7 +187,7 @@
 		require.Len(t, shown, 1, "operators see it")
 		require.Equal(t, "quarantined", shown[0].Standing)
 		require.Equal(t, key.Fingerprint.String(), shown[0].Fingerprint)
-		require.Len(t, shown[0].Servers, poison.QuarantinedAt)
+		require.Len(t, shown[0].Servers, poison.QuarantineThreshold)
 		require.Positive(t, shown[0].LeftMS)
 
 		f.stop(f.leader())
--- a/control/http_poison.go
+++ b/control/http_poison.go
@@ -23,7 +23,7 @@
 			Organisation: record.GetOrganisation(),
 			Fingerprint:  poison.Fingerprint(record.GetFingerprint()).String(),
 			Standing:     poison.StandingOf(record).String(),
-			Servers:      poison.Servers(record),
+			Servers:      poison.CrashedServers(record),
 			LeftMS:       max(int64(record.GetUntilUnixMs())-now.UnixMilli(), 0),
 		})
 	}
--- a/control/session.go
+++ b/control/session.go
@@ -106,7 +106,7 @@
 func (s *session) poll(poll *wire.Poll) {
 	s.control.sessions.heard(s, poll)
 	s.report(poll.GetReport())
-	caps := s.control.usage.Take(s.usageKey(), poll, time.Now())
+	caps := s.control.usage.Record(s.usageKey(), poll, time.Now())
 	var answered atomic.Bool
 	answer := func(confirmed bool) {
 		if answered.CompareAndSwap(false, true) {
--- a/control/usage.go
+++ b/control/usage.go
@@ -36,7 +36,7 @@
 func (c *Control) runReleases(ctx context.Context) error {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
-	var releases *quota.Releases
+	var releases *quota.Releaser
 	var term uint64
 	for {
 		select {
@@ -49,14 +49,14 @@
 				continue
 			}
 			if releases == nil || status.Term != term {
-				releases, term = quota.NewReleases(c.usage), status.Term
+				releases, term = quota.NewReleaser(c.usage), status.Term
 			}
 			c.release(ctx, releases, now)
 		}
 	}
 }
 
-func (c *Control) release(ctx context.Context, releases *quota.Releases, now time.Time) {
+func (c *Control) release(ctx context.Context, releases *quota.Releaser, now time.Time) {
 	var ended []*wire.HeldShares
 	c.machine.read(func(s *state.State) { ended = s.EndedShares() })
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
--- a/control/usagefile_test.go
+++ b/control/usagefile_test.go
@@ -44,8 +44,8 @@
 			disk := journaltest.New()
 			before, e := usageTable()
 			now := time.Unix(1_700_000_000, 0)
-			before.Take(e[0], usagePoll(400), now)
-			before.Take(e[1], usagePoll(400), now)
+			before.Record(e[0], usagePoll(400), now)
+			before.Record(e[1], usagePoll(400), now)
 			require.NoError(t, usageFileOn(disk).save(before, now))
 			stop(disk)
 
@@ -53,10 +53,10 @@
 			after, _ := usageTable()
 			require.NoError(t, usageFileOn(disk).load(after, now))
 			next := quota.Incarnation{Instance: "e1", Number: 2}
-			require.EqualValues(t, 768-96, after.Take(next, usagePoll(0), now)[0].GetUsed(), "what has left the window is gone")
+			require.EqualValues(t, 768-96, after.Record(next, usagePoll(0), now)[0].GetUsed(), "what has left the window is gone")
 
 			// What dead entries held is freed as the saved words tell that their use leaves the window.
-			releases := quota.NewReleases(after)
+			releases := quota.NewReleaser(after)
 			dead := []*wire.HeldShares{{
 				Entry: "e1", Incarnation: 1, Ended: true, Replaced: true, WindowMs: 8000,
 				Shares: []*wire.Share{{Organisation: "org", Units: 450}},
@@ -67,10 +67,10 @@
 			require.EqualValues(t, 450-15*12, freed[0].GetShares()[0].GetUnits(), "16 steps, less the one at the death")
 
 			// An entry that lives on tells its use again, and it counts once.
-			after.Take(e[0], usagePoll(400), now)
-			after.Take(e[1], usagePoll(400), now)
-			require.EqualValues(t, 768, after.Take(next, usagePoll(0), now)[0].GetUsed())
-			require.Zero(t, after.Take(next, usagePoll(0), now.Add(8*time.Second))[0].GetUsed())
+			after.Record(e[0], usagePoll(400), now)
+			after.Record(e[1], usagePoll(400), now)
+			require.EqualValues(t, 768, after.Record(next, usagePoll(0), now)[0].GetUsed())
+			require.Zero(t, after.Record(next, usagePoll(0), now.Add(8*time.Second))[0].GetUsed())
 		})
 	}
 }
@@ -80,7 +80,7 @@
 	disk := journaltest.New()
 	u, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	u.Take(e[0], usagePoll(100), now)
+	u.Record(e[0], usagePoll(100), now)
 	steps := disk.Steps()
 	require.NoError(t, usageFileOn(disk).save(u, now))
 	require.Equal(t, steps, disk.Steps())
@@ -91,7 +91,7 @@
 func TestUnusableUsageFileStopsNothing(t *testing.T) {
 	u, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	u.Take(e[0], usagePoll(800), now)
+	u.Record(e[0], usagePoll(800), now)
 	full := journaltest.New()
 	full.Fault(func(string, string) error { return syscall.ENOSPC })
 	require.ErrorIs(t, usageFileOn(full).save(u, now), syscall.ENOSPC)
@@ -105,6 +105,6 @@
 	after, _ := usageTable()
 	for _, at := range []time.Duration{time.Hour, -time.Hour} {
 		require.NoError(t, usageFileOn(old).load(after, now.Add(at)))
-		require.Zero(t, after.Entries(), "a clock that was set tells no age")
+		require.Zero(t, after.Len(), "a clock that was set tells no age")
 	}
 }
--- a/engine/observe.go
+++ b/engine/observe.go
@@ -36,13 +36,13 @@
 	now := time.Now()
 	advice, malformed := backpressureNames.Read(response.StatusCode, response.Header, now)
 	h.Tell(backpressure.Observation{
-		Advice:    advice,
-		Malformed: malformed,
-		Route:     c.route(),
-		Request:   string(c.id),
-		Asked:     asked,
-		Heard:     now,
-		Refused:   response.StatusCode >= http.StatusBadRequest,
+		Advice:     advice,
+		Malformed:  malformed,
+		Route:      c.route(),
+		Request:    string(c.id),
+		SentAt:     asked,
+		ReceivedAt: now,
+		Refused:    response.StatusCode >= http.StatusBadRequest,
 	})
 }
 
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -16,7 +16,7 @@
 )
 
 // backpressureNames are the headers by which a server speaks of itself.
-var backpressureNames = backpressure.Names{RateLimit: HeaderRateLimit, Backoff: HeaderBackoff, Draining: HeaderDraining}
+var backpressureNames = backpressure.HeaderNames{RateLimit: HeaderRateLimit, Backoff: HeaderBackoff, Draining: HeaderDraining}
 
 // Content types of the protocol.
 const (
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -32,7 +32,7 @@
 	}
 	for name, record := range before {
 		if view.Poison[name] == nil {
-			e.logPoison(poison.KeyOf(record).Record())
+			e.logPoison(poison.KeyOf(record).NewRecord())
 		}
 	}
 	return e.tell(ctx, sched.Poisoned{Records: records})
@@ -43,7 +43,7 @@
 	e.log.WithField("organisation", record.GetOrganisation()).
 		WithField("fingerprint", poison.Fingerprint(record.GetFingerprint()).String()).
 		WithField("standing", poison.StandingOf(record).String()).
-		WithField("servers", strings.Join(poison.Servers(record), ",")).
+		WithField("servers", strings.Join(poison.CrashedServers(record), ",")).
 		WithField("version", record.GetVersion()).
 		Info("poison_changed")
 }
--- a/entry/routing.go
+++ b/entry/routing.go
@@ -63,7 +63,7 @@
 }
 
 func (r *routing) addMember(spec *wire.Member, caps *quota.Caps) {
-	m := &member{Member: spec, cap: caps.Of(spec)}
+	m := &member{Member: spec, cap: caps.Configure(spec)}
 	r.all = append(r.all, m)
 	for _, key := range spec.GetKeys() {
 		r.members[key] = m
--- a/entry/shares.go
+++ b/entry/shares.go
@@ -42,7 +42,7 @@
 
 // moveShares proposes the shares that should be held, if they differ from those that are.
 func (e *Entry) moveShares(ctx context.Context) {
-	move := e.caps.Moves()
+	move := e.caps.NextProposal()
 	if move == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 	defer cancel()
 	begun := e.now()
 	res, err := e.control.Propose(ctx, &wire.Command{Kind: &wire.Command_MoveShares{MoveShares: move}})
-	e.caps.Moved(move, res)
+	e.caps.ProposalEnded(move, res)
 	e.meter.sharesMoved(res, err)
 	log := e.log.WithField("sequence", move.GetSequence()).
 		WithField("asked", wire.FormatShares(move.GetShares())).
--- a/entry/verbatim.go
+++ b/entry/verbatim.go
@@ -123,7 +123,7 @@
 	}
 	err = e.schedule(ctx, admission, call, w)
 	if err != nil && err.Ran == result.RanNo {
-		spent.GiveBack()
+		spent.Refund()
 	}
 	return err
 }
@@ -187,7 +187,7 @@
 	}
 	class := admission.route.class(m)
 	from := quota.Class{Name: class.GetName(), Precedence: class.GetPrecedence()}
-	m.cap.Ask(m.units(call), from)
+	m.cap.RecordDemand(m.units(call), from)
 	spent, wait, ok := takeFromCap(ctx, m.cap, m.units(call), from)
 	if ok {
 		return spent, nil
@@ -196,15 +196,15 @@
 }
 
 // takeFromCap takes units from a cap. Where a larger share could let the request in, it is held until the share has changed,
-// for quota.ShareWait at most: a refusal within the cap is the worse mistake.
+// for quota.MaxShareWait at most: a refusal within the cap is the worse mistake.
 func takeFromCap(ctx context.Context, u *quota.Cap, units uint64, class quota.Class) (g quota.Grant, wait time.Duration, ok bool) {
 	if g, wait, ok = u.Take(units, class); ok {
 		return g, 0, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, quota.ShareWait)
+	ctx, cancel := context.WithTimeout(ctx, quota.MaxShareWait)
 	defer cancel()
 	for !ok && ctx.Err() == nil {
-		changed, helps := u.Awaits(units)
+		changed, helps := u.AwaitShare(units)
 		if helps {
 			select {
 			case <-changed:
--- a/experiment/deploy/asked.go
+++ b/experiment/deploy/asked.go
@@ -89,7 +89,7 @@
 
 // report sums up what the server got.
 func (a *asking) report(ended time.Time) Asked {
-	out := Asked{Server: a.server.Name, Fault: string(a.fault.Kind), Sent: len(a.times), Allowed: -1, Most: backpressure.MostWithin(a.times, askedWindow)}
+	out := Asked{Server: a.server.Name, Fault: string(a.fault.Kind), Sent: len(a.times), Allowed: -1, Most: backpressure.MaxInWindow(a.times, askedWindow)}
 	if a.fault.Kind == plan.RateLimit {
 		out.Allowed = a.fault.Factor * ended.Sub(a.began).Seconds()
 	}
@@ -104,7 +104,7 @@
 	switch a.fault.Kind {
 	case plan.RateLimit:
 		allowed := rateSlack*a.fault.Factor*askedWindow.Seconds() + rateExtra
-		if got := backpressure.MostWithin(a.after(askedContact), askedWindow); float64(got) > allowed {
+		if got := backpressure.MaxInWindow(a.after(askedContact), askedWindow); float64(got) > allowed {
 			return fmt.Sprintf("%s got %d requests in %s at a limit of %g a second", a.server.Name, got, askedWindow, a.fault.Factor)
 		}
 	case plan.Backoff:
--- a/gate/room.go
+++ b/gate/room.go
@@ -240,7 +240,7 @@
 	if g.use.prefill >= g.pace.prefillBound() {
 		return 0
 	}
-	return max(min(g.limit.slots()-g.headroom.slots()-len(g.held), g.throttle.Ready(g.now)), 0)
+	return max(min(g.limit.slots()-g.headroom.slots()-len(g.held), g.throttle.Available(g.now)), 0)
 }
 
 func (g *Gate) lowestRunning() uint32 {
--- a/gate/throttle.go
+++ b/gate/throttle.go
@@ -12,24 +12,24 @@
 // Room that was given before the word is taken back where nothing was sent: offers and bodies that came ahead would otherwise still
 // go out beyond the limit, and those that are waiting here can go to other servers.
 func (g *Gate) heard(o backpressure.Observation) {
-	if !g.throttle.Hear(o) {
+	if !g.throttle.Observe(o) {
 		return
 	}
 	g.emit(Advised{
 		Rate:        g.throttle.Rate(),
-		Until:       g.throttle.Until(),
-		Expects:     g.throttle.Expects(),
+		Until:       g.throttle.BackoffUntil(),
+		Expects:     g.throttle.IsActive(),
 		Observation: o,
 	})
 	g.room.dirty = true
-	if g.throttle.Ready(g.now) == 0 {
+	if g.throttle.Available(g.now) == 0 {
 		g.lapseAllOffers()
 	}
 }
 
 // shareRate has the server's rate shared by so many senders.
 func (g *Gate) shareRate(senders int) {
-	if g.throttle.Share(g.now, senders) {
+	if g.throttle.SetSenders(g.now, senders) {
 		g.room.dirty = true
 	}
 }
@@ -77,13 +77,13 @@
 // usePermit notes that an attempt's request leaves now.
 func (g *Gate) usePermit(a *attempt) {
 	a.run.permitted = false
-	g.throttle.Sent(g.now)
+	g.throttle.RecordSend(g.now)
 }
 
 // returnPermit gives the permit back of an attempt that didn't start.
 func (g *Gate) returnPermit(a *attempt) {
 	if a.run.permitted {
 		a.run.permitted = false
-		g.throttle.GiveBack(a.run.permit)
+		g.throttle.Refund(a.run.permit)
 	}
 }
--- a/gate/throttle_test.go
+++ b/gate/throttle_test.go
@@ -17,13 +17,13 @@
 func (b *bench) hearRate(perSecond float64) []Action {
 	return b.step(Heard{backpressure.Observation{
 		Advice: backpressure.Advice{Rate: backpressure.Rate{Limited: true, PerSecond: perSecond}},
-		Route:  backpressure.RouteRun, Asked: b.now, Heard: b.now,
+		Route:  backpressure.RouteRun, SentAt: b.now, ReceivedAt: b.now,
 	}})
 }
 
 // hearNoRate lets an answer to a call of this moment name none.
 func (b *bench) hearNoRate() []Action {
-	return b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
+	return b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, SentAt: b.now, ReceivedAt: b.now}})
 }
 
 // busyServer is a gate that entries reserve at all the time; its runs end after a while.
@@ -75,7 +75,7 @@
 		s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
 		s.hearRate(perSecond)
 		s.run(40 * time.Second)
-		require.LessOrEqual(t, float64(backpressure.MostWithin(s.started, 4*time.Second)), 4.1*perSecond+1, "%g a second", perSecond)
+		require.LessOrEqual(t, float64(backpressure.MaxInWindow(s.started, 4*time.Second)), 4.1*perSecond+1, "%g a second", perSecond)
 		require.GreaterOrEqual(t, float64(len(s.started)), 0.9*perSecond*40, "%g a second", perSecond)
 		noChartErrors(t, s.bench)
 	}
@@ -88,7 +88,7 @@
 	s.started = nil
 	s.hearRate(2)
 	s.run(10 * time.Second)
-	require.LessOrEqual(t, backpressure.MostWithin(s.started, 4*time.Second), 9)
+	require.LessOrEqual(t, backpressure.MaxInWindow(s.started, 4*time.Second), 9)
 	s.started = nil
 	s.hearNoRate()
 	s.run(time.Second)
@@ -151,7 +151,7 @@
 	s.step(Senders{Count: 4})
 	s.hearRate(8)
 	s.run(20 * time.Second)
-	require.LessOrEqual(t, backpressure.MostWithin(s.started, 4*time.Second), 9)
+	require.LessOrEqual(t, backpressure.MaxInWindow(s.started, 4*time.Second), 9)
 	require.GreaterOrEqual(t, len(s.started), 36)
 }
 
@@ -167,7 +167,7 @@
 		}
 		// An offer that is answered late leaves up to DefaultOfferTimeout after its permit was taken.
 		allowed := highest*(4*time.Second+DefaultOfferTimeout+100*time.Millisecond).Seconds() + 1
-		if got := backpressure.MostWithin(s.started, 4*time.Second); float64(got) > allowed {
+		if got := backpressure.MaxInWindow(s.started, 4*time.Second); float64(got) > allowed {
 			rt.Fatalf("%d starts in 4 s at %g a second", got, highest)
 		}
 	})
@@ -196,7 +196,7 @@
 	case 5:
 		s.step(Senders{Count: rapid.IntRange(1, 3).Draw(rt, "senders")})
 	case 6:
-		s.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Refused: true, Asked: s.now, Heard: s.now}})
+		s.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Refused: true, SentAt: s.now, ReceivedAt: s.now}})
 	default:
 	}
 }
@@ -205,7 +205,7 @@
 func (b *bench) hearBackoff(backoff time.Duration) []Action {
 	return b.step(Heard{backpressure.Observation{
 		Advice: backpressure.Advice{Backoff: backoff},
-		Route:  backpressure.RouteRun, Refused: true, Asked: b.now, Heard: b.now,
+		Route:  backpressure.RouteRun, Refused: true, SentAt: b.now, ReceivedAt: b.now,
 	}})
 }
 
@@ -247,6 +247,6 @@
 	}
 	require.Len(t, offeredIDs(b.actions), 1)
 	b.dispatchOffered(entryA, id("r0", 1), work())
-	b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
+	b.step(Heard{backpressure.Observation{Route: backpressure.RouteRun, SentAt: b.now, ReceivedAt: b.now}})
 	require.Len(t, offeredIDs(b.actions), 4)
 }
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -11,8 +11,8 @@
 // How many crashes it takes. A request may have been beside the one that caused them, also twice. So it then begins to run alone,
 // and a crash there makes a quarantine.
 const (
-	WatchedAt     = 2
-	QuarantinedAt = 3
+	WatchThreshold      = 2
+	QuarantineThreshold = 3
 	// quarantinedBeside is how many it takes of a request that was never alone. It may crash servers only after it has run for
 	// a while, when others are beside it again; one that is innocent isn't at so many in a row without an answer.
 	quarantinedBeside = 6
@@ -20,8 +20,8 @@
 
 // Times by the leader's clock.
 const (
-	// WatchFor is how long crashes that don't make a quarantine are remembered, from the last one on.
-	WatchFor = time.Hour
+	// WatchPeriod is how long crashes that don't make a quarantine are remembered, from the last one on.
+	WatchPeriod = time.Hour
 	// firstQuarantine is how long a request is first refused. Then one more crash is enough, and each further quarantine is
 	// twice as long: a request that goes on to come back reaches three more servers within a day.
 	firstQuarantine = 2 * time.Hour
@@ -59,9 +59,9 @@
 func StandingOf(record *wire.PoisonRecord) Standing {
 	crashes, beside := len(record.GetCrashes()), besideOthers(record)
 	switch {
-	case crashes >= QuarantinedAt && beside < crashes, beside >= quarantinedBeside:
+	case crashes >= QuarantineThreshold && beside < crashes, beside >= quarantinedBeside:
 		return Quarantined
-	case crashes >= WatchedAt:
+	case crashes >= WatchThreshold:
 		return Watched
 	default:
 		return Clear
@@ -83,13 +83,13 @@
 // String is unique to the key, and its form in logs.
 func (k Key) String() string { return k.Organisation + "/" + k.Fingerprint.String() }
 
-// Record is a record that names the key and nothing else.
-func (k Key) Record() *wire.PoisonRecord {
+// NewRecord is a record that names the key and nothing else.
+func (k Key) NewRecord() *wire.PoisonRecord {
 	return &wire.PoisonRecord{Organisation: k.Organisation, Fingerprint: uint64(k.Fingerprint)}
 }
 
-// Servers are the servers that crashed, the oldest crash first.
-func Servers(record *wire.PoisonRecord) []string {
+// CrashedServers are the servers that crashed, the oldest crash first.
+func CrashedServers(record *wire.PoisonRecord) []string {
 	var servers []string
 	for _, crash := range record.GetCrashes() {
 		servers = append(servers, crash.GetServer())
@@ -97,10 +97,10 @@
 	return servers
 }
 
-// Add notes a crash in a record at a time, in milliseconds since 1970, and tells whether that changes the record. One that is known
+// AddCrash notes a crash in a record at a time, in milliseconds since 1970, and tells whether that changes the record. One that is known
 // already doesn't, nor does one of a request that is quarantined, which was on its way when that was decided. The order in which
 // crashes are noted makes no difference.
-func Add(record *wire.PoisonRecord, crash *wire.Crash, nowMS uint64) bool {
+func AddCrash(record *wire.PoisonRecord, crash *wire.Crash, nowMS uint64) bool {
 	if StandingOf(record) == Quarantined {
 		return false
 	}
@@ -112,7 +112,7 @@
 	noted := proto.CloneOf(crash)
 	noted.UnixMs = nowMS
 	record.Crashes = append(record.Crashes, noted)
-	record.UntilUnixMs = nowMS + milliseconds(WatchFor)
+	record.UntilUnixMs = nowMS + milliseconds(WatchPeriod)
 	if StandingOf(record) == Quarantined {
 		record.Quarantines++
 		record.UntilUnixMs = nowMS + milliseconds(quarantineTime(record))
@@ -147,13 +147,13 @@
 	}
 }
 
-// StepDown takes a record whose time is over one step back, and tells whether anything is left of it. A quarantine becomes a watch
+// Downgrade takes a record whose time is over one step back, and tells whether anything is left of it. A quarantine becomes a watch
 // of the same length, within which one more crash is enough for the next one.
-func StepDown(record *wire.PoisonRecord, nowMS uint64) bool {
+func Downgrade(record *wire.PoisonRecord, nowMS uint64) bool {
 	if StandingOf(record) != Quarantined {
 		return false
 	}
-	kept := record.GetCrashes()[len(record.GetCrashes())-WatchedAt:]
+	kept := record.GetCrashes()[len(record.GetCrashes())-WatchThreshold:]
 	record.Crashes = nil
 	for _, crash := range kept {
 		crash = proto.CloneOf(crash)
--- a/poison/poison_test.go
+++ b/poison/poison_test.go
@@ -23,33 +23,33 @@
 
 func TestThirdCrashMakesAQuarantine(t *testing.T) {
 	key := Key{Organisation: "org", Fingerprint: 7}
-	record := key.Record()
+	record := key.NewRecord()
 	require.Equal(t, Clear, StandingOf(nil))
 	for i, want := range []Standing{Clear, Watched, Quarantined} {
-		require.True(t, Add(record, crashAlone(string(rune('a'+i)), string(rune('x'+i))), startMS))
+		require.True(t, AddCrash(record, crashAlone(string(rune('a'+i)), string(rune('x'+i))), startMS))
 		require.Equal(t, want, StandingOf(record))
 	}
-	require.Equal(t, []string{"x", "y", "z"}, Servers(record))
+	require.Equal(t, []string{"x", "y", "z"}, CrashedServers(record))
 	require.EqualValues(t, startMS+milliseconds(firstQuarantine), record.GetUntilUnixMs())
-	require.False(t, Add(record, crash("d", "w"), startMS+1), "it was on its way when that was decided")
+	require.False(t, AddCrash(record, crash("d", "w"), startMS+1), "it was on its way when that was decided")
 	require.Equal(t, key, KeyOf(record))
 }
 
 // Symptom: a request is quarantined that was beside others at each crash. Sequence: several poison requests crash server after
 // server, and it happens to be there. Cause: crashes beside others counted like those alone.
 func TestOnlyACrashAloneMakesAQuarantine(t *testing.T) {
-	record := Key{}.Record()
+	record := Key{}.NewRecord()
 	for i := range quarantinedBeside - 1 {
-		require.True(t, Add(record, crash(string(rune('a'+i)), string(rune('A'+i))), startMS))
+		require.True(t, AddCrash(record, crash(string(rune('a'+i)), string(rune('A'+i))), startMS))
 	}
 	require.Equal(t, Watched, StandingOf(record))
-	require.True(t, Add(record, crashAlone("z", "Z"), startMS))
+	require.True(t, AddCrash(record, crashAlone("z", "Z"), startMS))
 	require.Equal(t, Quarantined, StandingOf(record))
 
 	t.Run("noted in another order", func(t *testing.T) {
-		record := Key{}.Record()
+		record := Key{}.NewRecord()
 		for _, one := range []*wire.Crash{crashAlone("z", "Z"), crash("a", "A"), crash("b", "B")} {
-			require.True(t, Add(record, one, startMS))
+			require.True(t, AddCrash(record, one, startMS))
 		}
 		require.Equal(t, Quarantined, StandingOf(record))
 	})
@@ -58,12 +58,12 @@
 // Symptom: a request goes on to crash servers, each after it has run for a while. Sequence: others are let in beside it by then,
 // so no crash is one alone. Cause: only crashes alone counted.
 func TestRequestThatCrashesServersLaterIsQuarantinedToo(t *testing.T) {
-	record := Key{}.Record()
+	record := Key{}.NewRecord()
 	crashes := 0
 	for ; StandingOf(record) != Quarantined; crashes++ {
-		require.True(t, Add(record, crash(string(rune('a'+crashes)), string(rune('A'+crashes))), startMS))
+		require.True(t, AddCrash(record, crash(string(rune('a'+crashes)), string(rune('A'+crashes))), startMS))
 	}
-	require.LessOrEqual(t, crashes-QuarantinedAt, 3, "retries after the third crash")
+	require.LessOrEqual(t, crashes-QuarantineThreshold, 3, "retries after the third crash")
 }
 
 // Symptom: a request is quarantined after one crash. Sequence: several entries were connected to the server and report its end,
@@ -84,39 +84,39 @@
 		"another server at the same moment": {crash("a", "s"), crash("b", "t"), 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			record := Key{}.Record()
-			require.True(t, Add(record, test.first, startMS))
-			require.Equal(t, test.changes, Add(record, test.second, startMS+milliseconds(test.later)))
+			record := Key{}.NewRecord()
+			require.True(t, AddCrash(record, test.first, startMS))
+			require.Equal(t, test.changes, AddCrash(record, test.second, startMS+milliseconds(test.later)))
 		})
 	}
 	t.Run("clocks that differ", func(t *testing.T) {
-		record := Key{}.Record()
-		require.True(t, Add(record, crash("a", "s"), startMS))
-		require.False(t, Add(record, crash("b", "s"), startMS-milliseconds(time.Second)))
+		record := Key{}.NewRecord()
+		require.True(t, AddCrash(record, crash("a", "s"), startMS))
+		require.False(t, AddCrash(record, crash("b", "s"), startMS-milliseconds(time.Second)))
 	})
 }
 
 // Symptom: a request that crashes servers reaches more than three of them within a day after it was first quarantined. Cause:
 // quarantines that are all of one length.
 func TestQuarantinesGetLonger(t *testing.T) {
-	record := Key{}.Record()
+	record := Key{}.NewRecord()
 	now, crashes := uint64(startMS), 0
 	fall := func() {
 		crashes++
-		require.True(t, Add(record, crashAlone(string(rune(crashes)), string(rune(1000+crashes))), now))
+		require.True(t, AddCrash(record, crashAlone(string(rune(crashes)), string(rune(1000+crashes))), now))
 	}
-	for range QuarantinedAt {
+	for range QuarantineThreshold {
 		fall()
 	}
 	begun := now
 	for now = record.GetUntilUnixMs(); now < begun+milliseconds(24*time.Hour); now = record.GetUntilUnixMs() {
-		require.True(t, StepDown(record, now), "it is watched")
+		require.True(t, Downgrade(record, now), "it is watched")
 		require.Equal(t, Watched, StandingOf(record))
 		fall()
 		require.Equal(t, Quarantined, StandingOf(record), "one more crash is enough")
 	}
-	require.LessOrEqual(t, crashes-QuarantinedAt, 3)
+	require.LessOrEqual(t, crashes-QuarantineThreshold, 3)
 
-	require.True(t, StepDown(record, now))
-	require.False(t, StepDown(record, record.GetUntilUnixMs()), "nothing is left of it in the end")
+	require.True(t, Downgrade(record, now))
+	require.False(t, Downgrade(record, record.GetUntilUnixMs()), "nothing is left of it in the end")
 }
--- a/quota/cap.go
+++ b/quota/cap.go
@@ -14,9 +14,9 @@
 	// capSlots is how many slots a window is counted in, and one more, so that what was used early in the oldest one still
 	// counts: use counts a 128th of the window too long.
 	capSlots = 129
-	// ShareWait is how long a request is held for a larger share before it is refused for want of one: some times what a
+	// MaxShareWait is how long a request is held for a larger share before it is refused for want of one: some times what a
 	// proposal takes, with a sync of the disk.
-	ShareWait = 150 * time.Millisecond
+	MaxShareWait = 150 * time.Millisecond
 	// ShareLease is how long an entry uses its shares without an answer of control that a quorum confirmed. It is longer than
 	// the cuts that entries are to serve through. Shares of an entry that control has ended as silent stay held for as long.
 	ShareLease = 20 * time.Second
@@ -117,8 +117,8 @@
 	class Class
 }
 
-// Ask notes that a request of a class asks for units. It comes once before Take, which may be tried several times.
-func (u *Cap) Ask(units uint64, class Class) {
+// RecordDemand notes that a request of a class asks for units. It comes once before Take, which may be tried several times.
+func (u *Cap) RecordDemand(units uint64, class Class) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.fadeDemand()
@@ -170,9 +170,9 @@
 	return u.Window
 }
 
-// Awaits tells whether a larger share could let in so many units that Take refused. If so it has one asked for, and the
+// AwaitShare tells whether a larger share could let in so many units that Take refused. If so it has one asked for, and the
 // channel is closed when the share changes.
-func (u *Cap) Awaits(units uint64) (changed <-chan struct{}, helps bool) {
+func (u *Cap) AwaitShare(units uint64) (changed <-chan struct{}, helps bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	own := u.own()
@@ -185,13 +185,13 @@
 	return u.changed, true
 }
 
-// GiveBack returns what a request took that has not run, to the slot that it was taken from.
+// Refund returns what a request took that has not run, to the slot that it was taken from.
 //
 // A request may wait for a good part of a second before it is refused. Taken from the present slot, which holds a few
 // requests of this entry, what it gives back was cut off at nothing: under a burst half again as much counted as had run,
 // and an organisation was refused two thirds into its cap. One would notice by a use in the refusals' lines that is more than
 // the sum of the answered requests.
-func (g Grant) GiveBack() {
+func (g Grant) Refund() {
 	u := g.cap
 	if u == nil {
 		return
--- a/quota/cap_test.go
+++ b/quota/cap_test.go
@@ -17,7 +17,7 @@
 	f := newFleet(t, 8, windowOnly)
 	_, _, ok := f.org[0].Take(1, onlyClass)
 	require.False(t, ok)
-	_, helps := f.org[0].Awaits(1)
+	_, helps := f.org[0].AwaitShare(1)
 	require.True(t, helps, "it is held until the share comes")
 	require.Equal(t, 1000, f.fillUp(0))
 
@@ -76,7 +76,7 @@
 	f.clock.pass(9 * time.Second)
 	g, _, ok := f.org[0].Take(900, onlyClass)
 	require.True(t, ok)
-	g.GiveBack()
+	g.Refund()
 	require.Equal(t, 1000, f.fillUp(0))
 }
 
@@ -99,13 +99,13 @@
 	_, _, ok := u.Take(10, onlyClass)
 	require.True(t, ok)
 	for _, g := range waiting {
-		g.GiveBack()
+		g.Refund()
 	}
 	require.InDelta(t, 10, u.own(), 0.1)
 	f.clock.pass(8200 * time.Millisecond)
 	f.tellAll()
 	require.Equal(t, 1000, f.fillUp(0))
-	waiting[0].GiveBack()
+	waiting[0].Refund()
 	require.InDelta(t, 1000, u.own(), 0.1, "what has left the window is not given back once more")
 }
 
@@ -143,7 +143,7 @@
 	}
 	f.setCap(10, 20)
 	for i := range 4 {
-		f.caps[i].Of(f.member)
+		f.caps[i].Configure(f.member)
 		_, _, ok := f.org[i].Take(1, onlyClass)
 		require.False(t, ok)
 	}
@@ -173,14 +173,14 @@
 // at that moment were scaled.
 func TestShareGivenOfAHigherCapIsScaled(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
-	f.org[0].Ask(1000, onlyClass)
-	_, helps := f.org[0].Awaits(1000)
+	f.org[0].RecordDemand(1000, onlyClass)
+	_, helps := f.org[0].AwaitShare(1000)
 	require.True(t, helps)
-	move := f.caps[0].Moves()
+	move := f.caps[0].NextProposal()
 	res := f.commit(move)
 	f.setCap(10, 20)
-	f.caps[0].Of(f.member)
-	f.caps[0].Moved(move, res)
+	f.caps[0].Configure(f.member)
+	f.caps[0].ProposalEnded(move, res)
 	require.LessOrEqual(t, f.org[0].allowed(), 100.0)
 }
 
@@ -243,7 +243,7 @@
 	}
 	f.clock.pass(ShareLease)
 	require.Zero(t, alone(0))
-	f.caps[0].Renew(f.clock.sinceBoot())
+	f.caps[0].RenewLease(f.clock.sinceBoot())
 	require.Positive(t, alone(0))
 }
 
@@ -275,12 +275,12 @@
 	units := uint64(f.org[0].share)
 	_, _, ok := f.org[0].Take(units, onlyClass)
 	require.False(t, ok)
-	changed, helps := f.org[0].Awaits(units)
+	changed, helps := f.org[0].AwaitShare(units)
 	require.True(t, helps)
 	<-f.caps[0].Wake()
-	move := f.caps[0].Moves()
-	require.Nil(t, f.caps[0].Moves(), "one is on its way")
-	f.caps[0].Moved(move, f.commit(move))
+	move := f.caps[0].NextProposal()
+	require.Nil(t, f.caps[0].NextProposal(), "one is on its way")
+	f.caps[0].ProposalEnded(move, f.commit(move))
 	require.NotPanics(t, func() { <-changed })
 	_, _, ok = f.org[0].Take(units, onlyClass)
 	require.True(t, ok)
@@ -289,12 +289,12 @@
 	}
 	for f.request(0, 10, onlyClass) {
 	}
-	_, helps = f.org[0].Awaits(10)
+	_, helps = f.org[0].AwaitShare(10)
 	require.False(t, helps, "it is known to be used up")
 	f.clock.pass(raiseGap)
-	_, helps = f.org[0].Awaits(10)
+	_, helps = f.org[0].AwaitShare(10)
 	require.True(t, helps, "something may have been freed")
-	_, helps = f.org[0].Awaits(1001)
+	_, helps = f.org[0].AwaitShare(1001)
 	require.False(t, helps, "no share is that large")
 }
 
@@ -303,17 +303,17 @@
 func TestLateOutcomeRaisesNothing(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.True(t, f.request(0, 100, onlyClass))
-	f.org[0].Ask(500, onlyClass)
-	f.org[0].Awaits(500)
-	raise := f.caps[0].Moves()
+	f.org[0].RecordDemand(500, onlyClass)
+	f.org[0].AwaitShare(500)
+	raise := f.caps[0].NextProposal()
 	late := f.commit(raise)
-	f.caps[0].Moved(raise, nil)
+	f.caps[0].ProposalEnded(raise, nil)
 	require.Positive(t, f.fillUp(0))
 	f.clock.pass(9 * time.Second)
 	f.tellAll()
 	require.Positive(t, f.move(0), "it is lowered")
 	share := f.org[0].share
-	f.caps[0].Moved(raise, late)
+	f.caps[0].ProposalEnded(raise, late)
 	require.Equal(t, share, f.org[0].share)
 	require.LessOrEqual(t, share, float64(f.state.HeldBy("e1", 1, "org")))
 }
@@ -385,7 +385,7 @@
 	}
 	f.setCap(60, 120)
 	for i := range 2 {
-		f.caps[i].Of(f.member)
+		f.caps[i].Configure(f.member)
 	}
 	f.clock.pass(9 * time.Second)
 	for range 40 {
@@ -407,5 +407,5 @@
 	f.move(0)
 	f.org[0].share = 700.0
 	u.others.wanted, u.yielded, u.ceiling = 1, f.clock.now, u.share-0.5
-	require.Nil(t, f.caps[0].Moves())
+	require.Nil(t, f.caps[0].NextProposal())
 }
--- a/quota/caps.go
+++ b/quota/caps.go
@@ -62,7 +62,7 @@
 		wake:        make(chan struct{}, 1),
 		byName:      make(map[string]*Cap),
 	}
-	c.Renew(clock.SinceBoot())
+	c.RenewLease(clock.SinceBoot())
 	return c
 }
 
@@ -85,8 +85,8 @@
 // valid tells whether the lease on shares holds.
 func (c *Caps) valid() bool { return c.sinceBoot() < time.Duration(c.leaseEnd.Load()) }
 
-// Of returns the cap of an organisation with its rate and burst as they are now, nil if it has none.
-func (c *Caps) Of(spec *wire.Member) *Cap {
+// Configure returns the cap of an organisation with its rate and burst as they are now, nil if it has none.
+func (c *Caps) Configure(spec *wire.Member) *Cap {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if spec.GetRatePerS() == 0 && spec.GetBurst() == 0 {
@@ -131,9 +131,9 @@
 	return out
 }
 
-// Renew extends the lease on shares. The answer that a quorum confirmed was asked for at the given time since boot: what
+// RenewLease extends the lease on shares. The answer that a quorum confirmed was asked for at the given time since boot: what
 // control decided since isn't known.
-func (c *Caps) Renew(asked time.Duration) {
+func (c *Caps) RenewLease(asked time.Duration) {
 	end := int64(asked + ShareLease)
 	for {
 		now := c.leaseEnd.Load()
@@ -143,8 +143,8 @@
 	}
 }
 
-// TakeStates takes what a control instance says of the other entries.
-func (c *Caps) TakeStates(states []*wire.CapState) {
+// ApplyStates takes what a control instance says of the other entries.
+func (c *Caps) ApplyStates(states []*wire.CapState) {
 	caps := c.all()
 	for _, one := range states {
 		if u := caps[one.GetOrganisation()]; u != nil {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Moves returns a proposal for the shares that should be held now, nil if they are held or the last outcome isn't known yet.
+// NextProposal returns a proposal for the shares that should be held now, nil if they are held or the last outcome isn't known yet.
 // A share that shrinks does so at once here: once the proposal is committed, others may use it.
-func (c *Caps) Moves() *wire.MoveShares {
+func (c *Caps) NextProposal() *wire.MoveShares {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.moving {
@@ -177,10 +177,10 @@
 	return move
 }
 
-// Moved takes the outcome of a proposal, nil if it is not known. What was to be raised stays as it was then: the state may
+// ProposalEnded takes the outcome of a proposal, nil if it is not known. What was to be raised stays as it was then: the state may
 // hold more for this entry than it uses, never less. For the same reason the outcome of any but the last proposal is dropped:
 // a share may have been lowered since.
-func (c *Caps) Moved(move *wire.MoveShares, res *wire.CommandResult) {
+func (c *Caps) ProposalEnded(move *wire.MoveShares, res *wire.CommandResult) {
 	c.mu.Lock()
 	isLast := move.GetSequence() == c.sequence
 	c.moving = c.moving && !isLast
--- a/quota/delay_test.go
+++ b/quota/delay_test.go
@@ -20,14 +20,14 @@
 		return &wire.Poll{UsageWindowMs: 8000, SinceBootMs: uint64(sinceBoot.Milliseconds()), Usage: []*wire.Usage{word}}
 	}
 	early := &wire.Usage{Organisation: "org", Used: 320, Leaving: []uint64{0, 0, 0, 0, 320}}
-	ledger.Take(e[0], told(time.Hour, &wire.Usage{Organisation: "org"}), now)
+	ledger.Record(e[0], told(time.Hour, &wire.Usage{Organisation: "org"}), now)
 	// It is told a second later, leaves the window a second and a quarter after that, and arrives two seconds late.
 	now = now.Add(3 * time.Second)
-	ledger.Take(e[0], told(time.Hour+time.Second, early), now)
+	ledger.Record(e[0], told(time.Hour+time.Second, early), now)
 	require.Zero(t, ledger.gone(e[0], "org", now, now.Add(2*time.Second)), "it had left the window before")
 
 	now = now.Add(time.Second)
-	ledger.Take(e[0], told(time.Hour+4*time.Second, early), now)
-	ledger.Take(e[0], told(time.Hour+3*time.Second, &wire.Usage{Organisation: "org", Used: 900}), now)
+	ledger.Record(e[0], told(time.Hour+4*time.Second, early), now)
+	ledger.Record(e[0], told(time.Hour+3*time.Second, &wire.Usage{Organisation: "org", Used: 900}), now)
 	require.EqualValues(t, 320, ledger.gone(e[0], "org", now, now.Add(1500*time.Millisecond)), "an older word changes nothing")
 }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -5,6 +5,6 @@
 // which never lets them add up to more than the cap, see [state.State]; an entry moves its own by proposals, as its use
 // rises and falls. So the cap holds whoever is cut off, frozen or killed, with no estimate of what others use.
 //
-// [Caps] is an entry's side, [Ledger] and [Releases] are control's. The package needs no network and no clock of its own:
+// [Caps] is an entry's side, [Ledger] and [Releaser] are control's. The package needs no network and no clock of its own:
 // times come from the caller.
 package quota
--- a/quota/exhaustive_test.go
+++ b/quota/exhaustive_test.go
@@ -17,7 +17,7 @@
 	decided  [2][]decision
 	all      []*Cap // of every start there was: what a dead one used is in the window
 	ledger   *Ledger
-	releases *Releases
+	releases *Releaser
 	binds    time.Time // from when on a lower cap binds, zero while it isn't known everywhere
 	changes  int       // rises with all that an action has done
 }
@@ -41,7 +41,7 @@
 	w.ledger = NewLedger(func(string, time.Duration) float64 { return smallCap }, func(from Incarnation, name string) uint64 {
 		return w.state.HeldOf(name) - w.state.HeldBy(from.Instance, from.Number, name)
 	})
-	w.releases = NewReleases(w.ledger)
+	w.releases = NewReleaser(w.ledger)
 	w.begin(0)
 	w.begin(1)
 	return w
@@ -92,23 +92,23 @@
 func (w *smallWorld) pass(d time.Duration) {
 	w.clock.pass(d)
 	for _, c := range w.caps {
-		c.Renew(w.clock.sinceBoot())
+		c.RenewLease(w.clock.sinceBoot())
 	}
 	w.changed(true)
 }
 
 func (w *smallWorld) take(i int) {
-	w.org[i].Ask(smallRequest, onlyClass)
+	w.org[i].RecordDemand(smallRequest, onlyClass)
 	if _, _, ok := w.org[i].Take(smallRequest, onlyClass); ok {
 		w.changes++
 		return
 	}
-	_, helps := w.org[i].Awaits(smallRequest)
+	_, helps := w.org[i].AwaitShare(smallRequest)
 	w.changed(helps)
 }
 
 func (w *smallWorld) propose(i int) {
-	if move := w.caps[i].Moves(); move != nil {
+	if move := w.caps[i].NextProposal(); move != nil {
 		w.proposed[i] = append(w.proposed[i], move)
 		w.last[i] = move
 		w.changes++
@@ -132,14 +132,14 @@
 	first := w.decided[i][0]
 	w.decided[i] = w.decided[i][1:]
 	if first.move.GetIncarnation() == w.caps[i].incarnation {
-		w.caps[i].Moved(first.move, first.res)
+		w.caps[i].ProposalEnded(first.move, first.res)
 	}
 	w.changes++
 }
 
 func (w *smallWorld) lose(i int) {
 	if last := w.last[i]; w.caps[i].moving && last.GetIncarnation() == w.caps[i].incarnation {
-		w.caps[i].Moved(last, nil)
+		w.caps[i].ProposalEnded(last, nil)
 		w.changes++
 	}
 }
@@ -147,7 +147,7 @@
 func (w *smallWorld) tell(i int) {
 	c := w.caps[i]
 	poll := &wire.Poll{Usage: c.Usage(), UsageWindowMs: 8000, SinceBootMs: uint64(w.clock.sinceBoot().Milliseconds())}
-	c.TakeStates(w.ledger.Take(Incarnation{c.entry, c.incarnation}, poll, w.clock.now))
+	c.ApplyStates(w.ledger.Record(Incarnation{c.entry, c.incarnation}, poll, w.clock.now))
 	w.changes++
 }
 
@@ -166,7 +166,7 @@
 
 func (w *smallWorld) learn(i int) {
 	if w.org[i].member != w.member {
-		w.caps[i].Of(w.member)
+		w.caps[i].Configure(w.member)
 		w.changes++
 	}
 }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -92,18 +92,18 @@
 	for _, c := range f.caps {
 		c.SetEntries(len(f.caps))
 	}
-	f.org[i] = caps.Of(f.member)
+	f.org[i] = caps.Configure(f.member)
 }
 
 // move has an entry's shares moved, as often as it proposes to. It returns how often that was.
 func (f *fleet) move(i int) int {
 	for n := 0; ; n++ {
-		move := f.caps[i].Moves()
+		move := f.caps[i].NextProposal()
 		if move == nil {
 			return n
 		}
 		require.Less(f.t, n, 100, "shares settle")
-		f.caps[i].Moved(move, f.commit(move))
+		f.caps[i].ProposalEnded(move, f.commit(move))
 	}
 }
 
@@ -119,9 +119,9 @@
 	for range 2 { // the first words are answered before the others have spoken
 		for _, c := range f.caps {
 			poll := &wire.Poll{Usage: c.Usage(), UsageWindowMs: uint32(f.tolerance.Window.Milliseconds())}
-			states := ledger.Take(Incarnation{c.entry, c.incarnation}, poll, f.clock.now)
-			c.Renew(f.clock.sinceBoot())
-			c.TakeStates(states)
+			states := ledger.Record(Incarnation{c.entry, c.incarnation}, poll, f.clock.now)
+			c.RenewLease(f.clock.sinceBoot())
+			c.ApplyStates(states)
 		}
 	}
 }
@@ -129,11 +129,11 @@
 // request does with a request what an entry does: where a larger share could let it in, that is asked for.
 func (f *fleet) request(i int, units uint64, class Class) bool {
 	u := f.org[i]
-	u.Ask(units, class)
+	u.RecordDemand(units, class)
 	if _, _, ok := u.Take(units, class); ok {
 		return true
 	}
-	if _, helps := u.Awaits(units); !helps {
+	if _, helps := u.AwaitShare(units); !helps {
 		return false
 	}
 	f.move(i)
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -20,7 +20,7 @@
 
 // Ledger adds up what organisations use at the entries, and tells each entry how the others stand. It isn't replicated: each
 // control instance goes by what entries tell it with their polls. No cap rests on it. It tells entries how much to hold, and
-// [Releases] when the use of a dead entry has left the window.
+// [Releaser] when the use of a dead entry has left the window.
 type Ledger struct {
 	capOf func(organisation string, window time.Duration) float64
 	held  func(from Incarnation, organisation string) uint64
@@ -45,8 +45,8 @@
 	return &Ledger{capOf: capOf, held: held, entries: make(map[Incarnation]*entryUsage)}
 }
 
-// Take notes what an entry has used and returns how the others stand, its own earlier incarnations among them.
-func (l *Ledger) Take(from Incarnation, poll *wire.Poll, now time.Time) []*wire.CapState {
+// Record notes what an entry has used and returns how the others stand, its own earlier incarnations among them.
+func (l *Ledger) Record(from Incarnation, poll *wire.Poll, now time.Time) []*wire.CapState {
 	if len(poll.GetUsage()) == 0 {
 		return nil
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// Entries is how many incarnations the ledger goes by.
-func (l *Ledger) Entries() int {
+// Len is how many incarnations the ledger goes by.
+func (l *Ledger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -30,14 +30,14 @@
 func TestEntryHearsHowTheOthersStand(t *testing.T) {
 	l, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	l.Take(e[0], usagePoll(128, 10), now)
-	l.Take(e[1], usagePoll(32, 4), now)
-	got := l.Take(e[2], usagePoll(64, 1), now)
+	l.Record(e[0], usagePoll(128, 10), now)
+	l.Record(e[1], usagePoll(32, 4), now)
+	got := l.Record(e[2], usagePoll(64, 1), now)
 	require.Len(t, got, 1)
 	require.EqualValues(t, 160, got[0].GetUsed())
 	require.EqualValues(t, 14, got[0].GetWanted())
 	require.EqualValues(t, 300, got[0].GetHeld())
-	got = l.Take(e[0], usagePoll(128, 10), now)
+	got = l.Record(e[0], usagePoll(128, 10), now)
 	require.EqualValues(t, 96, got[0].GetUsed())
 	require.EqualValues(t, 5, got[0].GetWanted())
 }
@@ -46,8 +46,8 @@
 func TestEntryThatIsSilentWantsNothing(t *testing.T) {
 	l, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	l.Take(e[0], usagePoll(128, 10), now)
-	got := l.Take(e[1], usagePoll(0, 0), now.Add(reportStale))
+	l.Record(e[0], usagePoll(128, 10), now)
+	got := l.Record(e[1], usagePoll(0, 0), now.Add(reportStale))
 	require.Zero(t, got[0].GetWanted())
 	require.InDelta(t, 128*5.5/8, got[0].GetUsed(), 1)
 }
@@ -57,26 +57,26 @@
 func TestUseOfAnEarlierIncarnationCounts(t *testing.T) {
 	l, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	l.Take(e[0], usagePoll(800, 0), now)
-	l.Take(e[1], usagePoll(0, 0), now)
-	l.Take(e[2], usagePoll(0, 0), now)
+	l.Record(e[0], usagePoll(800, 0), now)
+	l.Record(e[1], usagePoll(0, 0), now)
+	l.Record(e[2], usagePoll(0, 0), now)
 	now = now.Add(2 * time.Second)
-	got := l.Take(Incarnation{"e1", 2}, usagePoll(0, 0), now)
+	got := l.Record(Incarnation{"e1", 2}, usagePoll(0, 0), now)
 	require.InDelta(t, 600, got[0].GetUsed(), 1, "a fourth of the window has passed")
 }
 
 func TestSilentUseIsForgotten(t *testing.T) {
 	l, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	l.Take(e[0], usagePoll(800, 100), now)
-	got := l.Take(e[1], usagePoll(0, 0), now.Add(8*time.Second))
+	l.Record(e[0], usagePoll(800, 100), now)
+	got := l.Record(e[1], usagePoll(0, 0), now.Add(8*time.Second))
 	require.Zero(t, got[0].GetUsed())
-	l.Take(e[1], usagePoll(0, 0), now.Add(16*time.Second))
-	require.Equal(t, 1, l.Entries())
+	l.Record(e[1], usagePoll(0, 0), now.Add(16*time.Second))
+	require.Equal(t, 1, l.Len())
 }
 
 func TestPollWithoutUsageIsNoEntryOfTheTable(t *testing.T) {
 	l, e := usageTable()
-	require.Nil(t, l.Take(e[0], &wire.Poll{}, time.Unix(1_700_000_000, 0)))
-	require.Zero(t, l.Entries())
+	require.Nil(t, l.Record(e[0], &wire.Poll{}, time.Unix(1_700_000_000, 0)))
+	require.Zero(t, l.Len())
 }
--- a/quota/order_test.go
+++ b/quota/order_test.go
@@ -113,7 +113,7 @@
 	f := newFleet(t, entries, windowOnly)
 	f.setCap(120_000, 120_000)
 	for i := range entries {
-		f.org[i] = f.caps[i].Of(f.member)
+		f.org[i] = f.caps[i].Configure(f.member)
 	}
 	asked, refused := 0, 0
 	for n := range 300 {
--- a/quota/release.go
+++ b/quota/release.go
@@ -10,7 +10,7 @@
 // would be more than what it frees.
 const releaseStep = 32
 
-// Releases frees the shares of entries that have ended as their use leaves the window. It belongs to the leader.
+// Releaser frees the shares of entries that have ended as their use leaves the window. It belongs to the leader.
 //
 // A dead entry's share can't be freed at once: what it has used is in the window, and callers of the others would use it
 // again. Freed only after a whole window, the others would have nothing of it for that long, though use leaves the window
@@ -19,7 +19,7 @@
 // What has left the window follows from the entry's last report. What it used after that isn't known, and counts as used in
 // the last moment before its death at the latest: all of its share that the report doesn't cover. So a share shrinks by what
 // has left the window of the last report since the death, and is gone a window after it.
-type Releases struct {
+type Releaser struct {
 	ledger *Ledger
 	seen   map[Incarnation]*endedEntry
 }
@@ -30,13 +30,13 @@
 	units map[string]uint64 // that it held when it was first seen here
 }
 
-// NewReleases returns the releases of a leader that begins.
-func NewReleases(ledger *Ledger) *Releases {
-	return &Releases{ledger: ledger, seen: make(map[Incarnation]*endedEntry)}
+// NewReleaser returns the releases of a leader that begins.
+func NewReleaser(ledger *Ledger) *Releaser {
+	return &Releaser{ledger: ledger, seen: make(map[Incarnation]*endedEntry)}
 }
 
 // Due returns the commands that free what may be freed by now, of the given holders that have ended.
-func (r *Releases) Due(now time.Time, ended []*wire.HeldShares) []*wire.ReleaseShares {
+func (r *Releaser) Due(now time.Time, ended []*wire.HeldShares) []*wire.ReleaseShares {
 	var due []*wire.ReleaseShares
 	present := make(map[Incarnation]bool, len(ended))
 	for _, holder := range ended {
@@ -54,7 +54,7 @@
 	return due
 }
 
-func (r *Releases) release(now time.Time, from Incarnation, holder *wire.HeldShares) *wire.ReleaseShares {
+func (r *Releaser) release(now time.Time, from Incarnation, holder *wire.HeldShares) *wire.ReleaseShares {
 	entry := r.note(now, from, holder)
 	window := time.Duration(holder.GetWindowMs()) * time.Millisecond
 	command := &wire.ReleaseShares{Entry: from.Instance, Incarnation: from.Number}
@@ -72,7 +72,7 @@
 
 // note remembers when a holder was first seen ended. One that a later start has replaced is dead by then; another may be cut
 // off and go on until its lease is over.
-func (r *Releases) note(now time.Time, from Incarnation, holder *wire.HeldShares) *endedEntry {
+func (r *Releaser) note(now time.Time, from Incarnation, holder *wire.HeldShares) *endedEntry {
 	dead := now
 	if !holder.GetReplaced() {
 		dead = now.Add(ShareLease)
@@ -92,7 +92,7 @@
 }
 
 // keep is how much of an organisation's cap a holder may have used in the window that ends now.
-func (r *Releases) keep(now time.Time, from Incarnation, entry *endedEntry, organisation string, window time.Duration) uint64 {
+func (r *Releaser) keep(now time.Time, from Incarnation, entry *endedEntry, organisation string, window time.Duration) uint64 {
 	units := entry.units[organisation]
 	switch {
 	case !now.Before(entry.dead.Add(window)):
--- a/quota/release_test.go
+++ b/quota/release_test.go
@@ -18,7 +18,7 @@
 }
 
 // keeps returns what is left of a share of so many units a while after its holder was seen dead.
-func keeps(releases *Releases, now time.Time, units uint64, replaced bool) uint64 {
+func keeps(releases *Releaser, now time.Time, units uint64, replaced bool) uint64 {
 	for _, command := range releases.Due(now, held(Incarnation{"e1", 1}, units, replaced)) {
 		return command.GetShares()[0].GetUnits()
 	}
@@ -31,8 +31,8 @@
 func TestShareOfADeadEntryStaysWhileItsUseMayBeInTheWindow(t *testing.T) {
 	ledger, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	ledger.Take(e[0], usagePoll(320, 0), now.Add(-time.Second))
-	releases := NewReleases(ledger)
+	ledger.Record(e[0], usagePoll(320, 0), now.Add(-time.Second))
+	releases := NewReleaser(ledger)
 	require.EqualValues(t, 640, keeps(releases, now, 640, true), "it has just died")
 	for after, want := range map[time.Duration]uint64{
 		200 * time.Millisecond:  640,
@@ -44,7 +44,7 @@
 		require.Equal(t, want, keeps(releases, now.Add(after), 640, true), after.String())
 	}
 
-	silent := NewReleases(ledger)
+	silent := NewReleaser(ledger)
 	other := held(Incarnation{"e9", 4}, 640, true)
 	require.Empty(t, silent.Due(now, other))
 	require.Empty(t, silent.Due(now.Add(7900*time.Millisecond), other), "nobody knows when its use leaves")
@@ -57,8 +57,8 @@
 func TestShareOfASilentEntryStaysUntilItsLeaseIsOver(t *testing.T) {
 	ledger, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	ledger.Take(e[0], usagePoll(320, 0), now)
-	releases := NewReleases(ledger)
+	ledger.Record(e[0], usagePoll(320, 0), now)
+	releases := NewReleaser(ledger)
 	require.EqualValues(t, 640, keeps(releases, now, 640, false))
 	require.EqualValues(t, 640, keeps(releases, now.Add(ShareLease), 640, false))
 	require.EqualValues(t, 640, keeps(releases, now.Add(ShareLease+7900*time.Millisecond), 640, false))
@@ -69,7 +69,7 @@
 func TestLaterStartShortensTheWait(t *testing.T) {
 	ledger, _ := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	releases := NewReleases(ledger)
+	releases := NewReleaser(ledger)
 	keeps(releases, now, 640, false)
 	now = now.Add(time.Second)
 	require.EqualValues(t, 640, keeps(releases, now, 640, true))
@@ -80,8 +80,8 @@
 func TestSharesAreReleasedInSteps(t *testing.T) {
 	ledger, e := usageTable()
 	now := time.Unix(1_700_000_000, 0)
-	ledger.Take(e[0], usagePoll(640, 0), now)
-	releases := NewReleases(ledger)
+	ledger.Record(e[0], usagePoll(640, 0), now)
+	releases := NewReleaser(ledger)
 	units, commands := uint64(640), 0
 	for at := time.Duration(0); at <= 8*time.Second; at += 50 * time.Millisecond {
 		if next := keeps(releases, now.Add(at), units, true); next != units {
--- a/quota/share.go
+++ b/quota/share.go
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case isShort && want > u.share && u.ceiling >= u.share && !u.now().Before(u.raiseAt):
-		u.expected, u.expectedUntil = blocked, u.now().Add(ShareWait)
+		u.expected, u.expectedUntil = blocked, u.now().Add(MaxShareWait)
 		u.askedOf = u.bound
 		return &wire.Share{Units: uint64(want), Uses: uint64(u.share)}
 	case u.share > want+slack*reserve+floor/2+u.expectedNow():
--- a/quota/sim_control_test.go
+++ b/quota/sim_control_test.go
@@ -131,7 +131,7 @@
 	if leader != s.leader || leader >= 0 && s.controls[leader].releasesFor != s.releases {
 		s.leader, s.releases = leader, nil
 		if leader >= 0 {
-			s.releases = quota.NewReleases(s.controls[leader].ledger)
+			s.releases = quota.NewReleaser(s.controls[leader].ledger)
 			s.controls[leader].releasesFor = s.releases
 			for _, e := range s.entries {
 				e.heard = s.now
--- a/quota/sim_entry_test.go
+++ b/quota/sim_entry_test.go
@@ -70,7 +70,7 @@
 	if e.s.now < e.frozen || !e.listed {
 		return
 	}
-	move := e.caps.Moves()
+	move := e.caps.NextProposal()
 	if move == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 			e.s.after(10*time.Millisecond, e.begin)
 			return
 		}
-		e.caps.Moved(move, res)
+		e.caps.ProposalEnded(move, res)
 		e.retry()
 		e.wake()
 	})
@@ -114,7 +114,7 @@
 	}
 	e.known = len(e.s.caps) - 1
 	change := e.s.caps[e.known]
-	e.cap = e.caps.Of(&wire.Member{Name: simOrg, RatePerS: uint64(change.rate), Burst: uint64(change.burst)})
+	e.cap = e.caps.Configure(&wire.Member{Name: simOrg, RatePerS: uint64(change.rate), Burst: uint64(change.burst)})
 }
 
 func (e *simEntry) kill() {
@@ -150,7 +150,7 @@
 			return
 		}
 		e.heard = s.now
-		states := c.ledger.Take(quota.Incarnation{Instance: e.name(), Number: started}, message, s.clock())
+		states := c.ledger.Record(quota.Incarnation{Instance: e.name(), Number: started}, message, s.clock())
 		confirm := s.between(2*time.Millisecond, 10*time.Millisecond)
 		if s.rng.Float64() < 0.02 {
 			confirm = s.between(0, simReadBound)
@@ -164,8 +164,8 @@
 			}
 			s.deliver(link, 1, func() {
 				if e.up && e.started == started {
-					e.caps.Renew(asked)
-					e.caps.TakeStates(states)
+					e.caps.RenewLease(asked)
+					e.caps.ApplyStates(states)
 					e.wake()
 				}
 			})
@@ -241,7 +241,7 @@
 // serve does what an entry does with a request: it asks, takes, and holds the request for a newer word where that may help.
 func (e *simEntry) serve(r *simRequest) {
 	e.s.asked += float64(r.units)
-	e.cap.Ask(r.units, simClass)
+	e.cap.RecordDemand(r.units, simClass)
 	r.deadline = e.s.now + simMaxHeld
 	if !e.try(r) {
 		e.waiting = append(e.waiting, r)
@@ -263,7 +263,7 @@
 		e.admitted(r, grant)
 		return true
 	}
-	if _, helps := e.cap.Awaits(r.units); helps {
+	if _, helps := e.cap.AwaitShare(r.units); helps {
 		return false
 	}
 	e.giveUp(r)
@@ -295,7 +295,7 @@
 	if s.rng.Float64() < 0.1 {
 		s.after(wait, func() {
 			if e.up && e.started == started {
-				grant.GiveBack()
+				grant.Refund()
 			}
 		})
 		return
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -27,7 +27,7 @@
 	simOrg        = "org"
 	simPropose    = quota.MoveTimeout // after which an entry takes the outcome of a proposal for lost
 	simSilent     = 10 * time.Second  // after which control ends an entry
-	simMaxHeld    = quota.ShareWait
+	simMaxHeld    = quota.MaxShareWait
 	simMaxService = 2 * time.Second // the longest time from admission to the begin at a server
 )
 
@@ -98,7 +98,7 @@
 	state    *state.State
 	index    uint64 // of the log
 	leader   int    // control instance, -1 for none
-	releases *quota.Releases
+	releases *quota.Releaser
 	commits  int
 	runs     []simRun
 	asked    float64
@@ -141,7 +141,7 @@
 	start  int
 	ledger *quota.Ledger
 	// releasesFor are the releases of this start of the process.
-	releasesFor *quota.Releases
+	releasesFor *quota.Releaser
 	disk        []byte // what was saved last
 }
 
--- a/sched/poison.go
+++ b/sched/poison.go
@@ -61,12 +61,12 @@
 	if !ok || now.Sub(own.at) > ownCrashLife || t.wasServed(key, now) {
 		return committed
 	}
-	joined := key.Record()
+	joined := key.NewRecord()
 	if committed != nil {
 		joined = proto.CloneOf(committed)
 	}
 	for _, crash := range own.record.GetCrashes() {
-		poison.Add(joined, crash, crash.GetUnixMs())
+		poison.AddCrash(joined, crash, crash.GetUnixMs())
 	}
 	return joined
 }
@@ -75,9 +75,9 @@
 func (t *poisonTable) crashed(key poison.Key, crash *wire.Crash, now time.Time) bool {
 	own, ok := t.own.Get(key)
 	if !ok || now.Sub(own.at) > ownCrashLife {
-		own = ownRecord{record: key.Record()}
+		own = ownRecord{record: key.NewRecord()}
 	}
-	changed := poison.Add(own.record, crash, uint64(now.UnixMilli()))
+	changed := poison.AddCrash(own.record, crash, uint64(now.UnixMilli()))
 	own.at = now
 	t.own.Add(key, own)
 	return changed
@@ -139,13 +139,13 @@
 		code = result.EngineLost
 	}
 	return result.New(code, "the same request was running at %s when they crashed; it is refused for %s",
-		strings.Join(poison.Servers(record), ", "), left).WithRetryAfter(max(left, 0))
+		strings.Join(poison.CrashedServers(record), ", "), left).WithRetryAfter(max(left, 0))
 }
 
 // noteCrash notes that a server crashed while it ran an attempt of a request, and tells control, as the agent does that reported it.
 func (s *Scheduler) noteCrash(r *request, crash *wire.Crash) {
 	if s.poison.crashed(r.poisonKey(), crash, s.now) {
-		s.act(ReportCrash{Note: &wire.NoteCrash{Crash: crash, Ran: []*wire.PoisonRecord{r.poisonKey().Record()}}})
+		s.act(ReportCrash{Note: &wire.NoteCrash{Crash: crash, Ran: []*wire.PoisonRecord{r.poisonKey().NewRecord()}}})
 	}
 }
 
--- a/sched/poison_test.go
+++ b/sched/poison_test.go
@@ -54,9 +54,9 @@
 
 // committed is a record of so many crashes.
 func committed(key poison.Key, crashes int, version uint64) *wire.PoisonRecord {
-	record := key.Record()
+	record := key.NewRecord()
 	for i := range crashes {
-		poison.Add(record, &wire.Crash{Id: fmt.Sprint(i), Server: fmt.Sprint("other-", i), Alone: i == 2}, 1)
+		poison.AddCrash(record, &wire.Crash{Id: fmt.Sprint(i), Server: fmt.Sprint("other-", i), Alone: i == 2}, 1)
 	}
 	record.Version = version
 	return record
@@ -81,10 +81,10 @@
 func TestEntryGoesByTheCrashesThatItHasSeen(t *testing.T) {
 	w := poisonWorld(t, 6)
 	w.arrive("r1", gateCheck)
-	for n := range poison.QuarantinedAt {
+	for n := range poison.QuarantineThreshold {
 		w.crash(w.last("r1", n+1))
 	}
-	require.Len(t, w.dispatches("r1"), poison.QuarantinedAt)
+	require.Len(t, w.dispatches("r1"), poison.QuarantineThreshold)
 	require.Equal(t, result.EngineLost, w.failures["r1"].Code)
 	require.Equal(t, result.RanYes, w.failures["r1"].Ran)
 
@@ -123,7 +123,7 @@
 	w := poisonWorld(t, 6)
 	var notes []*wire.NoteCrash
 	w.arrive("r1", gateCheck)
-	for n := range poison.QuarantinedAt {
+	for n := range poison.QuarantineThreshold {
 		at := w.last("r1", n+1)
 		for _, proof := range []wire.Proof{wire.Proof_PROOF_UNPROVEN, wire.Proof_PROOF_CANCELLED} {
 			over := &wire.Over{
@@ -139,11 +139,11 @@
 		}
 		w.pass(TickInterval)
 	}
-	require.Len(t, notes, poison.QuarantinedAt, "each crash once, though it is heard of before and with the proof")
-	record := w.print(gateCheck).Record()
+	require.Len(t, notes, poison.QuarantineThreshold, "each crash once, though it is heard of before and with the proof")
+	record := w.print(gateCheck).NewRecord()
 	for i, note := range notes {
 		require.Equal(t, w.print(gateCheck), poison.KeyOf(note.GetRan()[0]))
-		require.True(t, poison.Add(record, note.GetCrash(), uint64(i)))
+		require.True(t, poison.AddCrash(record, note.GetCrash(), uint64(i)))
 	}
 	require.Equal(t, poison.Quarantined, poison.StandingOf(record))
 }
--- a/session/view_test.go
+++ b/session/view_test.go
@@ -76,7 +76,7 @@
 	one := poison.Key{Organisation: "org", Fingerprint: 1}
 	two := poison.Key{Organisation: "org", Fingerprint: 2}
 	v, err := newView().withDirectory(&wire.DirectoryUpdate{
-		Version: 5, Full: true, Poison: []*wire.PoisonRecord{one.Record(), two.Record()},
+		Version: 5, Full: true, Poison: []*wire.PoisonRecord{one.NewRecord(), two.NewRecord()},
 	})
 	require.NoError(t, err)
 	v, err = v.withDirectory(&wire.DirectoryUpdate{Version: 6, Base: 5, RemovedPoison: []string{one.String()}})
--- a/state/poison.go
+++ b/state/poison.go
@@ -51,11 +51,11 @@
 
 // addCrash notes a crash against one request.
 func (s *State) addCrash(key poison.Key, crash *wire.Crash) {
-	record := key.Record()
+	record := key.NewRecord()
 	if known := s.poisoned.records[key.String()]; known != nil {
 		record = proto.CloneOf(known)
 	}
-	if !poison.Add(record, crash, s.unixMS) {
+	if !poison.AddCrash(record, crash, s.unixMS) {
 		return
 	}
 	if s.poisoned.records[key.String()] == nil {
@@ -143,7 +143,7 @@
 			continue
 		}
 		next := proto.CloneOf(record)
-		if !poison.StepDown(next, s.unixMS) {
+		if !poison.Downgrade(next, s.unixMS) {
 			next = nil
 		}
 		s.setPoison(poison.KeyOf(record), next)
--- a/state/poison_test.go
+++ b/state/poison_test.go
@@ -15,7 +15,7 @@
 )
 
 func printOf(organisation string, fingerprint int) *wire.PoisonRecord {
-	return poison.Key{Organisation: organisation, Fingerprint: poison.Fingerprint(fingerprint)}.Record()
+	return poison.Key{Organisation: organisation, Fingerprint: poison.Fingerprint(fingerprint)}.NewRecord()
 }
 
 // crash notes that a server crashed while it ran these. One that ran a single request is taken to have run it alone.
@@ -26,7 +26,7 @@
 }
 
 func (l *log) quarantine(record *wire.PoisonRecord) {
-	for i := range poison.QuarantinedAt {
+	for i := range poison.QuarantineThreshold {
 		l.crash(fmt.Sprint("server-", i), record)
 	}
 }
@@ -36,7 +36,7 @@
 }
 
 func (l *log) clear(version uint64, record *wire.PoisonRecord) {
-	cleared := poison.KeyOf(record).Record()
+	cleared := poison.KeyOf(record).NewRecord()
 	cleared.Version = version
 	l.accept(&wire.Command{Kind: &wire.Command_ClearPoison{ClearPoison: &wire.ClearPoison{Cleared: []*wire.PoisonRecord{cleared}}}})
 }
@@ -59,7 +59,7 @@
 	update := l.state.DirectorySince(before)
 	require.False(t, update.GetFull())
 	require.Len(t, update.GetPoison(), 1)
-	require.Equal(t, []string{"s1", "s2", "s3"}, poison.Servers(update.GetPoison()[0]))
+	require.Equal(t, []string{"s1", "s2", "s3"}, poison.CrashedServers(update.GetPoison()[0]))
 
 	before = l.state.DirectoryVersion()
 	l.crash("s4", a)
@@ -233,8 +233,8 @@
 			alone = alone || crash.GetAlone()
 		}
 		if poison.StandingOf(record) == poison.Quarantined {
-			require.GreaterOrEqual(t, len(ids), poison.QuarantinedAt)
-			require.True(t, alone || len(ids) > poison.QuarantinedAt)
+			require.GreaterOrEqual(t, len(ids), poison.QuarantineThreshold)
+			require.True(t, alone || len(ids) > poison.QuarantineThreshold)
 			require.Positive(t, record.GetQuarantines())
 		}
 		require.Greater(t, record.GetUntilUnixMs(), record.GetCrashes()[0].GetUnixMs())
--- a/state/shares.go
+++ b/state/shares.go
@@ -15,7 +15,7 @@
 // tolerate beyond it, and in any window an entry uses no more than its share. So no window sees more, whatever messages are
 // lost or late, whoever dies, and whether or not control is heard. Three guards keep it: a share is raised only as far as
 // the sum allows; it is lowered only by its holder, which uses less from before it asks for that; and one of a holder that
-// has died stays until its use has left the window, see [quota.Releases].
+// has died stays until its use has left the window, see [quota.Releaser].
 type shares struct {
 	holders map[shareHolder]*heldShares
 	held    map[string]uint64 // by organisation, the sum over all holders
