--- a/agent/agent.go
+++ b/agent/agent.go
@@ -188,10 +188,10 @@
 	a.ready = &readiness{control: a.session.Ready}
 	a.links = a.entryServer()
 	a.reports = outbox.New(outbox.Options{
-		Log:     a.log,
-		Propose: a.session.Propose,
-		Retried: func() { a.meter.retried(retryReport) },
-		Refused: a.meter.ringRefused,
+		Log:       a.log,
+		Propose:   a.session.Propose,
+		OnRetry:   func() { a.meter.retried(retryReport) },
+		OnRefused: a.meter.ringRefused,
 	})
 	a.servers = newServers(serverDeps{
 		log:       a.log,
--- a/agent/entryloss_test.go
+++ b/agent/entryloss_test.go
@@ -51,7 +51,7 @@
 		w.control.setView(&session.View{ConfigVersion: 1})
 
 		w.until("the outcome is committed", func() bool {
-			return len(w.control.completed()) == 4 && w.agent.reports.Open() == 0
+			return len(w.control.completed()) == 4 && w.agent.reports.Pending() == 0
 		})
 		outcome := w.control.completed()[3]
 		assert.Equal(t, "org-1", outcome.GetOrganisation())
--- a/agent/server_actions.go
+++ b/agent/server_actions.go
@@ -112,10 +112,10 @@
 // and its caller would never get the answer that the service gave.
 func outcomeReport(c *wire.CompleteOperation) outbox.Item {
 	return outbox.Item{
-		Kind:    "outcome",
-		Field:   "request",
-		Subject: c.GetRequest(),
-		Command: &wire.Command{Kind: &wire.Command_CompleteOperation{CompleteOperation: c}},
+		EventPrefix: "outcome",
+		LogKey:      "request",
+		LogValue:    c.GetRequest(),
+		Command:     &wire.Command{Kind: &wire.Command_CompleteOperation{CompleteOperation: c}},
 	}
 }
 
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -75,7 +75,7 @@
 		requests = append(requests, run.Request)
 		fingerprints = append(fingerprints, key.String())
 	}
-	s.report(outbox.Crash(note))
+	s.report(outbox.CrashReport(note))
 	if !a.Again {
 		s.meter.crashed()
 	}
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -54,7 +54,7 @@
 			return false
 		}
 	}
-	return a.reports.Open() == 0
+	return a.reports.Pending() == 0
 }
 
 // remove has control commit that this incarnation left. Without an answer the directory keeps it until control
--- a/control/announcements.go
+++ b/control/announcements.go
@@ -16,7 +16,7 @@
 	var ended, contested bool
 	run := in.Run().String()
 	c.machine.read(func(s *state.State) {
-		held, ended, contested = s.Announcement(run), s.HasEnded(run), s.IsContested(in.GetServer())
+		held, ended, contested = s.Announcement(run), s.HasRunEnded(run), s.IsContested(in.GetServer())
 	})
 	if ended || !contested && isKnown(held, in) {
 		return nil
@@ -53,7 +53,7 @@
 // settle.
 func (c *Control) EndServer(ctx context.Context, run wire.Run) error {
 	ended := false
-	c.machine.read(func(s *state.State) { ended = s.HasEnded(run.String()) })
+	c.machine.read(func(s *state.State) { ended = s.HasRunEnded(run.String()) })
 	if ended {
 		return nil
 	}
--- a/control/http_status.go
+++ b/control/http_status.go
@@ -97,13 +97,13 @@
 	var classes []*wire.Class
 	var records []*wire.PoisonRecord
 	c.machine.read(func(s *state.State) {
-		agents, entries, classes, records = s.Agents(), s.Entries(), s.Classes(), s.WatchedPoison()
+		agents, entries, classes, records = s.Agents(), s.Entries(), s.Classes(), s.PublishedPoisonRecords()
 		out.Index, out.Fence = s.Index(), s.Fence()
 		out.ConfigVersion, out.DirectoryVersion = s.ConfigVersion(), s.DirectoryVersion()
 		counts := s.Counts()
 		out.Operations = operationsJSON{counts.Operations, counts.AnswerBytes, counts.ExpiredKeys}
 		out.Orders = len(s.Orders())
-		out.Advice = adviceStatus(s.Advice())
+		out.Advice = adviceStatus(s.ServerAdvice())
 	})
 	registered := make(map[string]bool)
 	for _, a := range agents {
--- a/control/leader.go
+++ b/control/leader.go
@@ -220,7 +220,7 @@
 // expirePoison steps down what is known of requests under which servers have crashed.
 func (l *leader) expirePoison(ctx context.Context) error {
 	due := false
-	l.control.machine.read(func(s *state.State) { due = s.IsPoisonDue(uint64(time.Now().UnixMilli())) })
+	l.control.machine.read(func(s *state.State) { due = s.HasExpiredPoison(uint64(time.Now().UnixMilli())) })
 	if !due {
 		return nil
 	}
@@ -234,7 +234,7 @@
 	before = uint64(time.Now().Add(-l.control.settings.Timing.KeyRecords).UnixMilli())
 	var counts state.Counts
 	l.control.machine.read(func(s *state.State) {
-		before = max(before, s.CrowdedBefore())
+		before = max(before, s.CapacityExpiryCutoff())
 		counts = s.Counts()
 	})
 	if counts.OldestUnixMS == 0 || counts.OldestUnixMS >= before {
--- a/control/usage.go
+++ b/control/usage.go
@@ -24,7 +24,7 @@
 func (c *Control) heldByOthers(from quota.Incarnation, organisation string) uint64 {
 	var held uint64
 	c.machine.read(func(s *state.State) {
-		held = s.HeldOf(organisation) - s.HeldBy(from.Instance, from.Number, organisation)
+		held = s.TotalHeldUnits(organisation) - s.HeldUnits(from.Instance, from.Number, organisation)
 	})
 	return held
 }
@@ -58,7 +58,7 @@
 
 func (c *Control) release(ctx context.Context, releases *quota.Releases, now time.Time) {
 	var ended []*wire.HeldShares
-	c.machine.read(func(s *state.State) { ended = s.EndedShares() })
+	c.machine.read(func(s *state.State) { ended = s.SharesOfEndedEntries() })
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	for _, command := range releases.Due(now, ended) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -166,10 +166,10 @@
 		return nil, err
 	}
 	e.outbox = outbox.New(outbox.Options{
-		Log:     e.log,
-		Propose: e.control.Propose,
-		Retried: func() { e.meter.add(metricOutboxRetries, 1) },
-		Refused: func(string) { e.meter.add(metricOutboxRefused, 1) },
+		Log:       e.log,
+		Propose:   e.control.Propose,
+		OnRetry:   func() { e.meter.add(metricOutboxRetries, 1) },
+		OnRefused: func(string) { e.meter.add(metricOutboxRefused, 1) },
 	})
 	e.scheduler, err = sched.New(e.schedulerOptions(options))
 	if err != nil {
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -51,9 +51,9 @@
 // clearReport has control forget the crashes that a request was beside which was answered since.
 func clearReport(record *wire.PoisonRecord) outbox.Item {
 	return outbox.Item{
-		Kind:    "clear",
-		Field:   "poison",
-		Subject: poison.KeyOf(record).String(),
+		EventPrefix: "clear",
+		LogKey:      "poison",
+		LogValue:    poison.KeyOf(record).String(),
 		Command: &wire.Command{Kind: &wire.Command_ClearPoison{
 			ClearPoison: &wire.ClearPoison{Cleared: []*wire.PoisonRecord{record}},
 		}},
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -87,7 +87,7 @@
 	case sched.ProveAtEngine:
 		e.prover.ask(a)
 	case sched.ReportCrash:
-		e.outbox.Put(outbox.Crash(a.Note))
+		e.outbox.Put(outbox.CrashReport(a.Note))
 	case sched.ClearPoison:
 		for _, record := range a.Records {
 			e.outbox.Put(clearReport(record))
--- a/outbox/outbox.go
+++ b/outbox/outbox.go
@@ -26,23 +26,23 @@
 
 // Item is a command whose second commit changes nothing more.
 type Item struct {
-	// Kind begins the names of the log lines, such as "outcome".
-	Kind string
-	// Field and Subject say in these lines what the item is about.
-	Field, Subject string
-	Command        *wire.Command
+	// EventPrefix begins the names of the log lines, such as "outcome".
+	EventPrefix string
+	// LogKey and LogValue say in these lines what the item is about.
+	LogKey, LogValue string
+	Command          *wire.Command
 }
 
-// Crash tells what a server ran when it crashed.
+// CrashReport tells what a server ran when it crashed.
 //
 // The agent beside the server saw all of it, and reports it whoever of the entries has died; an entry reports its own part, since
 // the agent may be cut off from control.
-func Crash(note *wire.NoteCrash) Item {
+func CrashReport(note *wire.NoteCrash) Item {
 	return Item{
-		Kind:    "crash",
-		Field:   "server",
-		Subject: note.GetCrash().GetServer(),
-		Command: &wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: note}},
+		EventPrefix: "crash",
+		LogKey:      "server",
+		LogValue:    note.GetCrash().GetServer(),
+		Command:     &wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: note}},
 	}
 }
 
@@ -51,9 +51,9 @@
 	Log log.Interface
 	// Propose has a command committed at control.
 	Propose func(ctx context.Context, command *wire.Command) (*wire.CommandResult, error)
-	// Retried counts a proposal that is tried again, Refused an item that the full ring of that name refused.
-	Retried func()
-	Refused func(ring string)
+	// OnRetry counts a proposal that is tried again, Refused an item that the full ring of that name refused.
+	OnRetry   func()
+	OnRefused func(ring string)
 }
 
 // Outbox has items committed in their order. Its methods may be called from any goroutine.
@@ -75,14 +75,14 @@
 		return
 	}
 	o.open.Add(-1)
-	if o.options.Refused != nil {
-		o.options.Refused(o.waiting.Name())
+	if o.options.OnRefused != nil {
+		o.options.OnRefused(o.waiting.Name())
 	}
-	o.options.Log.WithField(one.Field, one.Subject).Error(one.Kind + "_not_reported")
+	o.options.Log.WithField(one.LogKey, one.LogValue).Error(one.EventPrefix + "_not_reported")
 }
 
-// Open is how many items are neither committed nor refused.
-func (o *Outbox) Open() int64 { return o.open.Load() }
+// Pending is how many items are neither committed nor refused.
+func (o *Outbox) Pending() int64 { return o.open.Load() }
 
 // Run has items committed until ctx ends. It returns nil.
 func (o *Outbox) Run(ctx context.Context) error {
@@ -100,16 +100,16 @@
 	wait := retryMin
 	for {
 		answer, err := o.try(ctx, one)
-		fields := o.options.Log.WithField(one.Field, one.Subject)
+		fields := o.options.Log.WithField(one.LogKey, one.LogValue)
 		if err == nil {
 			o.open.Add(-1)
-			fields.WithField("code", answer.GetCode()).Info(one.Kind + "_committed")
+			fields.WithField("code", answer.GetCode()).Info(one.EventPrefix + "_committed")
 			return
 		}
-		if o.options.Retried != nil {
-			o.options.Retried()
+		if o.options.OnRetry != nil {
+			o.options.OnRetry()
 		}
-		fields.WithError(err).Warn(one.Kind + "_not_committed")
+		fields.WithError(err).Warn(one.EventPrefix + "_not_committed")
 		if !pause.For(ctx, wait) {
 			return
 		}
--- a/outbox/outbox_test.go
+++ b/outbox/outbox_test.go
@@ -24,7 +24,7 @@
 		retried := 0
 		r := New(Options{
 			Log:     &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
-			Retried: func() { retried++ },
+			OnRetry: func() { retried++ },
 			Propose: func(_ context.Context, command *wire.Command) (*wire.CommandResult, error) {
 				if time.Now().Before(back) {
 					return nil, errors.New("no leader")
@@ -38,15 +38,15 @@
 		done := make(chan error, 1)
 		go func() { done <- r.Run(ctx) }()
 		for _, id := range []string{"a", "b"} {
-			r.Put(Crash(&wire.NoteCrash{Crash: &wire.Crash{Id: id, Server: "s"}}))
+			r.Put(CrashReport(&wire.NoteCrash{Crash: &wire.Crash{Id: id, Server: "s"}}))
 		}
 		time.Sleep(30 * time.Second)
 		require.Empty(t, committed)
-		require.EqualValues(t, 2, r.Open())
+		require.EqualValues(t, 2, r.Pending())
 		time.Sleep(time.Minute)
 		require.Equal(t, []string{"a", "b"}, committed, "in their order")
 		require.LessOrEqual(t, at.Sub(back), retryMax)
-		require.Zero(t, r.Open())
+		require.Zero(t, r.Pending())
 		require.Positive(t, retried)
 		stop()
 		require.NoError(t, <-done)
@@ -56,12 +56,12 @@
 func TestFullRingRefusesItems(t *testing.T) {
 	refused := 0
 	r := New(Options{
-		Log:     &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
-		Refused: func(string) { refused++ },
+		Log:       &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
+		OnRefused: func(string) { refused++ },
 	})
 	for range capacity + 3 {
-		r.Put(Crash(&wire.NoteCrash{}))
+		r.Put(CrashReport(&wire.NoteCrash{}))
 	}
 	require.Equal(t, 3, refused)
-	require.EqualValues(t, capacity, r.Open())
+	require.EqualValues(t, capacity, r.Pending())
 }
--- a/quota/cap_test.go
+++ b/quota/cap_test.go
@@ -315,7 +315,7 @@
 	share := f.org[0].share
 	f.caps[0].Moved(raise, late)
 	require.Equal(t, share, f.org[0].share)
-	require.LessOrEqual(t, share, float64(f.state.HeldBy("e1", 1, "org")))
+	require.LessOrEqual(t, share, float64(f.state.HeldUnits("e1", 1, "org")))
 }
 
 // Symptom: callers of an entry that has just started are refused for as long as an overload lasts, those of the others are
--- a/quota/exhaustive_test.go
+++ b/quota/exhaustive_test.go
@@ -39,7 +39,7 @@
 	w := &smallWorld{fleet: newFleet(t, 0, windowOnly)}
 	w.setCap(0, smallCap)
 	w.ledger = NewLedger(func(string, time.Duration) float64 { return smallCap }, func(from Incarnation, name string) uint64 {
-		return w.state.HeldOf(name) - w.state.HeldBy(from.Instance, from.Number, name)
+		return w.state.TotalHeldUnits(name) - w.state.HeldUnits(from.Instance, from.Number, name)
 	})
 	w.releases = NewReleases(w.ledger)
 	w.begin(0)
@@ -152,7 +152,7 @@
 }
 
 func (w *smallWorld) release() {
-	for _, command := range w.releases.Due(w.clock.now, w.state.EndedShares()) {
+	for _, command := range w.releases.Due(w.clock.now, w.state.SharesOfEndedEntries()) {
 		w.apply(&wire.Command{Kind: &wire.Command_ReleaseShares{ReleaseShares: command}})
 	}
 	w.changes++
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -114,7 +114,7 @@
 // tellAll has all entries hear how the others stand.
 func (f *fleet) tellAll() {
 	ledger := NewLedger(func(string, time.Duration) float64 { return 1000 }, func(from Incarnation, name string) uint64 {
-		return f.state.HeldOf(name) - f.state.HeldBy(from.Instance, from.Number, name)
+		return f.state.TotalHeldUnits(name) - f.state.HeldUnits(from.Instance, from.Number, name)
 	})
 	for range 2 { // the first words are answered before the others have spoken
 		for _, c := range f.caps {
--- a/quota/sim_control_test.go
+++ b/quota/sim_control_test.go
@@ -20,7 +20,7 @@
 			return last.rate*simWindow.Seconds() + last.burst
 		},
 		func(from quota.Incarnation, name string) uint64 {
-			return s.state.HeldOf(name) - s.state.HeldBy(from.Instance, from.Number, name)
+			return s.state.TotalHeldUnits(name) - s.state.HeldUnits(from.Instance, from.Number, name)
 		},
 	)
 	if c.disk != nil {
@@ -142,7 +142,7 @@
 	if leader < 0 {
 		return
 	}
-	for _, release := range s.releases.Due(s.clock(), s.state.EndedShares()) {
+	for _, release := range s.releases.Due(s.clock(), s.state.SharesOfEndedEntries()) {
 		s.apply(&wire.Command{Kind: &wire.Command_ReleaseShares{ReleaseShares: release}})
 	}
 	for _, e := range s.entries {
--- a/state/advice.go
+++ b/state/advice.go
@@ -67,8 +67,8 @@
 	s.dropAdvice(oldest)
 }
 
-// Advice returns what servers ask of their senders, sorted by server.
-func (s *State) Advice() []*wire.ServerAdvice { return sorted(s.advice) }
+// ServerAdvice returns what servers ask of their senders, sorted by server.
+func (s *State) ServerAdvice() []*wire.ServerAdvice { return sorted(s.advice) }
 
 // addAdviceTo puts what is known of a server into an update.
 func (s *State) addAdviceTo(out *wire.DirectoryUpdate, server string) {
--- a/state/advice_test.go
+++ b/state/advice_test.go
@@ -14,7 +14,7 @@
 
 // advise applies what a sender heard of a server, by the version of the record that it goes by.
 func advise(s *State, advice *wire.ServerAdvice) *wire.CommandResult {
-	return s.Apply(s.Index()+1, &wire.Command{UnixMs: s.UnixMS() + 1, Kind: &wire.Command_NoteServerAdvice{
+	return s.Apply(s.Index()+1, &wire.Command{UnixMs: s.LeaderUnixMS() + 1, Kind: &wire.Command_NoteServerAdvice{
 		NoteServerAdvice: &wire.NoteServerAdvice{Advice: advice},
 	}})
 }
@@ -34,12 +34,12 @@
 
 	restored := Restore(s.Snapshot())
 	require.True(t, proto.Equal(s.Snapshot(), restored.Snapshot()))
-	require.Equal(t, 2.5, restored.Advice()[0].GetRatePerS())
+	require.Equal(t, 2.5, restored.ServerAdvice()[0].GetRatePerS())
 
 	before = s.DirectoryVersion()
-	advise(s, &wire.ServerAdvice{Server: "a", Version: s.Advice()[0].GetVersion()})
+	advise(s, &wire.ServerAdvice{Server: "a", Version: s.ServerAdvice()[0].GetVersion()})
 	require.Equal(t, []string{"a"}, s.DirectorySince(before).GetRemovedAdvice())
-	require.Len(t, s.Advice(), 1)
+	require.Len(t, s.ServerAdvice(), 1)
 }
 
 // A word that was delayed, or proposed again after its outcome was lost, must not undo a later one.
@@ -47,11 +47,11 @@
 	s := New()
 	first := limited("a", 2, 0)
 	advise(s, first)
-	advise(s, limited("a", 1, s.Advice()[0].GetVersion()))
+	advise(s, limited("a", 1, s.ServerAdvice()[0].GetVersion()))
 	advise(s, first)
-	require.Equal(t, 1.0, s.Advice()[0].GetRatePerS())
+	require.Equal(t, 1.0, s.ServerAdvice()[0].GetRatePerS())
 	advise(s, &wire.ServerAdvice{Server: "a", Version: 1})
-	require.Len(t, s.Advice(), 1)
+	require.Len(t, s.ServerAdvice(), 1)
 }
 
 func TestAdviceWithoutMeaningIsRefused(t *testing.T) {
@@ -62,7 +62,7 @@
 	} {
 		require.EqualValues(t, result.BadMessage, advise(s, advice).GetCode(), "%v", advice)
 	}
-	require.Empty(t, s.Advice())
+	require.Empty(t, s.ServerAdvice())
 }
 
 func TestAdviceIsBounded(t *testing.T) {
@@ -72,8 +72,8 @@
 	for i := range 5 {
 		advise(s, limited(fmt.Sprint("server-", i), 1, 0))
 	}
-	require.Len(t, s.Advice(), 3)
-	require.Equal(t, "server-2", s.Advice()[0].GetServer())
+	require.Len(t, s.ServerAdvice(), 3)
+	require.Equal(t, "server-2", s.ServerAdvice()[0].GetServer())
 }
 
 // Another run at the address has asked nothing yet.
@@ -89,7 +89,7 @@
 	announce(100, 1)
 	run := s.Announcements()[0].Run().String()
 	advise(s, limited(run, 1, 0))
-	require.Len(t, s.Advice(), 1)
+	require.Len(t, s.ServerAdvice(), 1)
 	announce(200, 1)
-	require.Empty(t, s.Advice())
+	require.Empty(t, s.ServerAdvice())
 }
--- a/state/announcements.go
+++ b/state/announcements.go
@@ -260,8 +260,8 @@
 // Announcement returns what a run of a server says of itself, nil if it isn't known or has ended.
 func (s *State) Announcement(run string) *wire.Announcement { return s.announcements.byRun[run] }
 
-// HasEnded tells whether a run is known to have ended for good.
-func (s *State) HasEnded(run string) bool { return s.announcements.ended.has[run] }
+// HasRunEnded tells whether a run is known to have ended for good.
+func (s *State) HasRunEnded(run string) bool { return s.announcements.ended.has[run] }
 
 // IsContested tells whether another run than the one that is held announces itself under an id. Then announcements of both count.
 func (s *State) IsContested(server string) bool { return s.announcements.contenders[server] != nil }
--- a/state/announcements_test.go
+++ b/state/announcements_test.go
@@ -72,7 +72,7 @@
 	l.accept(announce("s1", "10.0.0.1:1", 2, false))
 	l.accept(announce("never-heard-of", "10.0.0.3:1", 1, false))
 	require.Empty(t, l.state.Announcements())
-	require.True(t, l.state.HasEnded("s1"))
+	require.True(t, l.state.HasRunEnded("s1"))
 }
 
 func TestEndedNamesAreBounded(t *testing.T) {
@@ -83,7 +83,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		l.accept(endServer(name))
 	}
-	require.False(t, l.state.HasEnded("a"))
-	require.True(t, l.state.HasEnded("b"))
+	require.False(t, l.state.HasRunEnded("a"))
+	require.True(t, l.state.HasRunEnded("b"))
 	require.Equal(t, []string{"b", "c"}, l.state.Snapshot().GetEndedServers())
 }
--- a/state/change.go
+++ b/state/change.go
@@ -72,7 +72,7 @@
 }
 
 func (s *State) changeHorizon() uint64 {
-	age := uint64(s.limits.ChangeAge.Milliseconds())
+	age := uint64(s.limits.ChangeRetention.Milliseconds())
 	if s.unixMS < age {
 		return 0
 	}
--- a/state/class_test.go
+++ b/state/class_test.go
@@ -103,7 +103,7 @@
 	l.accept(putClass(class("c"), 0, "3"))
 	l.refuse(result.VersionConflict, putClass(class("a"), 0, "1"))
 	require.Equal(t, 2, l.state.Counts().Changes)
-	l.now += uint64(limits.ChangeAge.Milliseconds()) + 1
+	l.now += uint64(limits.ChangeRetention.Milliseconds()) + 1
 	l.accept(putClass(class("d"), 0, "4"))
 	require.Equal(t, 1, l.state.Counts().Changes)
 }
@@ -166,8 +166,8 @@
 func TestClockNeverFalls(t *testing.T) {
 	l := newLog(t)
 	l.accept(raiseFence())
-	was := l.state.UnixMS()
+	was := l.state.LeaderUnixMS()
 	l.now -= 1000
 	l.accept(raiseFence())
-	require.Equal(t, was, l.state.UnixMS())
+	require.Equal(t, was, l.state.LeaderUnixMS())
 }
--- a/state/complete.go
+++ b/state/complete.go
@@ -84,7 +84,7 @@
 // Who sends the request again then hears that it ran.
 func (s *State) keepable(a *wire.Answer) *wire.Answer {
 	size := len(a.GetBody())
-	if size > s.limits.AnswerBytes || s.operations.answerBytes+size > s.limits.AnswersBytes {
+	if size > s.limits.AnswerBytes || s.operations.answerBytes+size > s.limits.TotalAnswerBytes {
 		return withoutBody(a)
 	}
 	if a == nil {
--- a/state/directory.go
+++ b/state/directory.go
@@ -107,7 +107,7 @@
 		return accepted()
 	}
 	delete(s.agents, cmd.GetAgent())
-	s.ended.add(wire.Role_ROLE_AGENT, cmd.GetAgent(), cmd.GetIncarnation(), s.limits.Ended)
+	s.ended.add(wire.Role_ROLE_AGENT, cmd.GetAgent(), cmd.GetIncarnation(), s.limits.EndedIncarnations)
 	s.raiseDirectory(agentPrefix + cmd.GetAgent())
 	return accepted()
 }
@@ -146,7 +146,7 @@
 	}
 	delete(s.entries, cmd.GetEntry())
 	s.endShares(cmd.GetEntry(), cmd.GetIncarnation())
-	s.ended.add(wire.Role_ROLE_ENTRY, cmd.GetEntry(), cmd.GetIncarnation(), s.limits.Ended)
+	s.ended.add(wire.Role_ROLE_ENTRY, cmd.GetEntry(), cmd.GetIncarnation(), s.limits.EndedIncarnations)
 	s.raiseDirectory(entryPrefix + cmd.GetEntry())
 	return accepted()
 }
--- a/state/expire.go
+++ b/state/expire.go
@@ -68,9 +68,9 @@
 	crowdedDenominator = 8
 )
 
-// CrowdedBefore returns the time, in milliseconds since 1970, before which records should expire since there are too
+// CapacityExpiryCutoff returns the time, in milliseconds since 1970, before which records should expire since there are too
 // many of them, or 0.
-func (s *State) CrowdedBefore() uint64 {
+func (s *State) CapacityExpiryCutoff() uint64 {
 	excess := len(s.operations.byKey) - s.limits.Operations*crowdedNumerator/crowdedDenominator
 	if excess <= 0 {
 		return 0
--- a/state/operation_test.go
+++ b/state/operation_test.go
@@ -233,7 +233,7 @@
 
 func TestBoundsOfOperations(t *testing.T) {
 	limits := DefaultLimits
-	limits.Operations, limits.AnswerBytes, limits.AnswersBytes, limits.Servers = 4, 10, 15, 2
+	limits.Operations, limits.AnswerBytes, limits.TotalAnswerBytes, limits.Servers = 4, 10, 15, 2
 	l := newLog(t)
 	l.state = newState(limits)
 	l.accept(entry("e", 1))
@@ -350,11 +350,11 @@
 	l.state = newState(limits)
 	l.accept(entry("e", 1))
 	for i := range 8 {
-		require.Zero(t, l.state.CrowdedBefore())
+		require.Zero(t, l.state.CapacityExpiryCutoff())
 		l.now += 10
 		l.begin(isBegun, begin(fmt.Sprint(i), "e", 1, "r"))
 	}
-	require.Equal(t, l.state.operations.first.begunMS+1, l.state.CrowdedBefore())
+	require.Equal(t, l.state.operations.first.begunMS+1, l.state.CapacityExpiryCutoff())
 }
 
 func TestKeyTime(t *testing.T) {
--- a/state/poison.go
+++ b/state/poison.go
@@ -98,7 +98,7 @@
 	p := &s.poisoned
 	switch {
 	case p.counts[organisation] >= s.limits.PoisonPerOrganisation:
-	case len(p.records) >= s.limits.Poison:
+	case len(p.records) >= s.limits.PoisonRecords:
 		names := slices.Sorted(maps.Keys(p.counts))
 		organisation = slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(p.counts[a], p.counts[b]) })
 	default:
@@ -151,18 +151,18 @@
 	return accepted()
 }
 
-// Poison returns all requests under which servers have crashed, sorted by key.
-func (s *State) Poison() []*wire.PoisonRecord { return sorted(s.poisoned.records) }
+// PoisonRecords returns all requests under which servers have crashed, sorted by key.
+func (s *State) PoisonRecords() []*wire.PoisonRecord { return sorted(s.poisoned.records) }
 
-// WatchedPoison returns those that are watched or quarantined, which is what clients get to know, sorted by key.
-func (s *State) WatchedPoison() []*wire.PoisonRecord {
-	return slices.DeleteFunc(s.Poison(), func(record *wire.PoisonRecord) bool {
+// PublishedPoisonRecords returns those that are watched or quarantined, which is what clients get to know, sorted by key.
+func (s *State) PublishedPoisonRecords() []*wire.PoisonRecord {
+	return slices.DeleteFunc(s.PoisonRecords(), func(record *wire.PoisonRecord) bool {
 		return poison.StandingOf(record) == poison.Clear
 	})
 }
 
-// IsPoisonDue tells whether records are to step down at a time, in milliseconds since 1970.
-func (s *State) IsPoisonDue(unixMS uint64) bool {
+// HasExpiredPoison tells whether records are to step down at a time, in milliseconds since 1970.
+func (s *State) HasExpiredPoison(unixMS uint64) bool {
 	for _, record := range s.poisoned.records {
 		if record.GetUntilUnixMs() <= unixMS {
 			return true
--- a/state/poison_test.go
+++ b/state/poison_test.go
@@ -74,13 +74,13 @@
 	a := printOf("org", 1)
 	l.crash("s1", a)
 	l.crash("s2", a)
-	version := l.state.Poison()[0].GetVersion()
+	version := l.state.PoisonRecords()[0].GetVersion()
 	l.crash("s3", a)
 	l.clear(version, a)
 	require.Equal(t, poison.Quarantined, l.standing(a), "the proposal is older than the last crash")
 	before := l.state.DirectoryVersion()
-	l.clear(l.state.Poison()[0].GetVersion(), a)
-	require.Empty(t, l.state.Poison())
+	l.clear(l.state.PoisonRecords()[0].GetVersion(), a)
+	require.Empty(t, l.state.PoisonRecords())
 	require.Equal(t, []string{poison.KeyOf(a).String()}, l.state.DirectorySince(before).GetRemovedPoison())
 	l.clear(version, a)
 	l.restart()
@@ -95,12 +95,12 @@
 		l.accept(&wire.Command{Kind: &wire.Command_ExpirePoison{ExpirePoison: &wire.ExpirePoison{}}})
 	}
 	expire()
-	require.Len(t, l.state.Poison(), 2)
-	require.False(t, l.state.IsPoisonDue(l.now))
-	for steps := 0; len(l.state.Poison()) > 0; steps++ {
+	require.Len(t, l.state.PoisonRecords(), 2)
+	require.False(t, l.state.HasExpiredPoison(l.now))
+	for steps := 0; len(l.state.PoisonRecords()) > 0; steps++ {
 		require.Less(t, steps, 10)
 		l.now += uint64((2 * time.Hour).Milliseconds())
-		require.True(t, l.state.IsPoisonDue(l.now))
+		require.True(t, l.state.HasExpiredPoison(l.now))
 		before := l.state.DirectoryVersion()
 		expire()
 		require.Greater(t, l.state.DirectoryVersion(), before, "clients hear of each step")
@@ -114,7 +114,7 @@
 // sends requests without end that are under crashes. Cause: one bound for all organisations, the oldest first.
 func TestNoOrganisationPushesOutWhatIsKnownOfOthers(t *testing.T) {
 	limits := DefaultLimits
-	limits.Poison, limits.PoisonPerOrganisation = 12, 8
+	limits.PoisonRecords, limits.PoisonPerOrganisation = 12, 8
 	l := newLog(t)
 	l.state = newState(limits)
 	mine := printOf("mine", 1)
@@ -126,7 +126,7 @@
 	l.quarantine(theirs)
 	for i := range 100 {
 		l.crash("s1", printOf("rival", i+2))
-		require.LessOrEqual(t, len(l.state.Poison()), limits.Poison)
+		require.LessOrEqual(t, len(l.state.PoisonRecords()), limits.PoisonRecords)
 		require.LessOrEqual(t, l.state.poisoned.counts["rival"], limits.PoisonPerOrganisation)
 	}
 	require.Equal(t, poison.Quarantined, l.standing(mine))
@@ -141,7 +141,7 @@
 		l.refuse(result.BadMessage, &wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: &wire.NoteCrash{Crash: crash}}})
 	}
 	l.crash("s1", &wire.PoisonRecord{Organisation: "org"})
-	require.Empty(t, l.state.Poison(), "without a fingerprint it is of no request")
+	require.Empty(t, l.state.PoisonRecords(), "without a fingerprint it is of no request")
 }
 
 // Symptom: requests that harmed nobody have to begin alone. Sequence: three servers crash; their agents report it; an entry that is cut
@@ -163,7 +163,7 @@
 			note(&wire.Crash{Id: "s1@5", Server: "s1", Reporter: "agent-1", Once: crash.GetOnce()})
 			l.now += uint64((5 * time.Second).Milliseconds())
 			note(crash)
-			require.Len(t, l.state.Poison()[0].GetCrashes(), 1)
+			require.Len(t, l.state.PoisonRecords()[0].GetCrashes(), 1)
 		})
 	}
 }
@@ -194,7 +194,7 @@
 func TestPoisonIsEqualOnReplicasAndClients(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := DefaultLimits
-		limits.Poison, limits.PoisonPerOrganisation, limits.History = 5, 2, 3
+		limits.PoisonRecords, limits.PoisonPerOrganisation, limits.History = 5, 2, 3
 		l := newLog(rt)
 		l.state, l.other = newState(limits), newState(limits)
 		told, version := make(map[string]*wire.PoisonRecord), uint64(0)
@@ -211,7 +211,7 @@
 				}
 				replaceAll(told, u.GetPoison(), func(r *wire.PoisonRecord) string { return poison.KeyOf(r).String() }, u.GetRemovedPoison())
 				version = u.GetVersion()
-				want, got := &wire.Snapshot{Poison: l.state.WatchedPoison()}, &wire.Snapshot{Poison: sorted(told)}
+				want, got := &wire.Snapshot{Poison: l.state.PublishedPoisonRecords()}, &wire.Snapshot{Poison: sorted(told)}
 				require.True(rt, proto.Equal(want, got), "a client after its deltas:\n%v\n%v", want, got)
 			}
 		}
@@ -221,9 +221,9 @@
 
 // requirePoison checks what holds of all records at any time.
 func requirePoison(t require.TestingT, s *State) {
-	require.LessOrEqual(t, len(s.Poison()), s.limits.Poison)
+	require.LessOrEqual(t, len(s.PoisonRecords()), s.limits.PoisonRecords)
 	counts := make(map[string]int)
-	for _, record := range s.Poison() {
+	for _, record := range s.PoisonRecords() {
 		counts[record.GetOrganisation()]++
 		ids := make(map[string]bool)
 		alone := false
--- a/state/read.go
+++ b/state/read.go
@@ -9,8 +9,8 @@
 // Index returns the index of the last applied command.
 func (s *State) Index() uint64 { return s.index }
 
-// UnixMS returns the highest leader's clock seen, in milliseconds since 1970.
-func (s *State) UnixMS() uint64 { return s.unixMS }
+// LeaderUnixMS returns the highest leader's clock seen, in milliseconds since 1970.
+func (s *State) LeaderUnixMS() uint64 { return s.unixMS }
 
 // ConfigVersion returns the version of the configuration: the log index of its last change, 0 before the first.
 func (s *State) ConfigVersion() uint64 { return s.configVersion }
@@ -180,7 +180,7 @@
 		Entries: s.Entries(),
 
 		Announcements: s.Announcements(),
-		Poison:        s.WatchedPoison(),
-		Advice:        s.Advice(),
+		Poison:        s.PublishedPoisonRecords(),
+		Advice:        s.ServerAdvice(),
 	}
 }
--- a/state/replicas_test.go
+++ b/state/replicas_test.go
@@ -27,8 +27,8 @@
 
 // tightLimits make bounds bite within a few commands.
 var tightLimits = Limits{
-	Classes: 3, Instances: 3, ServersPerAgent: 2, Ended: 2, Draining: 2, Operations: 6, AnswerBytes: 3, AnswersBytes: 5,
-	Servers: 3, ExpiredKeys: 4, Changes: 3, ChangeAge: 1_000_000_000, History: 3,
+	Classes: 3, Instances: 3, ServersPerAgent: 2, EndedIncarnations: 2, Draining: 2, Operations: 6, AnswerBytes: 3, TotalAnswerBytes: 5,
+	Servers: 3, ExpiredKeys: 4, Changes: 3, ChangeRetention: 1_000_000_000, History: 3,
 }
 
 func drawName(t *rapid.T, label string) string {
@@ -108,10 +108,10 @@
 	require.LessOrEqual(t, len(s.classes), tightLimits.Classes)
 	require.LessOrEqual(t, len(s.agents), tightLimits.Instances)
 	require.LessOrEqual(t, len(s.entries), tightLimits.Instances)
-	require.LessOrEqual(t, len(s.ended.order), tightLimits.Ended)
+	require.LessOrEqual(t, len(s.ended.order), tightLimits.EndedIncarnations)
 	require.LessOrEqual(t, len(s.draining), tightLimits.Draining)
 	require.LessOrEqual(t, counts.Operations, tightLimits.Operations)
-	require.LessOrEqual(t, counts.AnswerBytes, tightLimits.AnswersBytes)
+	require.LessOrEqual(t, counts.AnswerBytes, tightLimits.TotalAnswerBytes)
 	require.LessOrEqual(t, counts.ExpiredKeys, tightLimits.ExpiredKeys)
 	require.LessOrEqual(t, counts.Changes, tightLimits.Changes)
 	require.LessOrEqual(t, len(s.configHistory.items), tightLimits.History)
--- a/state/shares.go
+++ b/state/shares.go
@@ -154,11 +154,11 @@
 	}
 }
 
-// HeldOf is how much of an organisation's cap is held in all.
-func (s *State) HeldOf(organisation string) uint64 { return s.shares.held[organisation] }
+// TotalHeldUnits is how much of an organisation's cap is held in all.
+func (s *State) TotalHeldUnits(organisation string) uint64 { return s.shares.held[organisation] }
 
-// HeldBy is how much of an organisation's cap one start of an entry holds.
-func (s *State) HeldBy(entry string, incarnation uint64, organisation string) uint64 {
+// HeldUnits is how much of an organisation's cap one start of an entry holds.
+func (s *State) HeldUnits(entry string, incarnation uint64, organisation string) uint64 {
 	held := s.shares.holders[shareHolder{entry, incarnation}]
 	if held == nil {
 		return 0
@@ -166,9 +166,9 @@
 	return held.units[organisation]
 }
 
-// EndedShares returns what entries that have ended still hold, sorted. Most of the time there are none, and the leader asks
+// SharesOfEndedEntries returns what entries that have ended still hold, sorted. Most of the time there are none, and the leader asks
 // ten times a second.
-func (s *State) EndedShares() []*wire.HeldShares {
+func (s *State) SharesOfEndedEntries() []*wire.HeldShares {
 	return s.shares.records(func(held *heldShares) bool { return held.ended })
 }
 
--- a/state/shares_test.go
+++ b/state/shares_test.go
@@ -52,7 +52,7 @@
 func (l *shareLog) move(entry string, incarnation, sequence, units uint64) *wire.CommandResult {
 	return l.apply(&wire.Command{Kind: &wire.Command_MoveShares{MoveShares: &wire.MoveShares{
 		Entry: entry, Incarnation: incarnation, Sequence: sequence, Tolerance: shareTolerance,
-		Shares: []*wire.Share{{Organisation: "org", Units: units, Uses: l.s.HeldBy(entry, incarnation, "org")}},
+		Shares: []*wire.Share{{Organisation: "org", Units: units, Uses: l.s.HeldUnits(entry, incarnation, "org")}},
 	}}})
 }
 
@@ -77,9 +77,9 @@
 	units(l.move("e1", 1, 2, 400))
 	own, _ = units(l.move("e2", 1, 2, 700))
 	require.EqualValues(t, 600, own)
-	require.EqualValues(t, 1000, l.s.HeldOf("org"))
-	require.EqualValues(t, 400, l.s.HeldBy("e1", 1, "org"))
-	require.Zero(t, l.s.HeldBy("e3", 1, "org"))
+	require.EqualValues(t, 1000, l.s.TotalHeldUnits("org"))
+	require.EqualValues(t, 400, l.s.HeldUnits("e1", 1, "org"))
+	require.Zero(t, l.s.HeldUnits("e3", 1, "org"))
 }
 
 // Symptom: a cap is overrun. Sequence: an entry lowers its share, and the proposal is held up; it raises the share again; the first
@@ -107,24 +107,24 @@
 	own, others := units(l.move("e1", 2, 1, 900))
 	require.Equal(t, [2]uint64{100, 900}, [2]uint64{own, others})
 	require.Equal(t, uint32(result.AttemptSuperseded), l.move("e1", 1, 2, 950).GetCode(), "the earlier start moves nothing any more")
-	ended := l.s.EndedShares()
+	ended := l.s.SharesOfEndedEntries()
 	require.Len(t, ended, 1)
 	require.True(t, ended[0].GetReplaced())
 	require.EqualValues(t, 8000, ended[0].GetWindowMs())
 
 	l.end("e1", 2)
-	require.Len(t, l.s.EndedShares(), 2)
-	require.False(t, l.s.EndedShares()[1].GetReplaced(), "it may be cut off and live")
+	require.Len(t, l.s.SharesOfEndedEntries(), 2)
+	require.False(t, l.s.SharesOfEndedEntries()[1].GetReplaced(), "it may be cut off and live")
 
 	l.release("e1", 1, 300)
 	own, _ = units(l.move("e2", 1, 1, 900))
 	require.EqualValues(t, 600, own)
 	l.release("e1", 1, 800)
-	require.EqualValues(t, 300, l.s.HeldBy("e1", 1, "org"), "a release raises nothing")
+	require.EqualValues(t, 300, l.s.HeldUnits("e1", 1, "org"), "a release raises nothing")
 	l.release("e1", 1, 0)
 	l.release("e2", 1, 0)
-	require.EqualValues(t, 600, l.s.HeldBy("e2", 1, "org"), "nothing is taken from an entry that is listed")
-	require.Len(t, l.s.EndedShares(), 1)
+	require.EqualValues(t, 600, l.s.HeldUnits("e2", 1, "org"), "nothing is taken from an entry that is listed")
+	require.Len(t, l.s.SharesOfEndedEntries(), 1)
 }
 
 // A lower cap takes nothing from anybody; its holders scale what they use, and nothing is raised until there is room.
@@ -180,7 +180,7 @@
 					sum += share.GetUnits()
 				}
 			}
-			require.Equal(t, sum, l.s.HeldOf("org"))
+			require.Equal(t, sum, l.s.TotalHeldUnits("org"))
 			require.LessOrEqual(t, sum, most)
 		}
 	})
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -35,8 +35,8 @@
 		ReplacedServers:     slices.Clone(s.announcements.replaced.order),
 		Contenders:          sorted(s.announcements.contenders),
 		Shares:              s.HeldShares(),
-		Poison:              s.Poison(),
-		Advice:              s.Advice(),
+		Poison:              s.PoisonRecords(),
+		Advice:              s.ServerAdvice(),
 	}
 }
 
@@ -72,7 +72,7 @@
 		s.draining[server] = true
 	}
 	for _, e := range in.GetEnded() {
-		s.ended.add(e.GetRole(), e.GetInstance(), e.GetIncarnation(), limits.Ended)
+		s.ended.add(e.GetRole(), e.GetInstance(), e.GetIncarnation(), limits.EndedIncarnations)
 	}
 	s.operations.restore(in)
 	s.desired = in.GetDesired()
