--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -38,7 +38,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
-			done <- control.RunOnDisk(ctx, func() (*control.Control, error) {
+			done <- control.RunWithDiskRetry(ctx, func() (*control.Control, error) {
 				opened, err := control.New(full.settings, control.Options{Network: c.net.Host(full.host), FS: full.fs, Seed: 1})
 				if err == nil {
 					latest.Store(opened)
@@ -79,6 +79,6 @@
 func TestOtherErrorsEndTheInstance(t *testing.T) {
 	silent := &log.Logger{Handler: discard.Default, Level: log.ErrorLevel}
 	broken := errors.New("broken")
-	err := control.RunOnDisk(t.Context(), func() (*control.Control, error) { return nil, broken }, silent)
+	err := control.RunWithDiskRetry(t.Context(), func() (*control.Control, error) { return nil, broken }, silent)
 	require.ErrorIs(t, err, broken)
 }
--- a/control/foreign.go
+++ b/control/foreign.go
@@ -32,9 +32,9 @@
 	return true
 }
 
-// NoteForeign counts a message that was sent in a server's name and can't be one of a server, and logs the first of a source and
+// RecordForeignMessage counts a message that was sent in a server's name and can't be one of a server, and logs the first of a source and
 // reason.
-func (c *Control) NoteForeign(source, reason string, err error) {
+func (c *Control) RecordForeignMessage(source, reason string, err error) {
 	c.counters.set.GetOrCreateCounter(fmt.Sprintf("carawaypitch_foreign_messages_total{reason=%q}", reason)).Inc()
 	if c.foreign.isNew(source, reason) {
 		c.log.WithField("source", source).WithField("reason", reason).WithError(err).Warn("foreign_message")
