--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,48 +1,50 @@
-// Package fair shares service among organisations equally, by start-time fair queueing on tokens. It is pure.
+// Package fair shares service equally among organisations by start-time fair queueing, measured in tokens. It does
+// no I/O and starts no goroutines.
 //
-// Each organisation has a tag: the virtual time at which its next item would start. Whoever picks the next item
-// takes, among equals otherwise, the organisation with the lowest Tag, and calls Start for the item it picked. That
-// charges the estimated tokens; TrueUp corrects the charge once the tokens are known.
+// Each organisation has a tag: the virtual time at which its next item would start. A scheduler picks, among items
+// that are otherwise equal, one of the organisation with the lowest Tag, and calls Start for it. Start charges the
+// estimated tokens; Reconcile corrects the charge once the tokens are known.
 //
-// The virtual time is the start tag of the item that was started last. An organisation that had nothing waiting
-// enters at the virtual time, so that being idle earns no credit. One that is waiting keeps its tag however long
-// others are served before it, so that what it was denied is made good.
+// The virtual time is the start tag of the item that was started last. An organisation without waiting items enters
+// at the virtual time, so idle time earns no credit. An organisation with waiting items keeps its tag however long
+// others are served before it, so it later catches up on the service that it missed.
 package fair
 
-// pruneFloor is the number of organisations below which none is forgotten.
-const pruneFloor = 64
+// minPruneSize is the number of organisations below which none is removed.
+const minPruneSize = 64
 
-// Clock holds the tags. The zero value isn't ready, see New.
+// Clock holds the tags of all organisations. The zero value is not usable; call New. A Clock is not safe for
+// concurrent use.
 type Clock struct {
 	virtual       int64 // tokens
 	organisations map[string]*organisation
-	pruneAt       int
+	pruneSize     int
 }
 
 type organisation struct {
 	tag     int64 // tokens; start tag of its next item
-	waiting int   // items that wait
+	waiting int   // waiting items
 }
 
-// New returns a Clock at virtual time 0.
+// New returns a Clock at virtual time 0 without organisations.
 func New() *Clock {
-	return &Clock{organisations: map[string]*organisation{}, pruneAt: pruneFloor}
+	return &Clock{organisations: map[string]*organisation{}, pruneSize: minPruneSize}
 }
 
-// Enter says that one more item of the organisation waits.
+// Enter counts one more waiting item of the organisation.
 func (c *Clock) Enter(name string) {
 	o := c.get(name)
 	o.waiting++
 }
 
-// Leave says that an item of the organisation waits no more, without having been started.
+// Leave counts one waiting item of the organisation less. It has no effect if the organisation has none.
 func (c *Clock) Leave(name string) {
 	if o := c.organisations[name]; o != nil && o.waiting > 0 {
 		o.waiting--
 	}
 }
 
-// Tag returns the tag that the organisation's next item would start with. Lower goes first.
+// Tag returns the tag, in tokens, that the organisation's next item would start with. The lowest tag goes first.
 func (c *Clock) Tag(name string) int64 {
 	o := c.organisations[name]
 	if o == nil {
@@ -54,8 +56,8 @@
 	return o.tag
 }
 
-// Start charges the organisation with the cost in tokens of an item that begins service now, and returns the
-// item's start tag. An item that waited is left (Leave) by the caller after Start.
+// Start charges the organisation the cost, in tokens, of an item that begins service, and returns the item's start
+// tag. A negative cost counts as 0. For an item that was waiting, the caller then calls Leave.
 func (c *Clock) Start(name string, cost int64) int64 {
 	o := c.get(name)
 	tag := o.tag
@@ -64,11 +66,11 @@
 	return tag
 }
 
-// Reconcile replaces an estimated cost, as passed to Start, by the actual one. An item that was cancelled before
-// anything was served for it has an actual cost of 0.
+// Reconcile replaces an estimated cost, as passed to Start, by the actual one, both in tokens. An item that was
+// cancelled before anything was served for it has an actual cost of 0.
 //
-// Without it an organisation that asks for more output than its class usually makes would get more than its share
-// for ever, and nobody would see it but in the served tokens.
+// Without the correction an organisation that requests more output than is usual for its class would always get
+// more than its share, which would show only in the count of served tokens.
 func (c *Clock) Reconcile(name string, estimated, actual int64) {
 	o := c.get(name)
 	o.tag += max(actual, 0) - max(estimated, 0)
@@ -79,7 +81,7 @@
 	return c.virtual
 }
 
-// get returns the organisation, brought up to the virtual time if nothing of it waits.
+// get returns the organisation, creating it if needed. Without waiting items its tag is raised to the virtual time.
 func (c *Clock) get(name string) *organisation {
 	o := c.organisations[name]
 	if o == nil {
@@ -93,10 +95,10 @@
 	return o
 }
 
-// prune forgets the organisations that stand no differently from new ones. Without it the memory would grow with
-// every organisation ever seen.
+// prune removes organisations that are indistinguishable from new ones: nothing waiting and a tag no later than the
+// virtual time. Without it memory would grow with every organisation ever seen.
 func (c *Clock) prune() {
-	if len(c.organisations) < c.pruneAt {
+	if len(c.organisations) < c.pruneSize {
 		return
 	}
 	for name, o := range c.organisations {
@@ -104,7 +106,7 @@
 			delete(c.organisations, name)
 		}
 	}
-	c.pruneAt = max(pruneFloor, 2*len(c.organisations))
+	c.pruneSize = max(minPruneSize, 2*len(c.organisations))
 }
 
 // Len returns the number of organisations held.
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -9,7 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/fair"
 )
 
-// serve starts n items for whichever of the waiting organisations has the lowest tag, and returns their tokens.
+// serve starts n items, each of the organisation with the lowest tag, and returns the tokens served by
+// organisation.
 func serve(c *fair.Clock, costs map[string]int64, names []string, n int) map[string]int64 {
 	served := map[string]int64{}
 	for range n {
@@ -25,10 +26,9 @@
 	return served
 }
 
+// Guards against sharing by item instead of by token: an organisation with long prompts would get several times the
+// tokens of the others. All organisations are backlogged; their items differ a hundredfold in cost.
 func TestBackloggedOrganisationsGetEqualTokens(t *testing.T) {
-	// Symptom: a partner with long prompts gets several times the tokens of the others.
-	// Sequence: all are backlogged; items of one cost a hundred times those of another.
-	// Cause: turns counted by item and not by token.
 	c := fair.New()
 	costs := map[string]int64{"a": 10, "b": 100, "c": 1000}
 	names := []string{"a", "b", "c"}
@@ -41,10 +41,9 @@
 	}
 }
 
+// Guards against credit for idle time: an organisation that was idle for long would monopolise the service when it
+// returns. a is served alone, then b enters; it fails if b's tag stays at the time of its last item.
 func TestIdleOrganisationGetsNoCredit(t *testing.T) {
-	// Symptom: a partner that was silent all night holds the whole pool in the morning.
-	// Sequence: a is served alone; b enters.
-	// Cause: b's tag was left at the time of its last item.
 	c := fair.New()
 	c.Enter("a")
 	costs := map[string]int64{"a": 10, "b": 10}
@@ -54,10 +53,9 @@
 	assert.InDelta(t, served["a"], served["b"], 20)
 }
 
-func TestWaitingOrganisationKeepsWhatItWasDenied(t *testing.T) {
-	// Symptom: a partner whose work was passed over for other reasons never gets it made good.
-	// Sequence: a waits while b is started out of turn; then both may be started.
-	// Cause: a's tag was raised to the virtual time although it was waiting.
+// Guards against loss of entitlement while waiting: a waits while b is started out of order, then both compete. It
+// fails if a's tag is raised to the virtual time although a has a waiting item.
+func TestWaitingOrganisationKeepsItsTag(t *testing.T) {
 	c := fair.New()
 	c.Enter("a")
 	c.Enter("b")
@@ -68,10 +66,9 @@
 	assert.Equal(t, int64(100), served["a"])
 }
 
-func TestTrueUpChargesWhatWasServed(t *testing.T) {
-	// Symptom: a partner whose answers run long gets more than its share.
-	// Sequence: both are charged 10 for each item; a's items turn out to cost 40.
-	// Cause: the charge was left at the estimate.
+// Guards against charges left at the estimate: an organisation whose answers are longer than estimated would get
+// more than its share. Both are charged 10 for each item; a's items actually cost 40.
+func TestReconcileChargesActualCost(t *testing.T) {
 	c := fair.New()
 	c.Enter("a")
 	c.Enter("b")
@@ -89,10 +86,9 @@
 	assert.InDelta(t, total["a"], total["b"], 80)
 }
 
+// Guards against refunds that turn into credit: an organisation that sends and cancels work would overtake the
+// others afterwards. a is started and refunded ten times while b is served; a goes idle and returns.
 func TestRefundDoesNotBecomeCredit(t *testing.T) {
-	// Symptom: a partner that sends and cancels work overtakes the others afterwards.
-	// Sequence: a is started and refunded ten times while b is served; a goes idle and comes back.
-	// Cause: a refund taken as a tag below the virtual time.
 	c := fair.New()
 	for range 10 {
 		c.Start("a", 100)
@@ -104,10 +100,9 @@
 	assert.Equal(t, c.VirtualTime(), c.Tag("a"))
 }
 
-func TestForgottenOrganisationStandsAsNew(t *testing.T) {
-	// Symptom: memory grows with every organisation ever seen, or a busy one loses its tag.
-	// Sequence: many organisations come and go; one is ahead of its share.
-	// Cause: nothing is pruned, or pruning takes those with a tag that still counts.
+// Guards against memory that grows with every organisation ever seen, and against pruning an organisation whose tag
+// is still ahead of the virtual time. Many organisations come and go; one is ahead of its share.
+func TestPrunedOrganisationStartsAtVirtualTime(t *testing.T) {
 	c := fair.New()
 	c.Start("busy", 1_000_000)
 	for i := range 10_000 {
