--- a/sched/attempts.go
+++ b/sched/attempts.go
@@ -11,56 +11,56 @@
 
 // attempt is an attempt that was sent and isn't proved over. A request has at most one.
 type attempt struct {
-	id          *wire.AttemptID
-	request     *request
-	server      *server
-	agent       *agent
-	incarnation uint64 // of the agent, when the attempt was sent
-	address     string // of the backend server
-	sentAt      time.Time
-	cost        int64         // tokens charged to the organisation
-	plain       time.Duration // predicted run by the rates that the gate reports
-
-	started     bool      // the agent says that the engine was asked to begin
-	acked       bool      // the agent has answered something since the link was opened last
-	quietSince  time.Time // sent, or link opened again
-	downSince   time.Time // link lost; zero while it is open
-	cancelAsked bool
-	cancelCause wire.CancelCause
-	cancelledAt time.Time // cancel sent last
-	provedAt    time.Time // ProveAtEngine asked last
-
-	framesSeen bool
-	broken     bool // the answer can't become whole
-	brokenErr  *result.Error
-	first      uint64
-	bytes      uint64
-	digest     xxhash.Digest
-	pending    []*wire.Frame // arrived before an earlier one
-	heldBytes  int
-	gapSince   time.Time
-	end        *wire.AnswerEnd // the engine ended it in full; frames may be missing
-}
-
-// attemptRecord is what is remembered of an attempt for the truth about ran, and for Explain.
+	id             *wire.AttemptID
+	request        *request
+	server         *server
+	agent          *agent
+	incarnation    uint64 // of the agent, when the attempt was sent
+	address        string // of the backend server
+	sentAt         time.Time
+	cost           int64         // tokens charged to the organisation
+	uncorrectedRun time.Duration // predicted run time at the rates that the gate reports
+
+	started       bool      // the agent reports that it asked the engine to begin
+	acked         bool      // the agent has replied since the link was last opened
+	silentSince   time.Time // when sent, or when the link opened again
+	downSince     time.Time // link lost; zero while it is open
+	cancelAsked   bool
+	cancelCause   wire.CancelCause
+	cancelSentAt  time.Time // when the last Cancel was sent
+	engineAskedAt time.Time // when ProveAtEngine was last emitted
+
+	framesSeen  bool
+	broken      bool // the answer can't be completed
+	brokenErr   *result.Error
+	firstOffset uint64
+	bytes       uint64
+	digest      xxhash.Digest
+	heldFrames  []*wire.Frame // frames that arrived before an earlier one
+	heldBytes   int
+	gapSince    time.Time
+	answerEnd   *wire.AnswerEnd // the engine completed the attempt; frames may be missing
+}
+
+// attemptRecord keeps what is needed of an attempt to report ran and for Explain.
 type attemptRecord struct {
-	number uint64
-	server string
-	agent  string
-	sent   time.Time
-	over   time.Time
-	proof  wire.Proof // UNSPECIFIED while there is none
-	proved bool       // over, by whatever proof
-	began  bool       // an engine certainly began it
-	reason string
-	frames uint64
-}
-
-// ran says what is proved about the whole request.
+	number     uint64
+	server     string
+	agent      string
+	sent       time.Time
+	over       time.Time
+	proof      wire.Proof // UNSPECIFIED without a proof
+	provedOver bool       // over, by any kind of proof
+	began      bool       // an engine certainly began it
+	reason     string
+	frames     uint64
+}
+
+// ran returns what is proved about the whole request.
 func (r *request) ran() result.Ran {
 	ran := r.earlierRan()
 	for i := range r.attempts {
-		ran = worse(ran, r.attempts[i].ran())
+		ran = combineRan(ran, r.attempts[i].ran())
 	}
 	return ran
 }
@@ -76,8 +76,8 @@
 	}
 }
 
-// worse joins what is known of two attempts: one that began settles it, and "no" needs both.
-func worse(a, b result.Ran) result.Ran {
+// combineRan combines the results of two attempts: yes if either ran, no only if neither did.
+func combineRan(a, b result.Ran) result.Ran {
 	switch {
 	case a == result.RanYes || b == result.RanYes:
 		return result.RanYes
@@ -88,24 +88,24 @@
 	}
 }
 
-// attemptID names the request's next attempt. Its upper bits are the owner's epoch, so that the attempts of a new
-// owner are above all that the old one can have sent.
-func (r *request) nextID() *wire.AttemptID {
-	return &wire.AttemptID{Request: r.ID, Number: r.Epoch<<EpochShift + r.number + 1}
+// nextAttemptID returns the identity of the request's next attempt. The upper bits of its number are the owner's
+// epoch, so that all attempts of a new owner have higher numbers than those of earlier owners.
+func (r *request) nextAttemptID() *wire.AttemptID {
+	return &wire.AttemptID{Request: r.ID, Number: r.Epoch<<EpochShift + r.lastNumber + 1}
 }
 
-// present tells whether the message is about the request's present attempt at this agent.
-func (r *request) present(a *agent, id *wire.AttemptID) bool {
+// isCurrent reports whether id is the request's current attempt, at this incarnation of the agent.
+func (r *request) isCurrent(a *agent, id *wire.AttemptID) bool {
 	return r.attempt != nil && r.attempt.id.GetNumber() == id.GetNumber() && r.attempt.agent == a &&
 		r.attempt.incarnation == a.incarnation
 }
 
-// dispatch sends the body to one server. That the request has no attempt is the chart's to say: it allows a dispatch in
-// queued and reserved only, and the ways back to them are proofs. Reservations elsewhere are withdrawn first: an offer that crosses the
-// withdrawal is declined, since the request has an attempt then.
+// dispatch sends the request's body to a server. The state chart ensures that there is no current attempt: it
+// allows a dispatch in queued and reserved only, which are re-entered only by a proof. Other reservations are
+// withdrawn first; an offer that crosses the withdrawal is declined, since the request then has an attempt.
 func (s *Scheduler) dispatch(r *request, to *server, offered bool) {
 	if !to.ready || !r.pool.has(to) || !r.allows(to) {
-		s.countStray(strayAttempt)
+		s.countDropped(droppedAttempt)
 		return
 	}
 	e := evDispatch
@@ -113,7 +113,7 @@
 		e = evTake
 		s.forgetReservation(r, to)
 	}
-	s.pull(r)
+	s.removeFromQueue(r)
 	if s.fire(r, e) != nil {
 		return
 	}
@@ -121,32 +121,32 @@
 }
 
 func (s *Scheduler) sendBody(r *request, to *server, offered bool) {
-	id := r.nextID()
-	r.number++
+	id := r.nextAttemptID()
+	r.lastNumber++
 	a := &attempt{
 		id: id, request: r, server: to, agent: to.agent, incarnation: to.agent.incarnation, address: to.address,
-		sentAt: s.now, quietSince: s.now, first: r.resumeFrom(), plain: s.plainRun(r, to),
+		sentAt: s.now, silentSince: s.now, firstOffset: r.resumeFrom(), uncorrectedRun: s.uncorrectedRunTime(r, to),
 	}
 	a.digest.Reset()
-	a.cost = s.cost(r, to)
+	a.cost = s.attemptCost(r, to)
 	s.clocks[r.tier].Start(r.Organisation, a.cost)
 	r.attempt = a
 	r.attempts = append(r.attempts, attemptRecord{number: id.GetNumber(), server: to.name, agent: to.agent.name, sent: s.now})
 	to.agent.attempts[r] = struct{}{}
-	to.sent(a)
-	r.pool.left(s.now)
-	s.noteDispatch(r)
+	to.attemptSent(a)
+	r.pool.noteDispatch(s.now)
+	s.settleCredits(r)
 	s.send(to.agent, dispatchMessage(s, r, a, offered))
-	s.prefixes.note(to.name, r.Prefix)
-	s.refresh(to)
-	s.setWake(r)
+	s.prefixes.addAll(to.name, r.Prefix)
+	s.updateReadiness(to)
+	s.setTimer(r)
 }
 
 func dispatchMessage(s *Scheduler, r *request, a *attempt, offered bool) *wire.EntryMessage {
 	d := &wire.Dispatch{
 		Attempt:         a.id,
 		Server:          a.server.name,
-		Work:            s.work(r, a.server),
+		Work:            s.describeWork(r, a.server),
 		Method:          r.Method,
 		Path:            r.Path,
 		ContentType:     r.ContentType,
@@ -155,11 +155,11 @@
 		BodySize:        uint64(len(r.Body)),
 		BodyDigest:      r.BodyDigest,
 		Offered:         offered,
-		ResumeFrom:      uint32(a.first),
+		ResumeFrom:      uint32(a.firstOffset),
 		ResumeAttempt:   r.resumeAttempt(a.server),
 		ReportToControl: r.Key != "" && !r.Class.GetRepeatable(),
-		Operation:       r.operation(),
-		ResumeTokens:    r.tokens,
+		Operation:       r.operationName(),
+		ResumeTokens:    r.tokensReceived,
 		Fingerprint:     uint64(r.fingerprint),
 	}
 	if v := r.Verbatim; v != nil {
@@ -171,16 +171,17 @@
 	return &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: d}}
 }
 
-// operation names the operation record: organisation and key, as control's state does.
-func (r *request) operation() string {
+// operationName returns the key of the operation record, organisation/key as in control's state, or "" without a
+// key.
+func (r *request) operationName() string {
 	if r.Key == "" {
 		return ""
 	}
 	return r.Organisation + "/" + r.Key
 }
 
-// work describes the request to a gate, as of now.
-func (s *Scheduler) work(r *request, to *server) *wire.Work {
+// describeWork describes the request to a gate as of the current time.
+func (s *Scheduler) describeWork(r *request, to *server) *wire.Work {
 	w := &wire.Work{
 		Organisation: r.Organisation,
 		Class:        r.Class.GetName(),
@@ -189,8 +190,8 @@
 		Target:       r.Target,
 		Repeatable:   r.Class.GetRepeatable(),
 		PromptTokens: r.PromptTokens,
-		OutputTokens: r.outputs,
-		RemainingMs:  milliseconds(s.remaining(r)),
+		OutputTokens: r.estimatedOutput,
+		RemainingMs:  milliseconds(s.remainingTime(r)),
 		Urgency:      s.urgency(r),
 		CachedTokens: s.cachedTokens(r, to),
 		MayBeLate:    r.mayBeLate,
@@ -206,46 +207,46 @@
 	return w
 }
 
-// release takes the present attempt off its server and agent, and trues its organisation's charge up.
+// release removes the current attempt from its request, server and agent.
 func (s *Scheduler) release(r *request) {
 	a := r.attempt
 	r.attempt = nil
 	delete(a.agent.attempts, r)
-	a.server.over(a)
-	s.refresh(a.server)
+	a.server.attemptOver(a)
+	s.updateReadiness(a.server)
 }
 
-// record returns the record of the present attempt.
-func (r *request) record() *attemptRecord {
+// currentRecord returns the record of the last attempt. There must be one.
+func (r *request) currentRecord() *attemptRecord {
 	return &r.attempts[len(r.attempts)-1]
 }
 
-// started notes a sign of life of an attempt.
-func (s *Scheduler) started(a *agent, m *wire.Started) {
+// attemptStarted handles the agent's report that it asked the engine to begin an attempt.
+func (s *Scheduler) attemptStarted(a *agent, m *wire.Started) {
 	r := s.requests[m.GetAttempt().GetRequest()]
-	if r == nil || !r.present(a, m.GetAttempt()) || m.GetServer() != r.attempt.server.name {
-		s.countStray(strayAttempt)
+	if r == nil || !r.isCurrent(a, m.GetAttempt()) || m.GetServer() != r.attempt.server.name {
+		s.countDropped(droppedAttempt)
 		return
 	}
 	if !r.attempt.started {
 		r.attempt.started = true
-		r.arrivals++
+		r.reached++
 	}
 	s.acknowledge(r)
 }
 
-// acknowledge notes that the agent knows the present attempt.
+// acknowledge records that the agent knows the current attempt.
 func (s *Scheduler) acknowledge(r *request) {
 	a := r.attempt
 	if a.acked {
 		return
 	}
 	a.acked = true
-	a.server.acknowledged(a)
+	a.server.attemptAcknowledged(a)
 	if r.state == awaitingProof && !a.cancelAsked && a.agent.up {
 		_ = s.fire(r, evAgentResumed)
 	}
-	s.setWake(r)
+	s.setTimer(r)
 }
 
 func milliseconds(d time.Duration) uint32 {
--- a/sched/away_test.go
+++ b/sched/away_test.go
@@ -11,50 +11,51 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// away has a gate tell that its server asked to keep away for a while.
-func (w *world) away(server string, backoff time.Duration) {
-	w.t.Helper()
+// reportBackoff delivers a Room report of a server that has requested back-off.
+func (h *harness) reportBackoff(server string, backoff time.Duration) {
+	h.t.Helper()
 	room := readyRoom(server, kindModel, testModel, 0)
 	room.Throttle = wire.Throttle_THROTTLE_BACKOFF
 	room.BacklogMs = uint32(backoff.Milliseconds())
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 }
 
-// A request that waits at a server that asks for rest must wait at another one, without a retry counted.
-func TestReservationsLeaveAServerThatAsksToKeepAway(t *testing.T) {
-	w := newWorld(t, Options{Reservations: 1})
-	w.step(Config{Version: 1, Classes: []*wire.Class{summary}})
-	w.serve("a", kindModel, testModel, 0)
-	w.arrive("r", summary)
-	require.Len(t, w.reserves("r"), 1)
-	w.serve("b", kindModel, testModel, 0)
-	w.away("a", 3*time.Second)
-	require.Len(t, w.withdraws("r"), 1)
-	reserved := w.reserves("r")
+// A request that has a reservation at a server in back-off must reserve at another one, without counting a retry.
+func TestReservationsMoveFromServerInBackoff(t *testing.T) {
+	h := newHarness(t, Options{Reservations: 1})
+	h.step(Config{Version: 1, Classes: []*wire.Class{summary}})
+	h.addServer("a", kindModel, testModel, 0)
+	h.arrive("r", summary)
+	require.Len(t, h.reserves("r"), 1)
+	h.addServer("b", kindModel, testModel, 0)
+	h.reportBackoff("a", 3*time.Second)
+	require.Len(t, h.withdraws("r"), 1)
+	reserved := h.reserves("r")
 	require.Len(t, reserved, 2)
 	require.Equal(t, "b", reserved[1].server)
-	for _, c := range w.counts {
+	for _, c := range h.counts {
 		require.NotEqual(t, Retries, c.Counter)
 	}
 }
 
-// Where every server asks to keep away, callers are told when to come back, spread over time, and that nothing ran.
-func TestCallersReturnSpreadOnceEveryServerTakesWorkAgain(t *testing.T) {
-	w := newWorld(t, Options{})
-	hurried := &wire.Class{Name: "hurried", Tier: 2, DeadlineMs: 1000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: kindModel}
-	w.step(Config{Version: 1, Classes: []*wire.Class{hurried}})
+// While every server is in back-off, refused callers must get retry delays that are spread over time, and be told
+// that nothing ran.
+func TestRetryAfterIsSpreadWhileAllServersAreInBackoff(t *testing.T) {
+	h := newHarness(t, Options{})
+	shortDeadline := &wire.Class{Name: "hurried", Tier: 2, DeadlineMs: 1000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: kindModel}
+	h.step(Config{Version: 1, Classes: []*wire.Class{shortDeadline}})
 	for _, server := range []string{"a", "b"} {
-		w.serve(server, kindModel, testModel, 0)
-		w.away(server, 3*time.Second)
+		h.addServer(server, kindModel, testModel, 0)
+		h.reportBackoff(server, 3*time.Second)
 	}
-	for i := range learnSamples {
-		w.s.classFor(hurried).outputs.add(int64(10 + i))
+	for i := range minSamples {
+		h.s.classFor(shortDeadline).outputTokens.add(int64(10 + i))
 	}
 	var waits []time.Duration
 	for i := range 10 {
 		name := fmt.Sprint("r", i)
-		w.arrive(name, hurried)
-		err := w.failures[name]
+		h.arrive(name, shortDeadline)
+		err := h.failures[name]
 		require.NotNil(t, err)
 		require.Equal(t, result.RanNo, err.Ran)
 		require.GreaterOrEqual(t, err.RetryAfter, 3*time.Second)
--- a/sched/backlog_test.go
+++ b/sched/backlog_test.go
@@ -8,10 +8,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestBacklogOfLowerTiersRefusesNoHigherWork(t *testing.T) {
-	// Symptom: drafts are refused because they can't finish in time while packets of a lower tier are served.
-	// Sequence: packets wait at the gates, so that each tells of a long backlog; a draft arrives.
-	// Cause: the backlog of the lowest tier counted as the wait of every tier.
+// Guards against refusing a tier as too late while a lower tier is served: requests of the lower tier wait at the
+// gates, which report a long backlog, and a request of the higher tier arrives. A backlog that includes lower tiers
+// must not count as its wait.
+func TestLowerTierBacklogDoesNotRefuseHigherTier(t *testing.T) {
 	for name, c := range map[string]struct {
 		lowestWaiting uint32
 		refused       bool
@@ -20,26 +20,26 @@
 		"its own tier waits": {2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 4)
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 4)
 			room := readyRoom("s1", kindModel, testModel, 0)
 			room.BacklogMs = 70_000
 			room.LowestRunningTier, room.LowestWaitingTier = c.lowestWaiting, c.lowestWaiting
-			w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
-			for range learnSamples {
-				w.s.classFor(summary).outputs.add(50)
+			h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+			for range minSamples {
+				h.s.classFor(summary).outputTokens.add(50)
 			}
-			w.arriveAs("r", "org", summary, 10)
-			_, refused := w.failures["r"]
+			h.arriveAs("r", "org", summary, 10)
+			_, refused := h.failures["r"]
 			require.Equal(t, c.refused, refused)
 		})
 	}
 }
 
-func TestSlowPaceRefusesNoWorkWhileLowerTiersAreServed(t *testing.T) {
-	// Symptom: drafts are refused because they can't finish in time while packets of a lower tier are served.
-	// Sequence: long prompts of packets slow the tokens of all answers down; a draft arrives.
-	// Cause: the draft was predicted at that pace, and nothing slowed the packets down for it.
+// Guards against refusing a tier as too late while a lower tier is served: long prompts of the lower tier slow down
+// all decoding, and a request of the higher tier arrives. The estimate at the slowed rate must not refuse it if an
+// idle server could finish it in time.
+func TestSlowDecodeDoesNotRefuseWhileLowerTiersAreServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		lowestRunning uint32
 		prompt        uint32
@@ -51,16 +51,16 @@
 		"not only the lowest tier runs": {1, 10, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 4)
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 4)
 			room := readyRoom("s1", kindModel, testModel, 4)
 			room.DecodeTokensPerS, room.LowestRunningTier = 0.5, c.lowestRunning
-			w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
-			for range learnSamples {
-				w.s.classFor(summary).outputs.add(50)
+			h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+			for range minSamples {
+				h.s.classFor(summary).outputTokens.add(50)
 			}
-			w.arriveAs("r", "org", summary, c.prompt)
-			_, refused := w.failures["r"]
+			h.arriveAs("r", "org", summary, c.prompt)
+			_, refused := h.failures["r"]
 			require.Equal(t, c.refused, refused)
 		})
 	}
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -1,31 +1,32 @@
 package sched
 
-// baselineClass is the one class that the baselines order by.
+// baselineClass is the single class by which the baseline policies order.
 const baselineClass = ""
 
-// chooseBaseline picks a server by one of the policies that are there to be measured against.
+// chooseBaseline chooses a server by one of the baseline policies, or returns nil if none has room.
 func (s *Scheduler) chooseBaseline(r *request) *server {
-	var fit []*server
+	var suitable []*server
 	for _, v := range r.pool.servers {
 		if s.canDispatch(r, v) {
-			fit = append(fit, v)
+			suitable = append(suitable, v)
 		}
 	}
-	if len(fit) == 0 {
+	if len(suitable) == 0 {
 		return nil
 	}
 	switch s.options.Policy {
 	case PolicyRoundRobin:
-		s.turn++
-		return fit[s.turn%len(fit)]
+		s.roundRobin++
+		return suitable[s.roundRobin%len(suitable)]
 	case PolicyLeastLoad:
-		return leastLoaded(fit, s.random.IntN(len(fit)))
+		return leastLoaded(suitable, s.random.IntN(len(suitable)))
 	default:
-		return fit[s.random.IntN(len(fit))]
+		return suitable[s.random.IntN(len(suitable))]
 	}
 }
 
-// leastLoaded believes the last report, however old it is. Of equals it takes the first from start on.
+// leastLoaded returns the server with the fewest running attempts by its last report, however old that is. Of
+// equals it returns the first from index start on.
 func leastLoaded(servers []*server, start int) *server {
 	best := servers[start]
 	for i := range servers {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -14,20 +14,20 @@
 	benchTargets = 5
 )
 
-// benchWorld is a scheduler of 400 servers with 10,000 requests queued for want of room.
-type benchWorld struct {
+// benchHarness holds a scheduler of 400 servers with 10,000 requests queued for lack of room.
+type benchHarness struct {
 	s    *Scheduler
 	now  time.Time
 	next int
 }
 
-func newBenchWorld(b *testing.B) *benchWorld {
+func newBenchHarness(b *testing.B) *benchHarness {
 	b.Helper()
 	s, err := New(Options{MaxQueued: 2 * benchQueued})
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := &benchWorld{s: s, now: time.Unix(1_700_000_000, 0)}
+	h := &benchHarness{s: s, now: time.Unix(1_700_000_000, 0)}
 	var records []*wire.AgentRecord
 	for i := range benchServers {
 		name := fmt.Sprintf("s%03d", i)
@@ -35,53 +35,54 @@
 			{Server: name, Kind: kindModel, Models: []string{benchTarget(i)}, Condition: wire.ServerCondition_SERVER_CONDITION_READY},
 		}})
 	}
-	s.Step(w.now, Directory{Agents: records})
+	s.Step(h.now, Directory{Agents: records})
 	for i := range benchServers {
-		s.Step(w.now, AgentUp{Hello: &wire.AgentHello{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1}})
-		w.room(i, 0)
+		s.Step(h.now, AgentUp{Hello: &wire.AgentHello{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1}})
+		h.reportRoom(i, 0)
 	}
 	for range benchQueued {
-		w.arrive()
+		h.arrive()
 	}
-	return w
+	return h
 }
 
 func benchTarget(i int) string { return fmt.Sprint("model-", i%benchTargets) }
 
-func (w *benchWorld) say(i int, m *wire.AgentMessage) []Action {
-	return w.s.Step(w.now, MessageReceived{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1, Message: m})
+func (h *benchHarness) receive(i int, m *wire.AgentMessage) []Action {
+	return h.s.Step(h.now, MessageReceived{Agent: agentOf(fmt.Sprintf("s%03d", i)), Incarnation: 1, Message: m})
 }
 
-func (w *benchWorld) room(i int, free uint32) []Action {
+func (h *benchHarness) reportRoom(i int, free uint32) []Action {
 	name := fmt.Sprintf("s%03d", i)
-	return w.say(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: readyRoom(name, kindModel, benchTarget(i), free)}})
+	return h.receive(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: readyRoom(name, kindModel, benchTarget(i), free)}})
 }
 
-func (w *benchWorld) arrive() {
-	w.next++
-	class := []*wire.Class{appeal, summary, urgentModel}[w.next%3]
-	w.s.Step(w.now, Arrive{Request: &Request{
-		ID: fmt.Sprint("r", w.next), Organisation: fmt.Sprint("org-", w.next%20), Class: class, Target: benchTarget(w.next),
-		PromptTokens: uint32(10 + w.next%1000), Prefix: []uint64{uint64(w.next % 100), uint64(w.next % 500)},
-		Arrived: w.now, Deadline: w.now.Add(time.Duration(class.GetDeadlineMs()) * time.Millisecond),
+func (h *benchHarness) arrive() {
+	h.next++
+	class := []*wire.Class{appeal, summary, urgentModel}[h.next%3]
+	h.s.Step(h.now, Arrive{Request: &Request{
+		ID: fmt.Sprint("r", h.next), Organisation: fmt.Sprint("org-", h.next%20), Class: class, Target: benchTarget(h.next),
+		PromptTokens: uint32(10 + h.next%1000), Prefix: []uint64{uint64(h.next % 100), uint64(h.next % 500)},
+		Arrived: h.now, Deadline: h.now.Add(time.Duration(class.GetDeadlineMs()) * time.Millisecond),
 	}})
 }
 
-// BenchmarkRequest measures all that one request costs its entry: arrival, room, dispatch, start, a frame, the end.
+// BenchmarkRequest measures the total cost of a request at its entry: arrival, room, dispatch, start, a frame, the
+// end.
 func BenchmarkRequest(b *testing.B) {
-	w := newBenchWorld(b)
+	h := newBenchHarness(b)
 	steps := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		i := w.next % benchServers
-		w.arrive()
-		steps += 2 + w.serveOne(w.room(i, 1))
+		i := h.next % benchServers
+		h.arrive()
+		steps += 2 + h.answerDispatch(h.reportRoom(i, 1))
 	}
 	b.ReportMetric(float64(steps)/float64(b.N), "steps/op")
 }
 
-// serveOne answers the dispatch among the actions.
-func (w *benchWorld) serveOne(actions []Action) int {
+// answerDispatch answers the dispatch among the actions, if there is one, and returns the number of steps.
+func (h *benchHarness) answerDispatch(actions []Action) int {
 	d := dispatchIn(actions)
 	if d == nil {
 		return 0
@@ -89,11 +90,11 @@
 	var i int
 	_, _ = fmt.Sscanf(d.GetServer(), "s%03d", &i)
 	id := d.GetAttempt()
-	w.say(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Started{Started: &wire.Started{Attempt: id, Server: d.GetServer()}}})
-	w.say(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(id, 0, "a", "b")}})
-	w.room(i, 0)
-	w.say(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: &wire.Over{
-		Attempt: id, Server: d.GetServer(), Proof: wire.Proof_PROOF_COMPLETED, Answer: endOf(0, "a", "b"),
+	h.receive(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Started{Started: &wire.Started{Attempt: id, Server: d.GetServer()}}})
+	h.receive(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(id, 0, "a", "b")}})
+	h.reportRoom(i, 0)
+	h.receive(i, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: &wire.Over{
+		Attempt: id, Server: d.GetServer(), Proof: wire.Proof_PROOF_COMPLETED, Answer: answerEndOf(0, "a", "b"),
 	}}})
 	return 4
 }
@@ -107,11 +108,11 @@
 	return nil
 }
 
-// BenchmarkTick measures a tick with nothing due.
+// BenchmarkTick measures a tick without expired timers.
 func BenchmarkTick(b *testing.B) {
-	w := newBenchWorld(b)
+	h := newBenchHarness(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.s.Step(w.now, Tick{})
+		h.s.Step(h.now, Tick{})
 	}
 }
--- a/sched/choose.go
+++ b/sched/choose.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// choose picks the server for a dispatch without an Offer, or nil if none with room may have the request.
-func (s *Scheduler) choose(r *request) *server {
-	r.passed = r.passed[:0]
+// chooseServer returns the server for a dispatch without an Offer, or nil if no server with room suits the request.
+func (s *Scheduler) chooseServer(r *request) *server {
+	r.passedOver = r.passedOver[:0]
 	if s.options.Policy != PolicyTargets {
 		return s.chooseBaseline(r)
 	}
 	var best *server
 	var bestAt time.Duration
-	for _, v := range s.sample(r, s.options.SampledServers, s.canDispatch) {
+	for _, v := range s.sampleServers(r, s.options.SampledServers, s.canDispatch) {
 		at := s.estimateFinish(r, v)
 		if best == nil || at < bestAt {
 			if best != nil {
@@ -27,10 +27,10 @@
 	return best
 }
 
-// chooseReservations picks the servers at which a request waits: those that would finish it first.
-func (s *Scheduler) chooseReservations(r *request) []*server {
+// chooseReservationServers returns the servers at which to reserve: those with the earliest estimated finish.
+func (s *Scheduler) chooseReservationServers(r *request) []*server {
 	count := s.reservationCount(r)
-	servers := s.sample(r, 2*count, s.canReserve)
+	servers := s.sampleServers(r, 2*count, s.canReserve)
 	finish := make(map[*server]time.Duration, len(servers))
 	for _, v := range servers {
 		finish[v] = s.estimateFinish(r, v)
@@ -41,7 +41,7 @@
 
 func (s *Scheduler) reservationCount(r *request) int {
 	if s.isWatched(r) {
-		return 1 // each gate that it waits at lets its server run empty
+		return 1 // each gate with a watched reservation drains its server
 	}
 	if r.tier == 0 {
 		return 2 * s.options.Reservations
@@ -54,23 +54,24 @@
 	return v.hasRoom && mayBegin && s.canReserve(r, v)
 }
 
-// canReserve tells whether the server may have the request at all now.
+// canReserve reports whether the server currently may have the request.
 func (s *Scheduler) canReserve(r *request, v *server) bool {
-	return v.ready && r.allows(v) && r.resumesOn(v) && !slices.Contains(r.avoid, v.name) && s.fits(r, v)
+	return v.ready && r.allows(v) && r.canResumeOn(v) && !slices.Contains(r.avoided, v.name) && s.fitsDeadline(r, v)
 }
 
-// allows tells whether the request's operation record, if it has one, allows the server. A dispatch elsewhere
-// couldn't be found by the entry that takes the request over.
+// allows reports whether the request's operation record, if it has one, allows the server. An entry that takes the
+// request over couldn't find a dispatch to any other server.
 func (r *request) allows(v *server) bool {
 	return len(r.Candidates) == 0 || slices.Contains(r.Candidates, v.name)
 }
 
-// sample returns up to n servers that suit, some of which probably have the prompt's prefix in their cache. A
-// few random ones are as good as the best of all where reports lag, and don't all entries send to the same one.
-func (s *Scheduler) sample(r *request, n int, suits func(*request, *server) bool) []*server {
-	picked := s.affine(r, suits)
+// sampleServers returns up to n suitable servers, including some that probably have the prompt's prefix cached.
+// With delayed reports a small random sample does as well as the best of all servers, and it keeps the entries from
+// all choosing the same server.
+func (s *Scheduler) sampleServers(r *request, n int, suits func(*request, *server) bool) []*server {
+	picked := s.prefixServers(r, suits)
 	if len(r.Candidates) > 0 {
-		return s.addNamed(r, picked, suits)
+		return s.addCandidates(r, picked, suits)
 	}
 	all := r.pool.servers
 	if len(all) == 0 {
@@ -78,7 +79,7 @@
 	}
 	start := s.random.IntN(len(all))
 	if len(all) <= n {
-		return s.addFrom(r, picked, all, start, len(all), suits)
+		return s.addSuitable(r, picked, all, start, len(all), suits)
 	}
 	for range sampleTries * n {
 		if len(picked) >= n {
@@ -92,14 +93,14 @@
 	if len(picked) > 0 {
 		return picked
 	}
-	return s.addFrom(r, picked, all, start, 1, suits)
+	return s.addSuitable(r, picked, all, start, 1, suits)
 }
 
-// sampleTries is how many random picks are made for each server wanted, before all are looked through.
+// sampleTries is the number of random picks per server wanted, before all servers are searched.
 const sampleTries = 2
 
-// addNamed adds the request's candidates.
-func (s *Scheduler) addNamed(r *request, picked []*server, suits func(*request, *server) bool) []*server {
+// addCandidates adds the suitable servers among the request's candidates.
+func (s *Scheduler) addCandidates(r *request, picked []*server, suits func(*request, *server) bool) []*server {
 	for _, name := range r.Candidates {
 		v := s.servers[name]
 		if v != nil && slices.Contains(r.pool.servers, v) && suits(r, v) && !slices.Contains(picked, v) {
@@ -109,8 +110,8 @@
 	return picked
 }
 
-// addFrom looks through all servers from a random start until n suit.
-func (s *Scheduler) addFrom(r *request, picked, all []*server, start, n int, suits func(*request, *server) bool) []*server {
+// addSuitable adds suitable servers, searching all from the index start, until n are picked.
+func (s *Scheduler) addSuitable(r *request, picked, all []*server, start, n int, suits func(*request, *server) bool) []*server {
 	for i := range all {
 		v := all[(start+i)%len(all)]
 		if suits(r, v) && !slices.Contains(picked, v) {
@@ -124,10 +125,10 @@
 }
 
 // Candidates returns the servers that a keyed request's operation record should allow: at most
-// Options.CandidateCount, those that may have new work first, and among them those that would finish it first.
+// Options.CandidateCount, servers that may have new work first, ordered by estimated finish.
 func (s *Scheduler) Candidates(in *Request) []string {
-	r := s.sketch(in)
-	ready := s.sample(r, s.options.CandidateCount, func(r *request, v *server) bool { return v.ready })
+	r := s.newEstimationRequest(in)
+	ready := s.sampleServers(r, s.options.CandidateCount, func(r *request, v *server) bool { return v.ready })
 	finish := make(map[*server]time.Duration, len(ready))
 	for _, v := range ready {
 		finish[v] = s.estimateFinish(r, v)
@@ -138,22 +139,22 @@
 			ready = append(ready, v)
 		}
 	}
-	return namesOf(ready[:min(len(ready), s.options.CandidateCount)])
+	return serverNames(ready[:min(len(ready), s.options.CandidateCount)])
 }
 
-// sketch makes a request for estimates only.
-func (s *Scheduler) sketch(in *Request) *request {
+// newEstimationRequest returns a request that is used for estimates only and never queued.
+func (s *Scheduler) newEstimationRequest(in *Request) *request {
 	key := poolKey{kind: in.Class.GetKind(), target: in.Target}
 	p := s.pools[key]
 	if p == nil {
 		p = &pool{key: key}
 	}
-	r := &request{Request: in, pool: p, class: s.classFor(in.Class), tier: tierIndex(in.Class.GetTier()), wakeIndex: -1}
-	r.outputs = s.estimateOutput(r)
+	r := &request{Request: in, pool: p, class: s.classFor(in.Class), tier: tierIndex(in.Class.GetTier()), timerIndex: -1}
+	r.estimatedOutput = s.estimateOutput(r)
 	return r
 }
 
-func namesOf(servers []*server) []string {
+func serverNames(servers []*server) []string {
 	names := make([]string, 0, len(servers))
 	for _, v := range servers {
 		names = append(names, v.name)
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -8,97 +8,98 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// What is assumed of a server or class of which nothing is known yet.
+// Defaults for a server or class without samples.
 const (
-	defaultPrefillRate = 2000 // tokens a second
-	defaultDecodeRate  = 40   // tokens a second
-	defaultOutput      = 128  // tokens
-	defaultService     = 20 * time.Millisecond
+	defaultPrefillRate  = 2000 // tokens per second
+	defaultDecodeRate   = 40   // tokens per second
+	defaultOutputTokens = 128  // tokens
+	defaultServiceTime  = 20 * time.Millisecond
 )
 
-// Learning.
+// Parameters of the estimates.
 const (
-	outputQuantile = 50 // percent: half of the answers are shorter
-	learnSamples   = 20 // fewer teach nothing
-	windowSamples  = 512
-	maxLearnt      = 1 << 22 // tokens, or microseconds of a service call
-	paceWeight     = 0.1     // of a new sample
-	paceLow        = 0.2
-	paceHigh       = 10
-	crossZone      = 2 * time.Millisecond // preference for the own availability zone
+	estimateQuantile = 50 // percent: half of the answers are shorter
+	minSamples       = 20 // fewer samples give no estimate
+	windowSamples    = 512
+	maxSample        = 1 << 22 // tokens, or microseconds of a service call
+	correctionWeight = 0.1     // of a new sample
+	minCorrection    = 0.2
+	maxCorrection    = 10
+	crossZonePenalty = 2 * time.Millisecond // estimated cost of leaving the entry's availability zone
 )
 
-// quantiles learns a distribution from the last samples: a histogram is filled while the one before it, which is
-// full, gives the answers.
-type quantiles struct {
-	filling *hdrhistogram.Histogram
-	full    *hdrhistogram.Histogram
-	median  int64
-	fresh   int // samples since the median was taken
+// runningMedian tracks the median of recent samples: one histogram is filled while the previous, full one provides
+// the median.
+type runningMedian struct {
+	filling            *hdrhistogram.Histogram
+	full               *hdrhistogram.Histogram
+	median             int64
+	samplesSinceMedian int // samples since the median was updated
 }
 
-const learntDigits = 1
+const histogramDigits = 1
 
-func newQuantiles() *quantiles {
-	return &quantiles{filling: hdrhistogram.New(1, maxLearnt, learntDigits)}
+func newRunningMedian() *runningMedian {
+	return &runningMedian{filling: hdrhistogram.New(1, maxSample, histogramDigits)}
 }
 
-func (q *quantiles) add(value int64) {
-	_ = q.filling.RecordValue(min(max(value, 1), maxLearnt))
-	q.fresh++
-	if q.filling.TotalCount() >= windowSamples {
-		q.full, q.filling = q.filling, hdrhistogram.New(1, maxLearnt, learntDigits)
+func (m *runningMedian) add(value int64) {
+	_ = m.filling.RecordValue(min(max(value, 1), maxSample))
+	m.samplesSinceMedian++
+	if m.filling.TotalCount() >= windowSamples {
+		m.full, m.filling = m.filling, hdrhistogram.New(1, maxSample, histogramDigits)
 	}
-	if q.fresh >= learnSamples {
-		q.fresh = 0
-		q.median = q.source().ValueAtQuantile(outputQuantile)
+	if m.samplesSinceMedian >= minSamples {
+		m.samplesSinceMedian = 0
+		m.median = m.histogram().ValueAtQuantile(estimateQuantile)
 	}
 }
 
-func (q *quantiles) source() *hdrhistogram.Histogram {
-	if q.full != nil {
-		return q.full
+func (m *runningMedian) histogram() *hdrhistogram.Histogram {
+	if m.full != nil {
+		return m.full
 	}
-	return q.filling
+	return m.filling
 }
 
-// value returns the median, or def before enough was learnt.
-func (q *quantiles) value(def int64) int64 {
-	if q.median == 0 {
+// value returns the median, or def before there are enough samples.
+func (m *runningMedian) value(def int64) int64 {
+	if m.median == 0 {
 		return def
 	}
-	return q.median
+	return m.median
 }
 
-// known tells whether enough was learnt to refuse work on its strength.
-func (q *quantiles) known() bool {
-	return q.median != 0
+// known reports whether there are enough samples to refuse work based on the median.
+func (m *runningMedian) known() bool {
+	return m.median != 0
 }
 
-// pace is how much longer attempts take at a server than was predicted, 1 for as long.
-type pace struct{ factor float64 }
+// runCorrection is a moving average of the ratio of actual to predicted run times at a server, initially 1.
+type runCorrection struct{ factor float64 }
 
-func (p *pace) add(actual, predicted time.Duration) {
+func (c *runCorrection) add(actual, predicted time.Duration) {
 	if predicted <= 0 || actual <= 0 {
 		return
 	}
-	ratio := min(max(actual.Seconds()/predicted.Seconds(), paceLow), paceHigh)
-	p.factor = p.value()*(1-paceWeight) + ratio*paceWeight
+	ratio := min(max(actual.Seconds()/predicted.Seconds(), minCorrection), maxCorrection)
+	c.factor = c.value()*(1-correctionWeight) + ratio*correctionWeight
 }
 
-func (p *pace) value() float64 {
-	if p.factor == 0 {
+func (c *runCorrection) value() float64 {
+	if c.factor == 0 {
 		return 1
 	}
-	return p.factor
+	return c.factor
 }
 
-// estimateOutput is how many tokens the answer probably has. The caller's own expectation and bound count.
+// estimateOutput estimates the number of output tokens. The caller's own expectation replaces the estimate, and its
+// bound limits it.
 func (s *Scheduler) estimateOutput(r *request) uint32 {
 	if r.pool.key.kind == kindService {
 		return 0
 	}
-	tokens := uint32(r.class.outputs.value(defaultOutput))
+	tokens := uint32(r.class.outputTokens.value(defaultOutputTokens))
 	if r.OutputTokens > 0 {
 		tokens = r.OutputTokens
 	}
@@ -108,41 +109,42 @@
 	return tokens
 }
 
-// certain tells whether an estimate for the request rests on something.
-func (r *request) certain() bool {
+// hasEstimate reports whether estimates for the request's class are based on samples.
+func (r *request) hasEstimate() bool {
 	if r.pool.key.kind == kindService {
-		return r.class.service.known()
+		return r.class.serviceTimes.known()
 	}
-	return r.class.outputs.known()
+	return r.class.outputTokens.known()
 }
 
-// cost is what the organisation is charged for an attempt, in tokens. A service call counts as one.
-func (s *Scheduler) cost(r *request, to *server) int64 {
+// attemptCost returns the tokens charged to the organisation for an attempt. A service call costs 1.
+func (s *Scheduler) attemptCost(r *request, to *server) int64 {
 	prompt := int64(r.PromptTokens) - int64(s.cachedTokens(r, to))
-	return max(prompt, 0) + int64(r.outputs) + 1
+	return max(prompt, 0) + int64(r.estimatedOutput) + 1
 }
 
-// estimateRun is how long the attempt probably takes at the server from its start.
-func (s *Scheduler) estimateRun(r *request, v *server) time.Duration {
-	return time.Duration(float64(s.plainRun(r, v)) * v.pace.value())
+// estimateRunTime estimates how long the attempt takes at the server from its start.
+func (s *Scheduler) estimateRunTime(r *request, v *server) time.Duration {
+	return time.Duration(float64(s.uncorrectedRunTime(r, v)) * v.correction.value())
 }
 
-// plainRun is the same by the rates that the gate reports, without this entry's own correction.
-func (s *Scheduler) plainRun(r *request, v *server) time.Duration {
-	return s.runAt(r, v, v.room.GetDecodeTokensPerS())
+// uncorrectedRunTime is estimateRunTime at the rates that the gate reports, without the correction learnt by this
+// entry.
+func (s *Scheduler) uncorrectedRunTime(r *request, v *server) time.Duration {
+	return s.runTimeAt(r, v, v.room.GetDecodeTokensPerS())
 }
 
-// runAt is the same at a pace of its own, in tokens a second.
-func (s *Scheduler) runAt(r *request, v *server, decode float32) time.Duration {
+// runTimeAt is uncorrectedRunTime at the given decode rate, in tokens per second.
+func (s *Scheduler) runTimeAt(r *request, v *server, decode float32) time.Duration {
 	if r.pool.key.kind == kindService {
-		return time.Duration(r.class.service.value(defaultService.Microseconds())) * time.Microsecond
+		return time.Duration(r.class.serviceTimes.value(defaultServiceTime.Microseconds())) * time.Microsecond
 	}
-	output := max(float64(r.outputs)-float64(r.delivered), 1)
-	return s.startAt(r, v) + time.Duration(output/rateOr(decode, defaultDecodeRate)*float64(time.Second))
+	remainingTokens := max(float64(r.estimatedOutput)-float64(r.eventsReceived), 1)
+	return s.timeToFirstToken(r, v) + time.Duration(remainingTokens/rateOr(decode, defaultDecodeRate)*float64(time.Second))
 }
 
-// startAt is how long a prompt probably takes at the server until the first token.
-func (s *Scheduler) startAt(r *request, v *server) time.Duration {
+// timeToFirstToken estimates how long the server takes for the prompt until the first token.
+func (s *Scheduler) timeToFirstToken(r *request, v *server) time.Duration {
 	prompt := max(float64(r.PromptTokens)-float64(s.cachedTokens(r, v)), 0)
 	ms := float64(v.room.GetPrefillFixedMs())
 	seconds := ms/1000 + prompt/rateOr(v.room.GetPrefillTokensPerS(), defaultPrefillRate)
@@ -156,35 +158,35 @@
 	return float64(reported)
 }
 
-// estimateFinish is how long from now until the answer is probably whole.
+// estimateFinish estimates the time from now until the answer is complete.
 func (s *Scheduler) estimateFinish(r *request, v *server) time.Duration {
-	d := s.estimateRun(r, v)
-	if s.usable(v) <= 0 {
+	d := s.estimateRunTime(r, v)
+	if s.usableRoom(v) <= 0 {
 		d += time.Duration(v.room.GetBacklogMs()) * time.Millisecond
 	}
 	if v.agent.zone != s.options.AvailabilityZone {
-		d += crossZone
+		d += crossZonePenalty
 	}
 	return d
 }
 
-// learn takes what a whole answer shows.
-func (s *Scheduler) learn(r *request, end *wire.AnswerEnd) {
+// updateEstimates adds the samples of a complete answer.
+func (s *Scheduler) updateEstimates(r *request, end *wire.AnswerEnd) {
 	a := r.attempt
 	took := s.now.Sub(a.sentAt)
 	if r.pool.key.kind == kindService {
-		r.class.service.add(took.Microseconds())
+		r.class.serviceTimes.add(took.Microseconds())
 	} else {
-		r.class.outputs.add(int64(end.GetOutputTokens()))
-		r.class.runs.add(took.Milliseconds())
+		r.class.outputTokens.add(int64(end.GetOutputTokens()))
+		r.class.runTimes.add(took.Milliseconds())
 	}
-	if a.first == 0 {
-		a.server.pace.add(took, a.plain)
+	if a.firstOffset == 0 {
+		a.server.correction.add(took, a.uncorrectedRun)
 	}
 }
 
-// trueUp replaces the charge of the present attempt by what it came to.
-func (s *Scheduler) trueUp(r *request, proof wire.Proof) {
+// reconcileCharge replaces the estimated charge of the current attempt by its actual cost.
+func (s *Scheduler) reconcileCharge(r *request, proof wire.Proof) {
 	a := r.attempt
 	s.clocks[r.tier].Reconcile(r.Organisation, a.cost, s.actualCost(r, proof))
 }
@@ -194,15 +196,15 @@
 	switch {
 	case proof == wire.Proof_PROOF_NEVER_STARTED:
 		return 0
-	case a.end.GetPromptTokens() > 0:
-		prompt := int64(a.end.GetPromptTokens()) - int64(a.end.GetCachedTokens())
-		return prompt + int64(a.end.GetOutputTokens()) + 1
+	case a.answerEnd.GetPromptTokens() > 0:
+		prompt := int64(a.answerEnd.GetPromptTokens()) - int64(a.answerEnd.GetCachedTokens())
+		return prompt + int64(a.answerEnd.GetOutputTokens()) + 1
 	default:
-		return max(a.cost-int64(r.outputs), 0) + int64(r.delivered-min(a.first, r.delivered))
+		return max(a.cost-int64(r.estimatedOutput), 0) + int64(r.eventsReceived-min(a.firstOffset, r.eventsReceived))
 	}
 }
 
-// rate counts how often something happens, by an average that fades over rateWindow.
+// rate is an event rate as a moving average that decays over rateWindow.
 type rate struct {
 	perSecond float64
 	at        time.Time
@@ -210,16 +212,16 @@
 
 const rateWindow = 5 * time.Second
 
-func (c *rate) add(now time.Time) {
-	c.perSecond = c.value(now) + 1/rateWindow.Seconds()
-	c.at = now
+func (r *rate) add(now time.Time) {
+	r.perSecond = r.value(now) + 1/rateWindow.Seconds()
+	r.at = now
 }
 
-// value is the number a second, as of now.
-func (c *rate) value(now time.Time) float64 {
-	if c.at.IsZero() {
+// value returns the rate per second as of now.
+func (r *rate) value(now time.Time) float64 {
+	if r.at.IsZero() {
 		return 0
 	}
-	gone := now.Sub(c.at).Seconds() / rateWindow.Seconds()
-	return c.perSecond * fade(gone)
+	windows := now.Sub(r.at).Seconds() / rateWindow.Seconds()
+	return r.perSecond * decay(windows)
 }
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -11,7 +11,7 @@
 // PassedReason says why a server was passed over.
 type PassedReason string
 
-// The reasons for which a server is passed over.
+// Reasons for passing over a server.
 const (
 	PassedNotListed   PassedReason = "not in the directory, or leaving"
 	PassedLinkDown    PassedReason = "link down"
@@ -27,14 +27,14 @@
 	PassedSlower      PassedReason = "slower by estimate"
 )
 
-// PassedOver is a server that a request didn't go to.
+// PassedOver is a server that was considered for a request and not chosen.
 type PassedOver struct {
 	Server string        `json:"server"`
 	Reason PassedReason  `json:"reason"`
 	Finish time.Duration `json:"finish_ns,omitempty"` // estimated, for PassedSlower
 }
 
-// AttemptExplanation is one attempt of a request.
+// AttemptExplanation describes one attempt of a request.
 type AttemptExplanation struct {
 	Number  uint64    `json:"number"`
 	Server  string    `json:"server"`
@@ -48,7 +48,7 @@
 	Outcome string    `json:"outcome,omitempty"`
 }
 
-// Explanation says where a request stands and how it came there.
+// Explanation describes the state of a request and how it was reached.
 type Explanation struct {
 	Request      string               `json:"request"`
 	Organisation string               `json:"organisation"`
@@ -61,31 +61,31 @@
 	Deadline     time.Time            `json:"deadline"`
 	Urgency      uint32               `json:"urgency"`
 	Queued       bool                 `json:"queued"`
-	Ahead        int                  `json:"ahead"` // estimated requests that go first
+	Ahead        int                  `json:"ahead"` // estimated number of requests that go first
 	Reservations []string             `json:"reservations,omitempty"`
 	PassedOver   []PassedOver         `json:"passed_over,omitempty"`
 	Attempts     []AttemptExplanation `json:"attempts,omitempty"`
 	Candidates   []string             `json:"candidates,omitempty"`
-	// EarlierUnproved are the servers of earlier owners of the key whose proof is missing.
+	// EarlierUnproved lists the servers of earlier owners of the key whose proof is missing.
 	EarlierUnproved []string    `json:"earlier_unproved,omitempty"`
-	Delivered       uint64      `json:"delivered"` // events
+	Delivered       uint64      `json:"delivered"` // number of events
 	Code            result.Code `json:"code,omitempty"`
-	Reason          string      `json:"reason,omitempty"` // with Code
+	Reason          string      `json:"reason,omitempty"` // set with Code
 	Ran             string      `json:"ran"`
 	Ended           time.Time   `json:"ended,omitzero"`
 }
 
-// maxPassedKept bounds the servers passed over that are remembered with a request.
-const maxPassedKept = 8
+// maxPassedOver bounds the passed-over servers that are kept with a request.
+const maxPassedOver = 8
 
 func (r *request) passOver(v *server, reason PassedReason, finish time.Duration) {
-	if len(r.passed) < maxPassedKept {
-		r.passed = append(r.passed, PassedOver{Server: v.name, Reason: reason, Finish: finish})
+	if len(r.passedOver) < maxPassedOver {
+		r.passedOver = append(r.passedOver, PassedOver{Server: v.name, Reason: reason, Finish: finish})
 	}
 }
 
-// Explain tells where a request stands, or how it ended if it is among the last Options.History finished ones. False
-// means that nothing is known of it.
+// Explain describes a live request, or one of the last Options.HistorySize finished ones. It returns false if the
+// request is unknown.
 func (s *Scheduler) Explain(requestID string) (Explanation, bool) {
 	r := s.requests[requestID]
 	if r == nil {
@@ -94,7 +94,7 @@
 	e := s.explain(r, nil)
 	e.Ended = time.Time{}
 	if r.attempt == nil {
-		e.PassedOver = s.passedNow(r)
+		e.PassedOver = s.passedOverNow(r)
 	}
 	return e, true
 }
@@ -103,18 +103,18 @@
 	e := Explanation{
 		Request: r.ID, Organisation: r.Organisation, Class: r.Class.GetName(), Tier: r.Class.GetTier(),
 		Kind: r.pool.key.kind, Target: r.Target, State: s.table.StateName(r.state), Arrived: r.Arrived,
-		Deadline: r.Deadline, Urgency: s.urgency(r), Queued: r.lane != nil, Candidates: slices.Clone(r.Candidates),
-		Delivered: r.delivered, Ran: r.ran().String(), Ended: s.now, PassedOver: slices.Clone(r.passed),
+		Deadline: r.Deadline, Urgency: s.urgency(r), Queued: r.queue != nil, Candidates: slices.Clone(r.Candidates),
+		Delivered: r.eventsReceived, Ran: r.ran().String(), Ended: s.now, PassedOver: slices.Clone(r.passedOver),
 	}
 	if r.earlier != nil {
-		e.EarlierUnproved = slices.Clone(r.earlier.waiting)
+		e.EarlierUnproved = slices.Clone(r.earlier.unproved)
 	}
 	if err != nil {
 		e.Code, e.Reason = err.Code, err.Message
 		e.Ran = err.Ran.String()
 	}
-	if r.lane != nil {
-		e.Ahead = s.aheadOf(r)
+	if r.queue != nil {
+		e.Ahead = s.requestsAhead(r)
 	}
 	for _, res := range r.reservations {
 		e.Reservations = append(e.Reservations, res.server.name)
@@ -129,27 +129,27 @@
 	proof := "none"
 	if a.proof != wire.Proof_PROOF_UNSPECIFIED {
 		proof = a.proof.String()
-	} else if a.proved {
+	} else if a.provedOver {
 		proof = a.reason
 	}
 	return AttemptExplanation{
 		Number: a.number, Server: a.server, Agent: a.agent, Sent: a.sent, Over: a.over, Proof: proof,
-		Proved: a.proved, Began: a.began, Frames: a.frames, Outcome: a.reason,
+		Proved: a.provedOver, Began: a.began, Frames: a.frames, Outcome: a.reason,
 	}
 }
 
-// passedNow says of each server of the pool why a queued request isn't there.
-func (s *Scheduler) passedNow(r *request) []PassedOver {
+// passedOverNow returns the servers of the pool that currently can't take a queued request, with the reason.
+func (s *Scheduler) passedOverNow(r *request) []PassedOver {
 	var passed []PassedOver
 	for _, v := range r.pool.servers {
-		if reason := s.reasonAgainst(r, v); reason != "" {
+		if reason := s.passedReason(r, v); reason != "" {
 			passed = append(passed, PassedOver{Server: v.name, Reason: reason})
 		}
 	}
 	return passed
 }
 
-func (s *Scheduler) reasonAgainst(r *request, v *server) PassedReason {
+func (s *Scheduler) passedReason(r *request, v *server) PassedReason {
 	switch {
 	case !v.listed:
 		return PassedNotListed
@@ -157,15 +157,15 @@
 		return PassedLinkDown
 	case v.room == nil:
 		return PassedNoReport
-	case v.isAway():
+	case v.inBackoff():
 		return PassedBackoff
 	case !v.ready:
 		return PassedNotReady
 	case !r.allows(v):
 		return PassedNoCandidate
-	case slices.Contains(r.avoid, v.name):
+	case slices.Contains(r.avoided, v.name):
 		return PassedRefused
-	case !r.resumesOn(v):
+	case !r.canResumeOn(v):
 		return PassedNoResume
 	case !v.hasRoom && v.room.GetThrottle() == wire.Throttle_THROTTLE_RATE_LIMIT:
 		return PassedRateLimited
@@ -178,7 +178,7 @@
 	}
 }
 
-// history keeps the explanations of the last finished requests.
+// history is a ring buffer of the explanations of the last finished requests.
 type history struct {
 	ring []Explanation
 	next int
--- a/sched/fits.go
+++ b/sched/fits.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// fitMargin is how many times its predicted time an answer must have left at a server. Callers' expectations of
-	// lengths are right at the median and often off: of answers with a log-normal error of half, one in twelve is more
-	// than twice as long.
-	fitMargin = 2
-	// fitBest is how many times longer than at the best server an answer may take where it fits nowhere.
-	fitBest = 1.5
+	// deadlineMargin is the multiple of its estimated run time that must be left until the deadline. Callers'
+	// expectations of length are right at the median and often wrong: with a log-normal error of sigma one half,
+	// one answer in twelve is more than twice as long.
+	deadlineMargin = 2
+	// maxSlowdown is the most by which an answer may take longer than at the best server, if it fits at no server.
+	maxSlowdown = 1.5
 )
 
-// fits tells whether an answer will probably end before its deadline at the server, or at least not much later than at
-// the best one.
+// fitsDeadline reports whether an answer will probably end before its deadline at the server, or at least not much
+// later than at the best server.
 //
-// Of engines that differ threefold in speed the slow ones would run the longest answers into their deadlines: all that
-// they have produced by then is lost, and each has held a place for the whole time.
-func (s *Scheduler) fits(r *request, v *server) bool {
+// With engines that differ threefold in speed the longest answers at slow ones would reach their deadlines: all of
+// their output is lost, and each has held a slot for the whole time.
+func (s *Scheduler) fitsDeadline(r *request, v *server) bool {
 	if r.pool.key.kind != kindModel || r.mayBeLate {
 		return true
 	}
-	run := s.estimateRun(r, v)
-	if time.Duration(fitMargin*float64(run)) <= s.remaining(r) {
+	run := s.estimateRunTime(r, v)
+	if time.Duration(deadlineMargin*float64(run)) <= s.remainingTime(r) {
 		return true
 	}
-	return float64(run) <= fitBest*float64(s.shortestRun(r))
+	return float64(run) <= maxSlowdown*float64(s.shortestRunTime(r))
 }
 
-// shortestRun is how long the answer takes at the ready server of its pool that is best for it.
-func (s *Scheduler) shortestRun(r *request) time.Duration {
+// shortestRunTime estimates the run time at the ready server of the pool that is fastest for the request.
+func (s *Scheduler) shortestRunTime(r *request) time.Duration {
 	shortest := time.Duration(-1)
 	for _, v := range r.pool.servers {
 		if !v.ready {
 			continue
 		}
-		if run := s.estimateRun(r, v); shortest < 0 || run < shortest {
+		if run := s.estimateRunTime(r, v); shortest < 0 || run < shortest {
 			shortest = run
 		}
 	}
--- a/sched/fits_test.go
+++ b/sched/fits_test.go
@@ -9,56 +9,59 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// longChat has a deadline that only fast servers keep with long answers.
+// longChat has a deadline that long answers meet on fast servers only.
 var longChat = &wire.Class{Name: "long-chat", Tier: 2, DeadlineMs: 15_000, Repeatable: true, Kind: kindModel}
 
-// serveAt lists a server of a pace, in tokens a second, with room for one attempt.
-func (w *world) serveAt(server string, pace float32) {
-	w.t.Helper()
-	w.list(server, kindModel, testModel)
-	w.up(server, 1)
+// addServerAtRate adds a server with a decode rate, in tokens per second, and room for one attempt.
+func (h *harness) addServerAtRate(server string, decodeRate float32) {
+	h.t.Helper()
+	h.listServer(server, kindModel, testModel)
+	h.linkUp(server, 1)
 	room := readyRoom(server, kindModel, testModel, 1)
-	room.DecodeTokensPerS = pace
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	room.DecodeTokensPerS = decodeRate
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 }
 
-func (w *world) arriveExpecting(id string, outputs uint32) {
-	w.t.Helper()
-	r := w.request(id, longChat)
+func (h *harness) arriveWithExpectedOutput(id string, outputs uint32) {
+	h.t.Helper()
+	r := h.request(id, longChat)
 	r.OutputTokens = outputs
-	w.step(Arrive{Request: r})
+	h.step(Arrive{Request: r})
 }
 
-// Symptom: the longest answers are cut at their deadline, after each has held a place for all that time. Sequence: servers
-// differ threefold in speed; only a slow one has room just then. Cause: a place taken without a look at how long the
-// answer will be.
+// Guards against long answers that reach their deadline at slow servers after holding a slot for the whole time.
+// The servers differ threefold in speed and only the slow one has room; a dispatch must consider the expected
+// length of the answer.
 func TestLongAnswerWaitsForAServerWhereItEndsInTime(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serveAt("fast", 250)
-	w.serveAt("slow", 90)
-	w.arriveExpecting("first", 1000)
-	require.Equal(t, "fast", w.last("first", 1).server)
-	w.arriveExpecting("second", 1000)
-	require.Empty(t, w.dispatches("second"), "at the slow one it would take 11 s of 15, and may be twice as long")
-	w.arriveExpecting("short", 100)
-	require.Equal(t, "slow", w.last("short", 1).server)
+	h := newHarness(t, Options{})
+	h.addServerAtRate("fast", 250)
+	h.addServerAtRate("slow", 90)
+	h.arriveWithExpectedOutput("first", 1000)
+	require.Equal(t, "fast", h.lastDispatch("first", 1).server)
+	h.arriveWithExpectedOutput("second", 1000)
+	require.Empty(t, h.dispatches("second"), "at the slow one it would take 11 s of 15, and may be twice as long")
+	h.arriveWithExpectedOutput("short", 100)
+	require.Equal(t, "slow", h.lastDispatch("short", 1).server)
 }
 
-// An answer that fits nowhere goes where it ends soonest.
+// Guards against an answer that waits or goes to a slower server because it fits at none: it must go to the server
+// that finishes it first.
 func TestAnswerThatFitsNowhereGoesToTheBestServer(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serveAt("slow", 60)
-	w.serveAt("slower", 20)
-	w.arriveExpecting("a", 2000)
-	require.Equal(t, "slow", w.last("a", 1).server)
-	w.arriveExpecting("b", 2000)
-	w.pass(100 * time.Millisecond)
-	require.Empty(t, w.dispatches("b"))
+	h := newHarness(t, Options{})
+	h.addServerAtRate("slow", 60)
+	h.addServerAtRate("slower", 20)
+	h.arriveWithExpectedOutput("a", 2000)
+	require.Equal(t, "slow", h.lastDispatch("a", 1).server)
+	h.arriveWithExpectedOutput("b", 2000)
+	h.advance(100 * time.Millisecond)
+	require.Empty(t, h.dispatches("b"))
 }
 
-func TestCallersExpectationIsBoundedByWhatTheyAllow(t *testing.T) {
-	w := newWorld(t, Options{})
-	r := w.request("a", longChat)
+// Guards against estimates above the caller's own bound: a request that expects more tokens than it allows must be
+// estimated at its bound.
+func TestExpectedOutputIsBoundedByMaxTokens(t *testing.T) {
+	h := newHarness(t, Options{})
+	r := h.request("a", longChat)
 	r.OutputTokens, r.MaxTokens = 5000, 300
-	require.EqualValues(t, 300, w.s.sketch(r).outputs)
+	require.EqualValues(t, 300, h.s.newEstimationRequest(r).estimatedOutput)
 }
--- a/sched/frames.go
+++ b/sched/frames.go
@@ -9,95 +9,96 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of frames that arrive before an earlier one. Short and long frames travel on two streams, so a little of it
-// is normal.
+// Bounds of frames that arrive before an earlier one. Short and long frames travel on two streams, so some
+// reordering is normal.
 const (
 	maxHeldFrames = 256
 	maxHeldBytes  = 4 << 20
-	// gapBound is how long an earlier frame may stay away before it counts as lost.
-	gapBound = time.Second
+	// gapTimeout is how long an earlier frame may be missing before it counts as lost.
+	gapTimeout = time.Second
 )
 
-// frame takes a part of an answer. A frame of another request or attempt never gets into the answer: it would be a
-// fragment of somebody else's, or of a run that the caller's answer isn't made of.
-func (s *Scheduler) frame(a *agent, f *wire.Frame) {
+// frameReceived handles a part of an answer. A frame of another request or attempt is never added to the answer: it
+// would be a fragment of a different answer or of a different run.
+func (s *Scheduler) frameReceived(a *agent, f *wire.Frame) {
 	r := s.requests[f.GetAttempt().GetRequest()]
 	if r == nil {
-		s.countStray(strayRequest)
+		s.countDropped(droppedRequest)
 		return
 	}
-	if !r.present(a, f.GetAttempt()) {
-		s.countStray(strayAttempt)
+	if !r.isCurrent(a, f.GetAttempt()) {
+		s.countDropped(droppedAttempt)
 		return
 	}
 	s.acknowledge(r)
-	s.takeFrame(r, f)
+	s.acceptFrame(r, f)
 	if r.attempt == nil {
 		return
 	}
-	s.releaseHeld(r)
-	s.checkEnd(r)
-	s.setWake(r)
+	s.releaseHeldFrames(r)
+	s.checkAnswer(r)
+	s.setTimer(r)
 }
 
-// takeFrame keeps a frame that is next, holds one that came too early, and drops one that is there already.
-func (s *Scheduler) takeFrame(r *request, f *wire.Frame) {
+// acceptFrame appends a frame that is next in order, holds one that is early, and drops a duplicate.
+func (s *Scheduler) acceptFrame(r *request, f *wire.Frame) {
 	end := f.GetOffset() + uint64(len(f.GetEvents()))
 	switch {
 	case r.attempt.broken:
-	case f.GetOffset() > r.delivered:
-		s.hold(r, f)
-	case end <= r.delivered:
-		s.countStray(strayFrame)
+	case f.GetOffset() > r.eventsReceived:
+		s.holdFrame(r, f)
+	case end <= r.eventsReceived:
+		s.countDropped(droppedFrame)
 	default:
-		skip := r.delivered - f.GetOffset()
+		skip := r.eventsReceived - f.GetOffset()
 		tokens := f.GetTokens()
-		s.keep(r, f.GetEvents()[skip:], tokens[min(skip, uint64(len(tokens))):])
+		s.appendEvents(r, f.GetEvents()[skip:], tokens[min(skip, uint64(len(tokens))):])
 	}
 }
 
-// hold keeps a frame until the ones before it are there.
-func (s *Scheduler) hold(r *request, f *wire.Frame) {
+// holdFrame holds a frame until the frames before it have arrived.
+func (s *Scheduler) holdFrame(r *request, f *wire.Frame) {
 	a := r.attempt
 	size := eventBytes(f.GetEvents())
-	if len(a.pending) >= maxHeldFrames || a.heldBytes+size > maxHeldBytes {
-		s.breakOff(r, result.New(result.AnswerIncomplete, "too many frames arrived before an earlier one"), retryIncomplete)
+	if len(a.heldFrames) >= maxHeldFrames || a.heldBytes+size > maxHeldBytes {
+		s.failAnswer(r, result.New(result.AnswerIncomplete, "too many frames arrived before an earlier one"), retryIncomplete)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(a.pending, f.GetOffset(), func(p *wire.Frame, offset uint64) int {
+	at, _ := slices.BinarySearchFunc(a.heldFrames, f.GetOffset(), func(p *wire.Frame, offset uint64) int {
 		return cmp.Compare(p.GetOffset(), offset)
 	})
-	a.pending = slices.Insert(a.pending, at, f)
+	a.heldFrames = slices.Insert(a.heldFrames, at, f)
 	a.heldBytes += size
 	if a.gapSince.IsZero() {
 		a.gapSince = s.now
 	}
 }
 
-// releaseHeld keeps the held frames whose turn has come.
-func (s *Scheduler) releaseHeld(r *request) {
+// releaseHeldFrames appends the held frames that are next in order.
+func (s *Scheduler) releaseHeldFrames(r *request) {
 	a := r.attempt
-	for a == r.attempt && len(a.pending) > 0 && a.pending[0].GetOffset() <= r.delivered && !a.broken {
-		f := a.pending[0]
-		a.pending = a.pending[1:]
+	for a == r.attempt && len(a.heldFrames) > 0 && a.heldFrames[0].GetOffset() <= r.eventsReceived && !a.broken {
+		f := a.heldFrames[0]
+		a.heldFrames = a.heldFrames[1:]
 		a.heldBytes -= eventBytes(f.GetEvents())
 		a.gapSince = s.now
-		s.takeFrame(r, f)
+		s.acceptFrame(r, f)
 	}
-	if len(a.pending) == 0 && a.end == nil {
+	if len(a.heldFrames) == 0 && a.answerEnd == nil {
 		a.gapSince = time.Time{}
 	}
 }
 
-// keep appends events, with the tokens in each, to the answer. All events of a frame after the end are refused.
-func (s *Scheduler) keep(r *request, events [][]byte, tokens []uint32) {
+// appendEvents appends events, with the number of tokens in each, to the answer. If the chart allows no frame in
+// the current state, all are dropped.
+func (s *Scheduler) appendEvents(r *request, events [][]byte, tokens []uint32) {
 	a := r.attempt
 	e := evFrame
 	if !a.framesSeen {
 		e = evFirstFrame
 	}
 	a.framesSeen = true
-	r.record().began = true
+	r.currentRecord().began = true
 	if s.fire(r, e) != nil {
 		return
 	}
@@ -105,37 +106,37 @@
 		_, _ = a.digest.Write(event)
 		a.bytes += uint64(len(event))
 	}
-	r.delivered += uint64(len(events))
-	r.noteEvents(s.now)
+	r.eventsReceived += uint64(len(events))
+	r.noteEventTimes(s.now)
 	for _, n := range tokens {
-		r.tokens += n
+		r.tokensReceived += n
 	}
-	r.record().frames++
-	s.passOn(r, events)
+	r.currentRecord().frames++
+	s.deliverEvents(r, events)
 }
 
-// passOn delivers events of a stream, and holds those of a whole answer until it is checked. A caller who left makes
-// no difference: the key's record may need the whole answer.
-func (s *Scheduler) passOn(r *request, events [][]byte) {
+// deliverEvents delivers the events of a stream, and buffers those of a whole answer until it is checked. This
+// doesn't depend on the caller being present: the key's record may need the whole answer.
+func (s *Scheduler) deliverEvents(r *request, events [][]byte) {
 	if r.Stream {
-		r.noteLast(events)
-		s.act(Deliver{Request: r.ID, Events: events})
+		r.noteLastEvent(events)
+		s.emit(Deliver{Request: r.ID, Events: events})
 		return
 	}
 	r.buffer = append(r.buffer, events...)
 	r.bufferSize += eventBytes(events)
 	if r.bufferSize > s.options.MaxAnswerBytes {
-		s.breakOff(r, result.New(result.AnswerTooLarge, ""), retryIncomplete)
+		s.failAnswer(r, result.New(result.AnswerTooLarge, ""), retryIncomplete)
 	}
 }
 
-// noteEvents notes when events of the answer came.
-func (r *request) noteEvents(now time.Time) {
+// noteEventTimes records when events of the answer arrived.
+func (r *request) noteEventTimes(now time.Time) {
 	head := uint64(0)
 	if r.Verbatim != nil {
 		head = 1
 	}
-	if r.delivered <= head {
+	if r.eventsReceived <= head {
 		return
 	}
 	if r.firstEventAt.IsZero() {
@@ -146,77 +147,77 @@
 	r.lastEventAt = now
 }
 
-// noteLast keeps the last event that was delivered: another server goes on after it. The first one of a verbatim answer
-// is its head, and no event of the stream.
-func (r *request) noteLast(events [][]byte) {
-	if r.Verbatim != nil && r.delivered > 1 && len(events) > 0 {
+// noteLastEvent keeps the last event that was delivered, after which another server continues the stream. The first
+// event of a verbatim answer is its head and not part of the stream.
+func (r *request) noteLastEvent(events [][]byte) {
+	if r.Verbatim != nil && r.eventsReceived > 1 && len(events) > 0 {
 		r.lastEvent = events[len(events)-1]
 	}
 }
 
-// completed takes the word that the engine ended the attempt in full. The last frames may still be on the way, since
+// engineCompleted handles the report that the engine completed the attempt. The last frames may arrive later, since
 // long ones travel on another stream.
-func (s *Scheduler) completed(r *request, m *wire.Over) {
-	rec := r.record()
+func (s *Scheduler) engineCompleted(r *request, m *wire.Over) {
+	rec := r.currentRecord()
 	rec.began = true
 	if m.GetAnswer() == nil {
-		s.incomplete(r, result.New(result.AnswerIncomplete, "the agent gave no length"), retryIncomplete)
+		s.failIncomplete(r, result.New(result.AnswerIncomplete, "the agent gave no length"), retryIncomplete)
 		return
 	}
-	r.attempt.end = m.GetAnswer()
+	r.attempt.answerEnd = m.GetAnswer()
 	if r.attempt.gapSince.IsZero() {
 		r.attempt.gapSince = s.now
 	}
-	s.checkEnd(r)
+	s.checkAnswer(r)
 }
 
-// checkEnd answers once all events are there and fit the length and digest that the agent gave. Anything else isn't
-// the whole answer: it is never given out as one.
-func (s *Scheduler) checkEnd(r *request) {
+// checkAnswer completes the request once all events have arrived and match the length and digest that the agent
+// reported. An answer that doesn't match is never delivered as a whole one.
+func (s *Scheduler) checkAnswer(r *request) {
 	a := r.attempt
 	switch {
-	case a == nil || a.end == nil:
-	case a.broken || r.delivered > a.end.GetEvents():
-		s.incomplete(r, result.New(result.AnswerIncomplete, ""), retryIncomplete)
-	case r.delivered < a.end.GetEvents():
-		// Frames are missing; wake gives up on them after gapBound.
-	case a.bytes != a.end.GetBytes() || a.digest.Sum64() != a.end.GetDigest():
-		s.incomplete(r, result.New(result.AnswerDigestMismatch, ""), retryDigest)
+	case a == nil || a.answerEnd == nil:
+	case a.broken || r.eventsReceived > a.answerEnd.GetEvents():
+		s.failIncomplete(r, result.New(result.AnswerIncomplete, ""), retryIncomplete)
+	case r.eventsReceived < a.answerEnd.GetEvents():
+		// Frames are missing; they count as lost after gapTimeout.
+	case a.bytes != a.answerEnd.GetBytes() || a.digest.Sum64() != a.answerEnd.GetDigest():
+		s.failIncomplete(r, result.New(result.AnswerDigestMismatch, ""), retryDigestMismatch)
 	default:
 		s.complete(r)
 	}
 }
 
 func (s *Scheduler) complete(r *request) {
-	rec := r.record()
-	rec.over, rec.proof, rec.proved = s.now, wire.Proof_PROOF_COMPLETED, true
-	s.trueUp(r, rec.proof)
+	rec := r.currentRecord()
+	rec.over, rec.proof, rec.provedOver = s.now, wire.Proof_PROOF_COMPLETED, true
+	s.reconcileCharge(r, rec.proof)
 	_ = s.fire(r, evAnswerComplete)
 }
 
-// incomplete closes an attempt that the engine ended but whose answer isn't whole here.
-func (s *Scheduler) incomplete(r *request, err *result.Error, reason string) {
-	r.spoilt(err.Code)
-	s.countLostPrefill(r, reason)
-	s.ended(r, evAttemptFailed, wire.Proof_PROOF_COMPLETED, reason, err)
+// failIncomplete ends an attempt that the engine completed but whose answer is incomplete or damaged here.
+func (s *Scheduler) failIncomplete(r *request, err *result.Error, reason string) {
+	r.discardUntrusted(err.Code)
+	s.countEstimatedWaste(r, reason)
+	s.attemptEnded(r, evAttemptFailed, wire.Proof_PROOF_COMPLETED, reason, err)
 }
 
-// breakOff gives up on the present attempt's answer while the engine may still be at it.
-func (s *Scheduler) breakOff(r *request, err *result.Error, reason string) {
+// failAnswer discards the current attempt's answer while the engine may still be running it.
+func (s *Scheduler) failAnswer(r *request, err *result.Error, reason string) {
 	a := r.attempt
 	a.broken = true
-	a.pending = nil
+	a.heldFrames = nil
 	a.brokenErr = err
-	if a.end != nil {
-		s.incomplete(r, err, reason)
+	if a.answerEnd != nil {
+		s.failIncomplete(r, err, reason)
 		return
 	}
-	s.askCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
+	s.requestCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
 }
 
-// gapPassed gives up on a frame that stayed away.
-func (s *Scheduler) gapPassed(r *request) {
-	s.breakOff(r, result.New(result.AnswerIncomplete, "a part of the answer was lost"), retryIncomplete)
+// gapExpired handles a frame that is missing for longer than gapTimeout.
+func (s *Scheduler) gapExpired(r *request) {
+	s.failAnswer(r, result.New(result.AnswerIncomplete, "a part of the answer was lost"), retryIncomplete)
 }
 
 func eventBytes(events [][]byte) int {
--- a/sched/frames_test.go
+++ b/sched/frames_test.go
@@ -11,21 +11,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// streamed is a world with a dispatched request r whose caller wants a stream.
-func streamed(t *testing.T, class *wire.Class) (*world, sentTo) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 4)
-	w.serve("s2", kindModel, testModel, 4)
-	r := w.request("r", class)
+// newStreamHarness returns a harness with a dispatched request r whose caller requested a stream.
+func newStreamHarness(t *testing.T, class *wire.Class) (*harness, sentMessage) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 4)
+	h.addServer("s2", kindModel, testModel, 4)
+	r := h.request("r", class)
 	r.Stream = true
-	w.step(Arrive{Request: r})
-	return w, w.last("r", 1)
+	h.step(Arrive{Request: r})
+	return h, h.lastDispatch("r", 1)
 }
 
+// Guards against answers with missing or duplicate events, or with events of another answer. The frames a b c d
+// arrive late, duplicated or reordered, among frames of other requests, attempts and agents.
 func TestFramesInAnyOrder(t *testing.T) {
-	// Symptom: a caller gets a fragment, events twice, or another caller's events.
-	// Sequence: the frames a b c d of an answer come late, doubled or reordered, with strange ones among them.
-	// Cause: a frame taken without a look at its request, attempt or offset.
 	type f struct {
 		offset uint64
 		events []string
@@ -43,30 +42,29 @@
 	for _, row := range rows {
 		for _, endFirst := range []bool{false, true} {
 			t.Run(row.name, func(t *testing.T) {
-				w, d := streamed(t, summary)
+				h, d := newStreamHarness(t, summary)
 				if endFirst {
-					w.complete(d.server, d.id, 0, "a", "b", "c", "d")
+					h.complete(d.server, d.id, 0, "a", "b", "c", "d")
 				}
-				w.frame(d.server, &wire.AttemptID{Request: "r", Number: 7}, 0, "x")
-				w.frame(d.server, &wire.AttemptID{Request: "other", Number: 1}, 0, "y")
-				w.frame(d.other(), d.id, 0, "z")
+				h.frame(d.server, &wire.AttemptID{Request: "r", Number: 7}, 0, "x")
+				h.frame(d.server, &wire.AttemptID{Request: "other", Number: 1}, 0, "y")
+				h.frame(d.other(), d.id, 0, "z")
 				for _, f := range row.frames {
-					w.frame(d.server, d.id, f.offset, f.events...)
+					h.frame(d.server, d.id, f.offset, f.events...)
 				}
 				if !endFirst {
-					w.complete(d.server, d.id, 0, "a", "b", "c", "d")
+					h.complete(d.server, d.id, 0, "a", "b", "c", "d")
 				}
-				assert.Equal(t, []string{"a", "b", "c", "d"}, w.events["r"])
-				assert.Contains(t, w.answers, "r")
+				assert.Equal(t, []string{"a", "b", "c", "d"}, h.events["r"])
+				assert.Contains(t, h.answers, "r")
 			})
 		}
 	}
 }
 
-func TestAnswerThatIsNotWhole(t *testing.T) {
-	// Symptom: a fragment, or a damaged answer, is given out as a whole one.
-	// Sequence: the rows, each with a word of the agent that the answer is complete.
-	// Cause: count, length or digest not compared.
+// Guards against delivering an incomplete or damaged answer as a whole one. The agent reports completion with a
+// count, length or digest that doesn't match.
+func TestIncompleteAnswerIsRejected(t *testing.T) {
 	rows := []struct {
 		name string
 		end  func(e *wire.AnswerEnd)
@@ -79,185 +77,185 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			w, d := twoServers(t, order)
-			w.frame(d.server, d.id, 0, "a", "b")
-			end := endOf(0, "a", "b")
+			h, d := newTwoServerHarness(t, order)
+			h.frame(d.server, d.id, 0, "a", "b")
+			end := answerEndOf(0, "a", "b")
 			row.end(end)
-			w.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_COMPLETED, Answer: end})
-			w.pass(gapBound)
-			require.Contains(t, w.failures, "r")
-			assert.Equal(t, row.code, w.failures["r"].Code)
-			assert.Empty(t, w.events["r"])
+			h.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_COMPLETED, Answer: end})
+			h.advance(gapTimeout)
+			require.Contains(t, h.failures, "r")
+			assert.Equal(t, row.code, h.failures["r"].Code)
+			assert.Empty(t, h.events["r"])
 		})
 	}
 	t.Run("no end at all", func(t *testing.T) {
-		w, d := twoServers(t, order)
-		w.prove(d.server, d.id, wire.Proof_PROOF_COMPLETED)
-		require.Contains(t, w.failures, "r")
-		assert.Equal(t, result.AnswerIncomplete, w.failures["r"].Code)
+		h, d := newTwoServerHarness(t, order)
+		h.prove(d.server, d.id, wire.Proof_PROOF_COMPLETED)
+		require.Contains(t, h.failures, "r")
+		assert.Equal(t, result.AnswerIncomplete, h.failures["r"].Code)
 	})
 }
 
-func TestDamagedAnswerOfRepeatableWorkIsMadeAnew(t *testing.T) {
-	// Symptom: the second answer starts with the damaged events of the first.
-	// Sequence: a whole answer has the wrong digest; the work may be repeated and the caller has seen nothing.
-	// Cause: what was kept isn't dropped.
-	w, d := twoServers(t, summary)
-	w.frame(d.server, d.id, 0, "a", "x")
-	w.complete(d.server, d.id, 0, "a", "b")
-	next := w.last("r", 2)
-	w.frame(next.server, next.id, 0, "c", "d")
-	w.complete(next.server, next.id, 0, "c", "d")
-	assert.Contains(t, w.answers, "r")
-	assert.Equal(t, []string{"c", "d"}, w.events["r"])
+// Guards against an answer that begins with the damaged events of an earlier attempt: a whole answer has the wrong
+// digest, the request may be repeated, and its caller has received nothing. The buffered events must be discarded.
+func TestDamagedAnswerOfRepeatableRequestIsRetried(t *testing.T) {
+	h, d := newTwoServerHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a", "x")
+	h.complete(d.server, d.id, 0, "a", "b")
+	next := h.lastDispatch("r", 2)
+	h.frame(next.server, next.id, 0, "c", "d")
+	h.complete(next.server, next.id, 0, "c", "d")
+	assert.Contains(t, h.answers, "r")
+	assert.Equal(t, []string{"c", "d"}, h.events["r"])
 }
 
-func TestDamagedStreamIsNeverEndedAsWhole(t *testing.T) {
-	w, d := streamed(t, summary)
-	w.frame(d.server, d.id, 0, "a", "x")
-	w.complete(d.server, d.id, 0, "a", "b")
-	require.Contains(t, w.failures, "r")
-	assert.Equal(t, result.AnswerDigestMismatch, w.failures["r"].Code)
+// Guards against ending a damaged stream as a whole answer: its events don't match the digest and the caller has
+// already received them, so the request must fail.
+func TestDamagedStreamFails(t *testing.T) {
+	h, d := newStreamHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a", "x")
+	h.complete(d.server, d.id, 0, "a", "b")
+	require.Contains(t, h.failures, "r")
+	assert.Equal(t, result.AnswerDigestMismatch, h.failures["r"].Code)
 }
 
-func TestLostFrame(t *testing.T) {
-	// Symptom: a stream stands still until its deadline.
-	// Sequence: a frame in the middle is lost, later ones come.
-	// Cause: nobody gives up on the lost one.
-	w, d := streamed(t, summary)
-	w.frame(d.server, d.id, 0, "a")
-	w.frame(d.server, d.id, 2, "c")
-	w.pass(gapBound)
-	require.Len(t, w.cancels("r"), 1)
-	w.prove(d.server, d.id, wire.Proof_PROOF_CANCELLED)
-	next := w.last("r", 2)
-	w.frame(next.server, next.id, 1, "b", "c")
-	w.complete(next.server, next.id, 1, "b", "c")
-	assert.Contains(t, w.answers, "r")
-	assert.Equal(t, []string{"a", "b", "c"}, w.events["r"])
+// Guards against a stream that stalls until its deadline: a frame in the middle is lost and later ones arrive. The
+// attempt must be given up after gapTimeout.
+func TestLostFrameIsRetried(t *testing.T) {
+	h, d := newStreamHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a")
+	h.frame(d.server, d.id, 2, "c")
+	h.advance(gapTimeout)
+	require.Len(t, h.cancels("r"), 1)
+	h.prove(d.server, d.id, wire.Proof_PROOF_CANCELLED)
+	next := h.lastDispatch("r", 2)
+	h.frame(next.server, next.id, 1, "b", "c")
+	h.complete(next.server, next.id, 1, "b", "c")
+	assert.Contains(t, h.answers, "r")
+	assert.Equal(t, []string{"a", "b", "c"}, h.events["r"])
 }
 
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	// Symptom: a reader sees the beginning of an answer twice, or loses it when an engine dies.
-	// Sequence: two events are delivered, then the agent restarts or the attempt is preempted.
-	// Cause: the next attempt doesn't start where the last one stopped.
+// Guards against a stream that repeats its beginning, or that is lost with an engine: two events are delivered,
+// then the agent restarts or the attempt is preempted. The next attempt must start after the last event.
+func TestStreamResumesAfterLastEvent(t *testing.T) {
 	rows := []struct {
 		name   string
-		do     func(w *world, d sentTo)
+		do     func(h *harness, d sentMessage)
 		resume string
 	}{
-		{"agent restarted", func(w *world, d sentTo) { w.restart(d.server) }, ""},
-		{"engine failed", func(w *world, d sentTo) { w.prove(d.server, d.id, wire.Proof_PROOF_FAILED) }, ""},
-		{"preempted, cache kept", func(w *world, d sentTo) {
-			w.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_CANCELLED, PreemptedByTier: 1, Resumable: true})
+		{"agent restarted", func(h *harness, d sentMessage) { h.restart(d.server) }, ""},
+		{"engine failed", func(h *harness, d sentMessage) { h.prove(d.server, d.id, wire.Proof_PROOF_FAILED) }, ""},
+		{"preempted, cache kept", func(h *harness, d sentMessage) {
+			h.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_CANCELLED, PreemptedByTier: 1, Resumable: true})
 		}, "r.1"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			w, d := streamed(t, summary)
-			w.frame(d.server, d.id, 0, "a", "b")
-			row.do(w, d)
-			next := w.last("r", 2)
-			m := w.sent[len(w.sent)-1].Message.GetDispatch()
+			h, d := newStreamHarness(t, summary)
+			h.frame(d.server, d.id, 0, "a", "b")
+			row.do(h, d)
+			next := h.lastDispatch("r", 2)
+			m := h.sent[len(h.sent)-1].Message.GetDispatch()
 			assert.Equal(t, uint32(2), m.GetResumeFrom())
 			if next.server == d.server {
 				assert.Equal(t, row.resume, m.GetResumeAttempt())
 			}
-			w.frame(d.server, d.id, 2, "late")
-			w.frame(next.server, next.id, 2, "c")
-			w.complete(next.server, next.id, 2, "c")
-			assert.Contains(t, w.answers, "r")
-			assert.Equal(t, []string{"a", "b", "c"}, w.events["r"])
+			h.frame(d.server, d.id, 2, "late")
+			h.frame(next.server, next.id, 2, "c")
+			h.complete(next.server, next.id, 2, "c")
+			assert.Contains(t, h.answers, "r")
+			assert.Equal(t, []string{"a", "b", "c"}, h.events["r"])
 		})
 	}
 }
 
-func TestStreamGoesOnAtTheRightToken(t *testing.T) {
-	// Symptom: one token is missing from the middle of an answer.
-	// Sequence: a chat's first event, which names the role and has no token, and one token are delivered; a frame comes
-	// twice; the agent restarts and the stream goes on elsewhere.
-	// Cause: the next engine was told to go on after as many tokens as events had been delivered.
-	w, d := streamed(t, summary)
+// Guards against a token missing from the middle of an answer: the first event of a chat names the role and has no
+// token, one token is delivered, a frame is duplicated, and the agent restarts. The next engine must skip the
+// tokens delivered, not as many tokens as there were events.
+func TestStreamResumesAtTheRightToken(t *testing.T) {
+	h, d := newStreamHarness(t, summary)
 	f := frameOf(d.id, 0, "role", "a")
 	f.Tokens = []uint32{0, 1}
-	w.say(d.server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: f}})
+	h.receive(d.server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: f}})
 	again := frameOf(d.id, 1, "a", "b")
 	again.Tokens = []uint32{1, 1}
-	w.say(d.server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: again}})
-	w.restart(d.server)
-	w.last("r", 2)
-	m := w.sent[len(w.sent)-1].Message.GetDispatch()
+	h.receive(d.server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: again}})
+	h.restart(d.server)
+	h.lastDispatch("r", 2)
+	m := h.sent[len(h.sent)-1].Message.GetDispatch()
 	assert.Equal(t, uint32(3), m.GetResumeFrom())
 	assert.Equal(t, uint32(2), m.GetResumeTokens())
 }
 
-func TestStreamIsNotPatchedFromTwoRuns(t *testing.T) {
-	// Symptom: a reader gets the first half of one answer and the second half of another.
-	// Sequence: two events are delivered, the agent restarts, and no server can resume.
-	// Cause: a server that computes the answer anew taken for one that continues it.
-	w, d := streamed(t, summary)
-	w.frame(d.server, d.id, 0, "a", "b")
-	w.roomToBeginAnew(d.other(), 4)
-	w.up(d.server, 2)
-	w.roomToBeginAnew(d.server, 0)
-	assert.Len(t, w.dispatches("r"), 1)
-	assert.Contains(t, w.failures, "r")
+// Guards against joining the first half of one run with the second half of another: two events are delivered, the
+// agent restarts, and no server can resume. A server that computes the answer anew must not get the stream.
+func TestStreamIsNotJoinedFromTwoRuns(t *testing.T) {
+	h, d := newStreamHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a", "b")
+	h.reportRoomWithoutResume(d.other(), 4)
+	h.linkUp(d.server, 2)
+	h.reportRoomWithoutResume(d.server, 0)
+	assert.Len(t, h.dispatches("r"), 1)
+	assert.Contains(t, h.failures, "r")
 }
 
-// roomToBeginAnew is the room of a server that can't resume.
-func (w *world) roomToBeginAnew(server string, free uint32) {
-	w.t.Helper()
+// reportRoomWithoutResume delivers a Room report of a server that can't resume.
+func (h *harness) reportRoomWithoutResume(server string, free uint32) {
+	h.t.Helper()
 	room := readyRoom(server, kindModel, testModel, free)
 	room.Resume = false
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 }
 
-func TestStreamGoesOnOnlyWhereItCanBeResumed(t *testing.T) {
-	// Symptom: the same, where another server could resume but has no room just now.
-	w, d := streamed(t, summary)
-	w.frame(d.server, d.id, 0, "a", "b")
-	w.serve("s3", kindModel, testModel, 0)
-	w.roomToBeginAnew(d.other(), 4)
-	w.up(d.server, 2)
-	w.roomToBeginAnew(d.server, 0)
-	assert.Len(t, w.dispatches("r"), 1)
-	require.Len(t, w.reserves("r"), 1)
-	w.offer("s3", w.reserves("r")[0].id)
-	assert.Equal(t, "s3", w.last("r", 2).server)
+// Guards against the same when another server could resume but has no room: the request must wait for that server.
+func TestStreamWaitsForServerThatCanResume(t *testing.T) {
+	h, d := newStreamHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a", "b")
+	h.addServer("s3", kindModel, testModel, 0)
+	h.reportRoomWithoutResume(d.other(), 4)
+	h.linkUp(d.server, 2)
+	h.reportRoomWithoutResume(d.server, 0)
+	assert.Len(t, h.dispatches("r"), 1)
+	require.Len(t, h.reserves("r"), 1)
+	h.offer("s3", h.reserves("r")[0].id)
+	assert.Equal(t, "s3", h.lastDispatch("r", 2).server)
 }
 
-func TestAnswerOverTheBound(t *testing.T) {
-	w := newWorld(t, Options{MaxAnswerBytes: 3})
-	w.serve("s1", kindModel, testModel, 4)
-	w.arrive("r", summary)
-	d := w.last("r", 1)
-	w.frame(d.server, d.id, 0, "ab", "cd")
-	require.Len(t, w.cancels("r"), 1)
-	w.prove(d.server, d.id, wire.Proof_PROOF_CANCELLED)
-	require.Contains(t, w.failures, "r")
-	assert.Equal(t, result.AnswerTooLarge, w.failures["r"].Code)
-	assert.Len(t, w.dispatches("r"), 1)
+// Guards against unbounded buffers: an answer larger than MaxAnswerBytes must be cancelled, fail, and not be
+// retried.
+func TestAnswerOverSizeLimitFails(t *testing.T) {
+	h := newHarness(t, Options{MaxAnswerBytes: 3})
+	h.addServer("s1", kindModel, testModel, 4)
+	h.arrive("r", summary)
+	d := h.lastDispatch("r", 1)
+	h.frame(d.server, d.id, 0, "ab", "cd")
+	require.Len(t, h.cancels("r"), 1)
+	h.prove(d.server, d.id, wire.Proof_PROOF_CANCELLED)
+	require.Contains(t, h.failures, "r")
+	assert.Equal(t, result.AnswerTooLarge, h.failures["r"].Code)
+	assert.Len(t, h.dispatches("r"), 1)
 }
 
+// Guards against unbounded memory: the first frame is lost and the engine keeps sending. The number of held frames
+// must stay bounded.
 func TestHeldFramesAreBounded(t *testing.T) {
-	// Symptom: an entry runs out of memory.
-	// Sequence: the first frame is lost and the engine goes on for a long time.
-	// Cause: later frames held without a bound.
-	w, d := streamed(t, appeal)
+	h, d := newStreamHarness(t, appeal)
 	for i := range uint64(2 * maxHeldFrames) {
-		w.frame(d.server, d.id, i+1, "x")
+		h.frame(d.server, d.id, i+1, "x")
 	}
-	assert.LessOrEqual(t, len(w.s.requests["r"].attempt.pending), maxHeldFrames)
-	assert.Len(t, w.cancels("r"), 1)
+	assert.LessOrEqual(t, len(h.s.requests["r"].attempt.heldFrames), maxHeldFrames)
+	assert.Len(t, h.cancels("r"), 1)
 }
 
-func TestAnswerOvertakesItsCancel(t *testing.T) {
-	w, d := twoServers(t, summary)
-	w.frame(d.server, d.id, 0, "a")
-	w.prove(d.server, d.id, wire.Proof_PROOF_UNPROVEN)
-	w.frame(d.server, d.id, 1, "b")
-	w.complete(d.server, d.id, 0, "a", "b")
-	assert.Contains(t, w.answers, "r")
-	w.pass(time.Second)
-	assert.Len(t, w.dispatches("r"), 1)
+// Guards against discarding a whole answer and running the request again: a Cancel was sent, and then the rest of
+// the answer arrives.
+func TestAnswerThatArrivesAfterCancelIsAccepted(t *testing.T) {
+	h, d := newTwoServerHarness(t, summary)
+	h.frame(d.server, d.id, 0, "a")
+	h.prove(d.server, d.id, wire.Proof_PROOF_UNPROVEN)
+	h.frame(d.server, d.id, 1, "b")
+	h.complete(d.server, d.id, 0, "a", "b")
+	assert.Contains(t, h.answers, "r")
+	h.advance(time.Second)
+	assert.Len(t, h.dispatches("r"), 1)
 }
--- a/sched/harness_test.go
+++ b/sched/harness_test.go
@@ -11,15 +11,15 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Classes of the tests.
+// Classes used by the tests.
 var (
 	gateCheck = &wire.Class{Name: "gate-check", Tier: 1, DeadlineMs: 2000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: kindService}
 	passIssue = &wire.Class{Name: "pass-issue", Tier: 1, DeadlineMs: 5000, LateMax: 0.01, LostMax: 0.01, Kind: kindService}
 	summary   = &wire.Class{Name: "summary", Tier: 2, DeadlineMs: 10_000, LateMax: 0.05, LostMax: 0.05, Repeatable: true, Kind: kindModel}
 	appeal    = &wire.Class{Name: "appeal", Tier: 3, DeadlineMs: 20_000, LateMax: 0.5, Repeatable: true, Kind: kindModel}
-	// urgentModel is tier 1 and needs a model, for the rules about tiers that share a pool.
+	// urgentModel is of tier 1 and of kind model, for tests with several tiers in one pool.
 	urgentModel = &wire.Class{Name: "urgent", Tier: 1, DeadlineMs: 4000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: kindModel}
-	// order may not be repeated and needs a model.
+	// order may not be repeated and is of kind model.
 	order = &wire.Class{Name: "order", Tier: 2, DeadlineMs: 10_000, LateMax: 0.01, LostMax: 0.01, Kind: kindModel}
 )
 
@@ -28,116 +28,116 @@
 	testService = "registry"
 )
 
-// world drives a scheduler by hand and keeps what it does.
-type world struct {
-	t        *testing.T
-	s        *Scheduler
-	now      time.Time
-	records  []*wire.AgentRecord
-	sent     []Send
-	answers  map[string]*wire.AnswerEnd
-	failures map[string]*result.Error
-	events   map[string][]string
-	widens   []WidenCandidates
-	proves   []ProveAtEngine
-	counts   []Count
+// harness drives a scheduler step by step and records its actions.
+type harness struct {
+	t            *testing.T
+	s            *Scheduler
+	now          time.Time
+	records      []*wire.AgentRecord
+	sent         []Send
+	answers      map[string]*wire.AnswerEnd
+	failures     map[string]*result.Error
+	events       map[string][]string
+	widened      []WidenCandidates
+	engineProofs []ProveAtEngine
+	counts       []Count
 }
 
-func newWorld(t *testing.T, options Options) *world {
+func newHarness(t *testing.T, options Options) *harness {
 	t.Helper()
 	s, err := New(options)
 	require.NoError(t, err)
-	return &world{
+	return &harness{
 		t: t, s: s, now: time.Unix(1_700_000_000, 0),
 		answers: map[string]*wire.AnswerEnd{}, failures: map[string]*result.Error{}, events: map[string][]string{},
 	}
 }
 
-func (w *world) step(e Event) []Action {
-	w.t.Helper()
-	actions := w.s.Step(w.now, e)
+func (h *harness) step(e Event) []Action {
+	h.t.Helper()
+	actions := h.s.Step(h.now, e)
 	for _, a := range actions {
-		w.keep(a)
+		h.recordAction(a)
 	}
 	return actions
 }
 
-func (w *world) keep(a Action) {
-	w.t.Helper()
+func (h *harness) recordAction(a Action) {
+	h.t.Helper()
 	switch a := a.(type) {
 	case Send:
-		w.sent = append(w.sent, a)
+		h.sent = append(h.sent, a)
 	case Deliver:
 		for _, e := range a.Events {
-			w.events[a.Request] = append(w.events[a.Request], string(e))
+			h.events[a.Request] = append(h.events[a.Request], string(e))
 		}
 	case Answer:
-		w.ended(a.Request)
-		w.answers[a.Request] = a.End
+		h.checkEndsOnce(a.Request)
+		h.answers[a.Request] = a.End
 	case Fail:
-		w.ended(a.Request)
-		w.failures[a.Request] = a.Err
+		h.checkEndsOnce(a.Request)
+		h.failures[a.Request] = a.Err
 	case WidenCandidates:
-		w.widens = append(w.widens, a)
+		h.widened = append(h.widened, a)
 	case ProveAtEngine:
-		w.proves = append(w.proves, a)
+		h.engineProofs = append(h.engineProofs, a)
 	case Count:
-		w.counts = append(w.counts, a)
+		h.counts = append(h.counts, a)
 	}
 }
 
-// ended checks that no request ends twice.
-func (w *world) ended(id string) {
-	w.t.Helper()
-	require.Nil(w.t, w.answers[id], "second end of %s", id)
-	require.Nil(w.t, w.failures[id], "second end of %s", id)
+// checkEndsOnce checks that no request ends twice.
+func (h *harness) checkEndsOnce(id string) {
+	h.t.Helper()
+	require.Nil(h.t, h.answers[id], "second end of %s", id)
+	require.Nil(h.t, h.failures[id], "second end of %s", id)
 }
 
-func (w *world) pass(d time.Duration) {
-	w.t.Helper()
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(MinTickInterval)
-		w.step(Tick{})
+func (h *harness) advance(d time.Duration) {
+	h.t.Helper()
+	for end := h.now.Add(d); h.now.Before(end); {
+		h.now = h.now.Add(MinTickInterval)
+		h.step(Tick{})
 	}
 }
 
-// serve lists a server of its own agent, links it and has it advertise free attempts.
-func (w *world) serve(server, kind, target string, free uint32) {
-	w.t.Helper()
-	w.list(server, kind, target)
-	w.up(server, 1)
-	w.room(server, kind, target, free)
+// addServer lists a server with its own agent, links it and reports room for free attempts.
+func (h *harness) addServer(server, kind, target string, free uint32) {
+	h.t.Helper()
+	h.listServer(server, kind, target)
+	h.linkUp(server, 1)
+	h.reportRoom(server, kind, target, free)
 }
 
-func (w *world) list(server, kind, target string) {
-	w.t.Helper()
-	w.records = append(w.records, &wire.AgentRecord{
+func (h *harness) listServer(server, kind, target string) {
+	h.t.Helper()
+	h.records = append(h.records, &wire.AgentRecord{
 		Agent: agentOf(server), Incarnation: 1,
 		Servers: []*wire.ServerRecord{{
 			Server: server, Kind: kind, Address: "addr-" + server, Models: []string{target},
 			Condition: wire.ServerCondition_SERVER_CONDITION_READY,
 		}},
 	})
-	w.step(Directory{Agents: w.records})
+	h.step(Directory{Agents: h.records})
 }
 
 func agentOf(server string) string { return "agent-" + server }
 
-func (w *world) up(server string, incarnation uint64) {
-	w.t.Helper()
-	w.step(AgentUp{Hello: &wire.AgentHello{Agent: agentOf(server), Incarnation: incarnation}})
+func (h *harness) linkUp(server string, incarnation uint64) {
+	h.t.Helper()
+	h.step(AgentUp{Hello: &wire.AgentHello{Agent: agentOf(server), Incarnation: incarnation}})
 }
 
-// restart brings up the agent's next incarnation, which has proved the engine free and says so with its room.
-func (w *world) restart(server string) {
-	w.t.Helper()
-	w.up(server, 2)
-	w.room(server, kindModel, testModel, 0)
+// restart links the agent's next incarnation, which has cleared the engine and proves it by its Room report.
+func (h *harness) restart(server string) {
+	h.t.Helper()
+	h.linkUp(server, 2)
+	h.reportRoom(server, kindModel, testModel, 0)
 }
 
-func (w *world) down(server string) {
-	w.t.Helper()
-	w.step(AgentDown{Agent: agentOf(server), Incarnation: w.s.agents[agentOf(server)].incarnation})
+func (h *harness) linkDown(server string) {
+	h.t.Helper()
+	h.step(AgentDown{Agent: agentOf(server), Incarnation: h.s.agents[agentOf(server)].incarnation})
 }
 
 func readyRoom(server, kind, target string, free uint32) *wire.Room {
@@ -147,32 +147,32 @@
 	}
 }
 
-func (w *world) room(server, kind, target string, free uint32) {
-	w.t.Helper()
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: readyRoom(server, kind, target, free)}})
+func (h *harness) reportRoom(server, kind, target string, free uint32) {
+	h.t.Helper()
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: readyRoom(server, kind, target, free)}})
 }
 
-// say passes a message of the server's agent, of the incarnation that is linked.
-func (w *world) say(server string, m *wire.AgentMessage) {
-	w.t.Helper()
-	a := w.s.agents[agentOf(server)]
-	w.step(MessageReceived{Agent: a.name, Incarnation: a.incarnation, Message: m})
+// receive delivers a message of the server's agent, of the incarnation that is linked.
+func (h *harness) receive(server string, m *wire.AgentMessage) {
+	h.t.Helper()
+	a := h.s.agents[agentOf(server)]
+	h.step(MessageReceived{Agent: a.name, Incarnation: a.incarnation, Message: m})
 }
 
-func (w *world) over(server string, o *wire.Over) {
-	w.t.Helper()
+func (h *harness) over(server string, o *wire.Over) {
+	h.t.Helper()
 	o.Server = server
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: o}})
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: o}})
 }
 
-func (w *world) prove(server string, id *wire.AttemptID, p wire.Proof) {
-	w.t.Helper()
-	w.over(server, &wire.Over{Attempt: id, Proof: p})
+func (h *harness) prove(server string, id *wire.AttemptID, p wire.Proof) {
+	h.t.Helper()
+	h.over(server, &wire.Over{Attempt: id, Proof: p})
 }
 
-func (w *world) frame(server string, id *wire.AttemptID, offset uint64, events ...string) {
-	w.t.Helper()
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(id, offset, events...)}})
+func (h *harness) frame(server string, id *wire.AttemptID, offset uint64, events ...string) {
+	h.t.Helper()
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(id, offset, events...)}})
 }
 
 func frameOf(id *wire.AttemptID, offset uint64, events ...string) *wire.Frame {
@@ -183,13 +183,13 @@
 	return f
 }
 
-// complete ends an attempt with an answer of which this attempt made the events from first on.
-func (w *world) complete(server string, id *wire.AttemptID, first uint64, events ...string) {
-	w.t.Helper()
-	w.over(server, &wire.Over{Attempt: id, Proof: wire.Proof_PROOF_COMPLETED, Answer: endOf(first, events...)})
+// complete ends an attempt with an answer whose events from first on were produced by this attempt.
+func (h *harness) complete(server string, id *wire.AttemptID, first uint64, events ...string) {
+	h.t.Helper()
+	h.over(server, &wire.Over{Attempt: id, Proof: wire.Proof_PROOF_COMPLETED, Answer: answerEndOf(first, events...)})
 }
 
-func endOf(first uint64, events ...string) *wire.AnswerEnd {
+func answerEndOf(first uint64, events ...string) *wire.AnswerEnd {
 	digest := xxhash.New()
 	size := 0
 	for _, e := range events {
@@ -202,95 +202,95 @@
 	}
 }
 
-func (w *world) request(id string, class *wire.Class) *Request {
+func (h *harness) request(id string, class *wire.Class) *Request {
 	target := testModel
 	if class.GetKind() == kindService {
 		target = testService
 	}
 	return &Request{
 		ID: id, Organisation: "org", Class: class, Target: target, Method: "POST", Path: "/v1/completions",
-		Body: []byte("{}"), PromptTokens: 10, Arrived: w.now,
-		Deadline: w.now.Add(time.Duration(class.GetDeadlineMs()) * time.Millisecond),
+		Body: []byte("{}"), PromptTokens: 10, Arrived: h.now,
+		Deadline: h.now.Add(time.Duration(class.GetDeadlineMs()) * time.Millisecond),
 	}
 }
 
-func (w *world) arrive(id string, class *wire.Class) {
-	w.t.Helper()
-	w.step(Arrive{Request: w.request(id, class)})
+func (h *harness) arrive(id string, class *wire.Class) {
+	h.t.Helper()
+	h.step(Arrive{Request: h.request(id, class)})
 }
 
-func (w *world) arriveKeyed(id string, class *wire.Class, candidates ...string) {
-	w.t.Helper()
-	r := w.request(id, class)
+func (h *harness) arriveKeyed(id string, class *wire.Class, candidates ...string) {
+	h.t.Helper()
+	r := h.request(id, class)
 	r.Key, r.Epoch, r.Candidates = "key-"+id, 1, candidates
-	w.step(Arrive{Request: r})
+	h.step(Arrive{Request: r})
 }
 
-// sentTo is a message that the scheduler sent about a request.
-type sentTo struct {
+// sentMessage identifies a message that the scheduler sent about a request.
+type sentMessage struct {
 	server string
 	id     *wire.AttemptID
 }
 
-func (w *world) dispatches(request string) []sentTo {
-	var all []sentTo
-	for _, s := range w.sent {
+func (h *harness) dispatches(request string) []sentMessage {
+	var all []sentMessage
+	for _, s := range h.sent {
 		if d := s.Message.GetDispatch(); d != nil && d.GetAttempt().GetRequest() == request {
-			all = append(all, sentTo{d.GetServer(), d.GetAttempt()})
+			all = append(all, sentMessage{d.GetServer(), d.GetAttempt()})
 		}
 	}
 	return all
 }
 
-func (w *world) cancels(request string) []sentTo {
-	var all []sentTo
-	for _, s := range w.sent {
+func (h *harness) cancels(request string) []sentMessage {
+	var all []sentMessage
+	for _, s := range h.sent {
 		if c := s.Message.GetCancel(); c != nil && c.GetAttempt().GetRequest() == request {
-			all = append(all, sentTo{c.GetServer(), c.GetAttempt()})
+			all = append(all, sentMessage{c.GetServer(), c.GetAttempt()})
 		}
 	}
 	return all
 }
 
-func (w *world) reserves(request string) []sentTo {
-	var all []sentTo
-	for _, s := range w.sent {
+func (h *harness) reserves(request string) []sentMessage {
+	var all []sentMessage
+	for _, s := range h.sent {
 		if c := s.Message.GetReserve(); c != nil && c.GetAttempt().GetRequest() == request {
-			all = append(all, sentTo{c.GetServer(), c.GetAttempt()})
+			all = append(all, sentMessage{c.GetServer(), c.GetAttempt()})
 		}
 	}
 	return all
 }
 
-func (w *world) withdraws(request string) []sentTo {
-	var all []sentTo
-	for _, s := range w.sent {
+func (h *harness) withdraws(request string) []sentMessage {
+	var all []sentMessage
+	for _, s := range h.sent {
 		if c := s.Message.GetWithdraw(); c != nil && c.GetAttempt().GetRequest() == request {
-			all = append(all, sentTo{c.GetServer(), c.GetAttempt()})
+			all = append(all, sentMessage{c.GetServer(), c.GetAttempt()})
 		}
 	}
 	return all
 }
 
-func (w *world) declines(request string) []sentTo {
-	var all []sentTo
-	for _, s := range w.sent {
+func (h *harness) declines(request string) []sentMessage {
+	var all []sentMessage
+	for _, s := range h.sent {
 		if c := s.Message.GetDecline(); c != nil && c.GetAttempt().GetRequest() == request {
-			all = append(all, sentTo{c.GetServer(), c.GetAttempt()})
+			all = append(all, sentMessage{c.GetServer(), c.GetAttempt()})
 		}
 	}
 	return all
 }
 
-func (w *world) offer(server string, id *wire.AttemptID) {
-	w.t.Helper()
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Offer{Offer: &wire.Offer{Attempt: id, Server: server}}})
+func (h *harness) offer(server string, id *wire.AttemptID) {
+	h.t.Helper()
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Offer{Offer: &wire.Offer{Attempt: id, Server: server}}})
 }
 
-// last returns the last dispatch of a request, which must be the n-th.
-func (w *world) last(request string, n int) sentTo {
-	w.t.Helper()
-	all := w.dispatches(request)
-	require.Len(w.t, all, n, "dispatches of %s", request)
+// lastDispatch returns the last dispatch of a request, which must be the n-th.
+func (h *harness) lastDispatch(request string, n int) sentMessage {
+	h.t.Helper()
+	all := h.dispatches(request)
+	require.Len(h.t, all, n, "dispatches of %s", request)
 	return all[n-1]
 }
--- a/sched/linger.go
+++ b/sched/linger.go
@@ -6,15 +6,15 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of attempts that are cleaned up after their request has its final answer.
+// Bounds of orphans.
 const (
-	maxLingers   = 4096
-	lingerPeriod = 10 * time.Minute
+	maxOrphans      = 4096
+	orphanRetention = 10 * time.Minute
 )
 
-// linger is an attempt that wasn't proved over when its request ended. Nobody waits for it; it is only cancelled
-// again when its agent comes back, so that the engine doesn't work for nobody.
-type linger struct {
+// orphan is an attempt that wasn't proved over when its request ended. It is cancelled again when its agent
+// reconnects, so that the engine doesn't compute an answer that nobody waits for.
+type orphan struct {
 	id          *wire.AttemptID
 	server      string
 	agent       string
@@ -22,59 +22,60 @@
 	until       time.Time
 }
 
-// lingerTable holds them in the order of their end. Its size is bounded: the oldest is forgotten first.
-type lingerTable struct {
-	items []linger
+// orphanTable holds orphans in the order of their expiry. Its size is bounded: the oldest is dropped first.
+type orphanTable struct {
+	items []orphan
 }
 
-func newLingerTable() *lingerTable {
-	return &lingerTable{}
+func newOrphanTable() *orphanTable {
+	return &orphanTable{}
 }
 
-// linger keeps the present attempt of a request that ends, unless it is proved over.
-func (s *Scheduler) linger(r *request) {
-	if r.record().proved {
+// keepOrphan adds the current attempt of a request that ends, unless it is proved over.
+func (s *Scheduler) keepOrphan(r *request) {
+	if r.currentRecord().provedOver {
 		return
 	}
 	a := r.attempt
-	if len(s.lingers.items) >= maxLingers {
-		s.lingers.items = s.lingers.items[1:]
+	if len(s.orphans.items) >= maxOrphans {
+		s.orphans.items = s.orphans.items[1:]
 	}
-	s.lingers.items = append(s.lingers.items, linger{
-		id: a.id, server: a.server.name, agent: a.agent.name, incarnation: a.incarnation, until: s.now.Add(lingerPeriod),
+	s.orphans.items = append(s.orphans.items, orphan{
+		id: a.id, server: a.server.name, agent: a.agent.name, incarnation: a.incarnation, until: s.now.Add(orphanRetention),
 	})
 }
 
-// over forgets an attempt that is proved over.
-func (t *lingerTable) over(a *agent, id *wire.AttemptID) {
-	t.drop(func(l *linger) bool { return l.agent == a.name && same(l.id, id) })
+// removeReported removes an attempt that its agent reports over.
+func (t *orphanTable) removeReported(a *agent, id *wire.AttemptID) {
+	t.removeWhere(func(o *orphan) bool { return o.agent == a.name && sameAttempt(o.id, id) })
 }
 
-func (t *lingerTable) proved(id *wire.AttemptID) {
-	t.drop(func(l *linger) bool { return same(l.id, id) })
+func (t *orphanTable) removeProved(id *wire.AttemptID) {
+	t.removeWhere(func(o *orphan) bool { return sameAttempt(o.id, id) })
 }
 
-// up cancels what is left at an agent that is back, and forgets what its newer incarnation proves over.
-func (t *lingerTable) up(s *Scheduler, a *agent) {
-	t.drop(func(l *linger) bool { return l.agent == a.name && l.incarnation < a.incarnation })
+// agentUp cancels the orphans at an agent that reconnected, and removes those that its newer incarnation proves
+// over.
+func (t *orphanTable) agentUp(s *Scheduler, a *agent) {
+	t.removeWhere(func(o *orphan) bool { return o.agent == a.name && o.incarnation < a.incarnation })
 	for i := range t.items {
-		l := &t.items[i]
-		if l.agent == a.name {
-			s.send(a, cancelMessage(l.id, l.server, wire.CancelCause_CANCEL_CAUSE_DEADLINE))
+		o := &t.items[i]
+		if o.agent == a.name {
+			s.send(a, cancelMessage(o.id, o.server, wire.CancelCause_CANCEL_CAUSE_DEADLINE))
 		}
 	}
 }
 
-func (t *lingerTable) expire(now time.Time) {
+func (t *orphanTable) expire(now time.Time) {
 	for len(t.items) > 0 && !now.Before(t.items[0].until) {
 		t.items = t.items[1:]
 	}
 }
 
-func (t *lingerTable) drop(over func(*linger) bool) {
+func (t *orphanTable) removeWhere(match func(*orphan) bool) {
 	kept := t.items[:0]
 	for i := range t.items {
-		if !over(&t.items[i]) {
+		if !match(&t.items[i]) {
 			kept = append(kept, t.items[i])
 		}
 	}
@@ -82,6 +83,6 @@
 	t.items = kept
 }
 
-func same(a, b *wire.AttemptID) bool {
+func sameAttempt(a, b *wire.AttemptID) bool {
 	return a.GetRequest() == b.GetRequest() && a.GetNumber() == b.GetNumber()
 }
--- a/sched/links.go
+++ b/sched/links.go
@@ -6,11 +6,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// agentUp notes that the link pair to an agent is open.
+// agentUp handles the opening of the pair of links to an agent.
 func (s *Scheduler) agentUp(hello *wire.AgentHello) {
 	a := s.agentNamed(hello.GetAgent())
 	if hello.GetIncarnation() < a.incarnation {
-		s.countStray(strayIncarnation)
+		s.countDropped(droppedIncarnation)
 		return
 	}
 	if a.up {
@@ -21,12 +21,12 @@
 	a.up = true
 	a.downSince = time.Time{}
 	s.incarnationEnded(a)
-	s.linkBack(a)
-	s.lingers.up(s, a)
-	s.askEarlier(a)
+	s.linkRestored(a)
+	s.orphans.agentUp(s, a)
+	s.cancelEarlierAtAgent(a)
 }
 
-// agentDown notes that the link is lost. The agent's attempts are not over: nobody knows.
+// agentDown handles the loss of a link. The agent's attempts stay unproved: they may still be running.
 func (s *Scheduler) agentDown(name string, incarnation uint64) {
 	a := s.agents[name]
 	if a == nil || !a.up || a.incarnation != incarnation {
@@ -38,25 +38,25 @@
 func (s *Scheduler) linkLost(a *agent) {
 	a.up = false
 	a.downSince = s.now
-	for _, v := range sortedOf(a.servers) {
+	for _, v := range sortedByName(a.servers) {
 		v.room = nil
-		v.unacked, v.sinceRoom = 0, 0
-		s.refresh(v)
-		s.place(v)
+		v.unacked, v.ackedSinceRoom = 0, 0
+		s.updateReadiness(v)
+		s.updatePools(v)
 	}
 	for _, r := range sortedRequests(a.attempts) {
 		r.attempt.acked = false
 		r.attempt.downSince = s.now
 		_ = s.fire(r, evAgentLost)
-		s.setWake(r)
+		s.setTimer(r)
 	}
 }
 
-// incarnationEnded answers what ran at plain services under an older incarnation of the agent. A plain service can
-// neither list nor cancel what it runs, so of an attempt there nothing more can be learnt.
+// incarnationEnded fails attempts that ran at plain services under an older incarnation of the agent. A plain
+// service can neither list nor cancel its calls, so nothing more can be learnt about such an attempt.
 //
-// Otherwise: an agent dies while its service is at a call; its successor comes up; the call is sent to another service
-// while the first is still at it.
+// Otherwise, if an agent crashes during a call and restarts, the call would be sent to another service while the
+// first one still runs it.
 func (s *Scheduler) incarnationEnded(a *agent) {
 	for _, r := range sortedRequests(a.attempts) {
 		if r.attempt.incarnation < a.incarnation && r.pool.key.kind == kindService {
@@ -65,33 +65,36 @@
 	}
 }
 
-// serverCleared takes the word of a newer incarnation of an agent on a model server as proof that all attempts there
-// under older ones are over: before it says a word on a server, it has cancelled all that the server's engine ran.
+// serverCleared takes a report of a newer incarnation of an agent on a model server as proof that all attempts
+// there under older incarnations are over: an agent reports on a server only after cancelling all that its engine
+// ran.
 //
-// The incarnation's hello alone is no proof. An agent of several servers waits only for those that announce themselves
-// in time: one that is late may still run what the last incarnation gave it, while the request runs elsewhere.
+// The hello of the incarnation alone is no proof. An agent of several servers waits only for those that announce
+// themselves in time: a late one may still run attempts of the previous incarnation while the request runs
+// elsewhere.
 func (s *Scheduler) serverCleared(v *server) {
 	for _, r := range sortedRequests(v.agent.attempts) {
 		if r.attempt.server.name == v.name && r.attempt.incarnation < v.agent.incarnation {
-			s.provedOver(r, retryLost)
+			s.provedOver(r, retryAgentRestarted)
 		}
 	}
 }
 
-// linkBack asks after the attempts of the present incarnation. A Cancel that was asked while the link was down goes out
-// now; the others get quietBound to show a sign of life. Attempts of older incarnations are none of this one's; until
-// it says a word on their server, they count as those of an agent that is away, and the engine is asked.
-func (s *Scheduler) linkBack(a *agent) {
+// linkRestored resumes tracking of the attempts of the current incarnation. A Cancel requested while the link was
+// down is sent now; the other attempts get silenceTimeout to be reported. This incarnation has none of the attempts
+// of older ones; until it reports on their server, they are treated like attempts of an unreachable agent, and the
+// engine is asked.
+func (s *Scheduler) linkRestored(a *agent) {
 	for _, r := range sortedRequests(a.attempts) {
 		if r.attempt.incarnation < a.incarnation {
 			continue
 		}
 		r.attempt.downSince = time.Time{}
-		r.attempt.quietSince = s.now
+		r.attempt.silentSince = s.now
 		r.attempt.server.unacked++
 		if r.attempt.cancelAsked {
 			s.sendCancel(r)
 		}
-		s.setWake(r)
+		s.setTimer(r)
 	}
 }
--- a/sched/objective_test.go
+++ b/sched/objective_test.go
@@ -10,96 +10,100 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func (w *world) arriveWithObjective(id string, class *wire.Class, objective time.Duration) {
-	w.t.Helper()
-	r := w.request(id, class)
-	r.Objective = w.now.Add(objective)
-	w.step(Arrive{Request: r})
+func (h *harness) arriveWithObjective(id string, class *wire.Class, objective time.Duration) {
+	h.t.Helper()
+	r := h.request(id, class)
+	r.Objective = h.now.Add(objective)
+	h.step(Arrive{Request: r})
 }
 
-// Symptom: under overload nearly every answer is late. Sequence: more requests arrive than the pool can serve; each waits
-// in the queue up to its deadline, which is many times its objective, and takes a place when it is late already.
-// Cause: a queue bounded by the deadline alone.
+// Guards against late answers under overload: more requests arrive than the pool can serve. If they were queued
+// until their deadline, which is many times the objective, requests that are already late would take the slots.
 func TestRequestIsQueuedNoLongerThanItsObjective(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arriveWithObjective("a", summary, 300*time.Millisecond)
-	w.pass(280 * time.Millisecond)
-	require.Empty(t, w.failures)
-	w.pass(40 * time.Millisecond)
-	require.Equal(t, result.DeadlinePassedInQueue, w.failures["a"].Code)
-	require.Equal(t, result.RanNo, w.failures["a"].Ran)
-	require.NotZero(t, w.failures["a"].RetryAfter)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arriveWithObjective("a", summary, 300*time.Millisecond)
+	h.advance(280 * time.Millisecond)
+	require.Empty(t, h.failures)
+	h.advance(40 * time.Millisecond)
+	require.Equal(t, result.DeadlinePassedInQueue, h.failures["a"].Code)
+	require.Equal(t, result.RanNo, h.failures["a"].Ran)
+	require.NotZero(t, h.failures["a"].RetryAfter)
 }
 
-// A request that a server has failed is worth a late answer: its objective doesn't end it.
+// Guards against ending a retry at its objective: a server has failed the request, after which a late answer is
+// still useful.
 func TestObjectiveDoesNotEndARetry(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 1)
-	w.arriveWithObjective("a", summary, 300*time.Millisecond)
-	first := w.last("a", 1)
-	w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Started{Started: &wire.Started{Attempt: first.id, Server: "s1"}}})
-	w.room("s1", kindModel, testModel, 0)
-	w.prove("s1", first.id, wire.Proof_PROOF_FAILED)
-	w.pass(time.Second)
-	require.Empty(t, w.failures)
-	w.room("s1", kindModel, testModel, 1)
-	w.last("a", 2)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 1)
+	h.arriveWithObjective("a", summary, 300*time.Millisecond)
+	first := h.lastDispatch("a", 1)
+	h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Started{Started: &wire.Started{Attempt: first.id, Server: "s1"}}})
+	h.reportRoom("s1", kindModel, testModel, 0)
+	h.prove("s1", first.id, wire.Proof_PROOF_FAILED)
+	h.advance(time.Second)
+	require.Empty(t, h.failures)
+	h.reportRoom("s1", kindModel, testModel, 1)
+	h.lastDispatch("a", 2)
 }
 
+// Guards against ordering by arrival or deadline within a class: the request with the earlier objective arrives
+// later and must be dispatched first.
 func TestEarlierObjectiveGoesFirst(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arriveWithObjective("late", summary, 900*time.Millisecond)
-	w.arriveWithObjective("soon", summary, 400*time.Millisecond)
-	w.room("s1", kindModel, testModel, 1)
-	require.Len(t, w.dispatches("soon"), 1)
-	require.Empty(t, w.dispatches("late"))
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arriveWithObjective("late", summary, 900*time.Millisecond)
+	h.arriveWithObjective("soon", summary, 400*time.Millisecond)
+	h.reportRoom("s1", kindModel, testModel, 1)
+	require.Len(t, h.dispatches("soon"), 1)
+	require.Empty(t, h.dispatches("late"))
 }
 
-// Symptom: the retry of a check fails like the first try. Sequence: one of two servers fails a part of its requests; the
-// failure frees a place there, so the retry goes to it again. Cause: a failed server that is as good as any other.
+// Guards against a retry that hits the same fault: one of two servers fails some of its requests, and the failure
+// frees a slot there. The retry must go to the other server.
 func TestRetryGoesToAnotherServer(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindService, testService, 4)
-	w.serve("s2", kindService, testService, 4)
-	w.arrive("a", gateCheck)
-	first := w.last("a", 1)
-	w.prove(first.server, first.id, wire.Proof_PROOF_FAILED)
-	require.NotEqual(t, first.server, w.last("a", 2).server)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindService, testService, 4)
+	h.addServer("s2", kindService, testService, 4)
+	h.arrive("a", gateCheck)
+	first := h.lastDispatch("a", 1)
+	h.prove(first.server, first.id, wire.Proof_PROOF_FAILED)
+	require.NotEqual(t, first.server, h.lastDispatch("a", 2).server)
 }
 
+// Guards against a retry that is never sent: the only server failed the first attempt and must get the second one.
 func TestRetryGoesToTheSameServerIfThereIsNoOther(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindService, testService, 4)
-	w.arrive("a", gateCheck)
-	w.prove("s1", w.last("a", 1).id, wire.Proof_PROOF_FAILED)
-	w.pass(time.Second)
-	w.last("a", 2)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindService, testService, 4)
+	h.arrive("a", gateCheck)
+	h.prove("s1", h.lastDispatch("a", 1).id, wire.Proof_PROOF_FAILED)
+	h.advance(time.Second)
+	h.lastDispatch("a", 2)
 }
 
+// Guards against more attempts than the request allows: each of them fails, and after the second the request must
+// fail with the error of the attempt.
 func TestMaxAttempts(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindService, testService, 4)
-	r := w.request("a", gateCheck)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindService, testService, 4)
+	r := h.request("a", gateCheck)
 	r.MaxAttempts = 2
-	w.step(Arrive{Request: r})
+	h.step(Arrive{Request: r})
 	for n := 1; n <= 2; n++ {
-		w.pass(300 * time.Millisecond)
-		w.prove("s1", w.last("a", n).id, wire.Proof_PROOF_FAILED)
+		h.advance(300 * time.Millisecond)
+		h.prove("s1", h.lastDispatch("a", n).id, wire.Proof_PROOF_FAILED)
 	}
-	w.pass(time.Second)
-	w.last("a", 2)
-	require.Equal(t, result.EngineFailed, w.failures["a"].Code)
+	h.advance(time.Second)
+	h.lastDispatch("a", 2)
+	require.Equal(t, result.EngineFailed, h.failures["a"].Code)
 }
 
-// Symptom: a stream breaks off in its middle. Sequence: an entry that stops still takes requests, until its balancer has
-// noticed; one of them is a long stream, and the process ends before it does. Cause: a request taken without a look at
-// the time that the entry has left.
+// Guards against streams that break off: a stopping entry accepts requests until its load balancer notices, and
+// exits before a long stream ends. A request that would outlast the process must be refused.
 func TestRequestThatOutlastsAStoppingEntryIsRefused(t *testing.T) {
 	for _, row := range []struct {
 		name   string
-		learnt bool // how long the class's answers are
+		learnt bool // whether the class's answer lengths are known
 		tokens uint32
 		left   time.Duration
 		code   result.Code
@@ -112,88 +116,88 @@
 		{"nothing known", false, 0, time.Millisecond, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 1)
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 1)
 			for range 20 {
 				if row.learnt {
-					w.s.classFor(summary).outputs.add(50)
+					h.s.classFor(summary).outputTokens.add(50)
 				}
 			}
-			r := w.request("a", summary)
+			r := h.request("a", summary)
 			r.MaxTokens = row.tokens
-			r.Deadline = w.now.Add(time.Minute)
+			r.Deadline = h.now.Add(time.Minute)
 			if row.left > 0 {
-				r.EntryStopsBy = w.now.Add(row.left)
+				r.EntryStopsBy = h.now.Add(row.left)
 			}
-			w.step(Arrive{Request: r})
+			h.step(Arrive{Request: r})
 			if row.code == 0 {
-				require.Len(t, w.dispatches("a"), 1)
+				require.Len(t, h.dispatches("a"), 1)
 				return
 			}
-			require.Equal(t, row.code, w.failures["a"].Code)
-			require.Equal(t, result.RanNo, w.failures["a"].Ran)
-			require.Empty(t, w.dispatches("a"))
+			require.Equal(t, row.code, h.failures["a"].Code)
+			require.Equal(t, result.RanNo, h.failures["a"].Ran)
+			require.Empty(t, h.dispatches("a"))
 		})
 	}
 }
 
-// longPromptAt arrives as a prompt that takes so long to compute at the pace of a server that has one, on a pool with so
-// many free places.
-func longPromptAt(t *testing.T, prompt uint32, free uint32, prefillRate float32) *world {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, free)
+// arriveLongPrompt submits a request with a prompt of the given length to a pool of one server with the given free
+// slots and prefill rate.
+func arriveLongPrompt(t *testing.T, prompt uint32, free uint32, prefillRate float32) *harness {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, free)
 	room := readyRoom("s1", kindModel, testModel, free)
 	room.PrefillTokensPerS = prefillRate
-	w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
-	for range learnSamples {
-		w.s.classFor(summary).outputs.add(50)
+	h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	for range minSamples {
+		h.s.classFor(summary).outputTokens.add(50)
 	}
-	r := w.request("a", summary)
+	r := h.request("a", summary)
 	r.PromptTokens = prompt
-	r.Objective = w.now.Add(800 * time.Millisecond)
-	r.Deadline = w.now.Add(15 * time.Second)
-	w.step(Arrive{Request: r})
-	return w
+	r.Objective = h.now.Add(800 * time.Millisecond)
+	r.Deadline = h.now.Add(15 * time.Second)
+	h.step(Arrive{Request: r})
+	return h
 }
 
-// Symptom: the longest prompts are refused while all servers are free, come back when they were told to, and are refused
-// again. Pattern: prompts with a long tail, up to 55,000 tokens beside a mean of 6,600; the longest take more than the
-// objective to compute, on any server. Cause: refused since the answer can't begin within its objective, though nobody
-// waits and a late answer is worth something.
+// Guards against refusing the longest prompts at every retry while all servers are free. Prompts have a long tail,
+// up to 55,000 tokens with a mean of 6,600, and the longest take more than the objective to compute on any server.
+// With room available they must be served, since a late answer is still useful.
 func TestLateAnswerIsNotRefusedWhileThereIsRoom(t *testing.T) {
-	w := longPromptAt(t, 55_000, 1, 55_000)
-	require.Empty(t, w.failures)
-	require.Len(t, w.dispatches("a"), 1)
+	h := arriveLongPrompt(t, 55_000, 1, 55_000)
+	require.Empty(t, h.failures)
+	require.Len(t, h.dispatches("a"), 1)
 }
 
-// Without room it would take the place of one that can be in time.
+// Guards against queueing a request that can't be in time when there is no room: it would take the slot of one that
+// can.
 func TestLateAnswerIsRefusedWithoutRoom(t *testing.T) {
-	w := longPromptAt(t, 55_000, 0, 55_000)
-	require.Equal(t, result.CannotFinishInTime, w.failures["a"].Code)
-	require.Equal(t, result.RanNo, w.failures["a"].Ran)
+	h := arriveLongPrompt(t, 55_000, 0, 55_000)
+	require.Equal(t, result.CannotFinishInTime, h.failures["a"].Code)
+	require.Equal(t, result.RanNo, h.failures["a"].Ran)
 }
 
-// Symptom: after a restart of all agents long prompts are refused until short ones have shown the servers' pace. Cause: a
-// pace that is assumed until one is learnt, and that is far below that of the servers.
-func TestNobodyIsRefusedOnAnAssumedPace(t *testing.T) {
+// Guards against refusing long prompts after a restart of all agents: until a server has reported its prefill rate,
+// the default rate, far below the actual one, must not refuse a request.
+func TestDefaultPrefillRateRefusesNoRequest(t *testing.T) {
 	for _, free := range []uint32{0, 1} {
-		w := longPromptAt(t, 55_000, free, 0)
-		require.Empty(t, w.failures)
+		h := arriveLongPrompt(t, 55_000, free, 0)
+		require.Empty(t, h.failures)
 	}
 }
 
-// The line about the end of a request tells of pauses between events, by which an answer may be late though it began in time.
+// Guards against a trace without the pauses between events, which make an answer late although it began in time.
 func TestLongestPauseIsTraced(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 1)
-	r := w.request("a", summary)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 1)
+	r := h.request("a", summary)
 	r.Stream = true
-	w.step(Arrive{Request: r})
-	id := w.last("a", 1).id
-	w.frame("s1", id, 0, "x")
-	w.pass(50 * time.Millisecond)
-	w.frame("s1", id, 1, "y")
-	w.pass(500 * time.Millisecond)
-	w.frame("s1", id, 2, "z")
-	require.Equal(t, 500*time.Millisecond, w.s.trace(w.s.requests["a"]).LongestPause)
+	h.step(Arrive{Request: r})
+	id := h.lastDispatch("a", 1).id
+	h.frame("s1", id, 0, "x")
+	h.advance(50 * time.Millisecond)
+	h.frame("s1", id, 1, "y")
+	h.advance(500 * time.Millisecond)
+	h.frame("s1", id, 2, "z")
+	require.Equal(t, 500*time.Millisecond, h.s.trace(h.s.requests["a"]).LongestPause)
 }
--- a/sched/options.go
+++ b/sched/options.go
@@ -6,64 +6,70 @@
 )
 
 const (
-	// MinTickInterval is the least time between two Ticks.
+	// MinTickInterval is the shortest time between two Ticks.
 	MinTickInterval = 10 * time.Millisecond
-	// MaxTickInterval is the longest time between two Ticks, for what has no time of its own and is in no hurry.
+	// MaxTickInterval is the longest time between two Ticks. It bounds the delay of periodic work that has no
+	// timer.
 	MaxTickInterval = 200 * time.Millisecond
 )
 
-// Policy chooses how requests are ordered and backend servers are chosen. All but PolicyTargets are baselines to
-// measure against; what is said about truth and attempts holds under each of them.
+// Policy determines how requests are ordered and backend servers are chosen. All policies except PolicyTargets are
+// baselines for comparison; the guarantees about attempts and reported outcomes hold under each of them.
 type Policy uint8
 
 // The policies.
 const (
-	// PolicyTargets follows the classes' targets, with late binding. It is the default.
+	// PolicyTargets follows the targets of the classes and assigns a server only when it has room. It is the
+	// default.
 	PolicyTargets Policy = iota
-	// PolicyRoundRobin is first in, first out, to each server in turn.
+	// PolicyRoundRobin is first in, first out, to the servers in turn.
 	PolicyRoundRobin
-	// PolicyLeastLoad is first in, first out, to the server whose last report says that it runs least.
+	// PolicyLeastLoad is first in, first out, to the server that runs the fewest attempts by its last report.
 	PolicyLeastLoad
 	// PolicyRandomFIFO is first in, first out, to a random server.
 	PolicyRandomFIFO
 )
 
-// Options are the settings of a Scheduler. A zero field takes its default.
+// Options configures a Scheduler. A zero field takes its default.
 type Options struct {
-	// Policy is PolicyTargets but in measurements.
+	// Policy is PolicyTargets except in comparative measurements.
 	Policy Policy
 	// Entry is the name of this entry instance.
 	Entry string
-	// AvailabilityZone is this entry's; servers of the same zone are preferred where they are as good.
+	// AvailabilityZone is the zone of this entry. Servers of the same zone are preferred when estimates are about
+	// equal.
 	AvailabilityZone string
-	// Seed starts the random choices. The same seed and events give the same actions.
+	// Seed seeds the random choices. The same seed and events give the same actions.
 	Seed uint64
-	// Reservations is the number of servers a request waits at; twice as many for tier 1.
+	// Reservations is the number of servers at which a request reserves; requests of tier 1 reserve at twice as
+	// many.
 	Reservations int
-	// ReservationsPerServer bounds how many requests of this entry wait at one server on average.
+	// ReservationsPerServer bounds the average number of this entry's requests that have a reservation at one
+	// server.
 	ReservationsPerServer int
-	// SampledServers is how many random servers are compared for each dispatch.
+	// SampledServers is the number of random servers that are compared for each dispatch.
 	SampledServers int
-	// CandidateCount bounds the servers in a keyed request's record.
+	// CandidateCount bounds the servers in the operation record of a keyed request.
 	CandidateCount int
-	// MaxQueued bounds the queued requests, over all pools.
+	// MaxQueued bounds the queued requests over all pools.
 	MaxQueued int
-	// MaxOutstanding bounds the attempts of this entry at one server under a baseline policy.
+	// MaxOutstanding bounds this entry's attempts at one server under a baseline policy.
 	MaxOutstanding int
-	// MaxAnswerBytes is the largest answer, in bytes, that is held for a caller who didn't ask for a stream.
+	// MaxAnswerBytes bounds the size, in bytes, of an answer that is buffered for a caller who didn't request a
+	// stream.
 	MaxAnswerBytes int
-	// HistorySize is the number of finished requests that Explain still knows.
+	// HistorySize is the number of finished requests that Explain can report on.
 	HistorySize int
-	// PrefixEntries bounds the remembered prefix digests.
+	// PrefixEntries bounds the number of prefix digests that are remembered.
 	PrefixEntries int
 	// LeaseDuration is how long an agent keeps an attempt without a heartbeat of this entry.
 	LeaseDuration time.Duration
-	// RetryRatio, RetryWindow and RetryAllowance bound the retries at one model or service, over all entries: in any
-	// window, the ratio times the requests for it plus the allowance. A ratio of 0 means no bound.
+	// RetryRatio, RetryWindow and RetryAllowance bound the retries for one model or service, over all entries:
+	// within any window, to the ratio times the requests for it plus the allowance. A ratio of 0 means no bound.
 	RetryRatio     float64
 	RetryWindow    time.Duration
 	RetryAllowance int
-	// MaxRoomAge is how old a Room may be to count as fresh.
+	// MaxRoomAge is the age up to which a Room report counts as current.
 	MaxRoomAge time.Duration
 }
 
@@ -104,7 +110,7 @@
 	return value
 }
 
-// seedStream keeps the scheduler's random numbers apart from those of others that use the same seed.
+// seedStream separates the scheduler's random numbers from those of other users of the same seed.
 const seedStream = 0x5ced
 
 func (o Options) random() *rand.Rand {
--- a/sched/overdue_test.go
+++ b/sched/overdue_test.go
@@ -8,71 +8,72 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (w *world) arriveOverdue(id string, class string, objective time.Duration) {
-	w.t.Helper()
-	r := w.request(id, summary)
-	r.Objective, r.Overdue, r.Organisation = w.now.Add(objective), true, class
-	w.step(Arrive{Request: r})
+func (h *harness) arriveOverdue(id string, organisation string, objective time.Duration) {
+	h.t.Helper()
+	r := h.request(id, summary)
+	r.Objective, r.Overdue, r.Organisation = h.now.Add(objective), true, organisation
+	h.step(Arrive{Request: r})
 }
 
-// completeAll ends all attempts at a server with whole answers.
-func (w *world) completeAll(server string) {
-	w.t.Helper()
-	for _, sent := range w.sent {
-		if d := sent.Message.GetDispatch(); d != nil && w.answers[d.GetAttempt().GetRequest()] == nil {
-			w.frame(server, d.GetAttempt(), 0, "x")
-			w.complete(server, d.GetAttempt(), 0, "x")
+// completeAll completes all attempts at a server.
+func (h *harness) completeAll(server string) {
+	h.t.Helper()
+	for _, sent := range h.sent {
+		if d := sent.Message.GetDispatch(); d != nil && h.answers[d.GetAttempt().GetRequest()] == nil {
+			h.frame(server, d.GetAttempt(), 0, "x")
+			h.complete(server, d.GetAttempt(), 0, "x")
 		}
 	}
 }
 
-// Symptom: under overload callers are served late and others are refused who could have been in time. Sequence: some are refused at
-// their objective and come back; they wait in the order of arrival with those who come for the first time. Cause: the
-// objective counted from each arrival. Here those who may be in time go first, whichever organisation they are of; the
-// others go before the end of their wait where there is room.
-func TestThoseWhoMayBeInTimeGoBeforeThoseWhoCameBack(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arriveOverdue("back", "member", 300*time.Millisecond)
-	w.pass(100 * time.Millisecond)
-	w.arriveWithObjective("fresh", summary, 300*time.Millisecond)
-	w.room("s1", kindModel, testModel, 1)
-	require.Len(t, w.dispatches("fresh"), 1)
-	require.Empty(t, w.dispatches("back"))
-	w.room("s1", kindModel, testModel, 2)
-	require.Len(t, w.dispatches("back"), 1)
+// Guards against refusing callers that could be in time while overdue ones are served. Callers refused at their
+// objective retry and wait with those that arrive for the first time. Requests that may be in time must go first,
+// whatever their organisation; overdue ones get the remaining room.
+func TestTimelyRequestsGoBeforeOverdueRequests(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arriveOverdue("back", "member", 300*time.Millisecond)
+	h.advance(100 * time.Millisecond)
+	h.arriveWithObjective("fresh", summary, 300*time.Millisecond)
+	h.reportRoom("s1", kindModel, testModel, 1)
+	require.Len(t, h.dispatches("fresh"), 1)
+	require.Empty(t, h.dispatches("back"))
+	h.reportRoom("s1", kindModel, testModel, 2)
+	require.Len(t, h.dispatches("back"), 1)
 }
 
-// The load: twice as many requests as places for three seconds; each that is refused comes back once, a second later. With the order of
-// arrival alone callers whose objective has passed take places while others wait who could be in time.
-func TestOverloadServesTheTimelyFirst(t *testing.T) {
+// Guards against overdue requests that take slots under overload while others that could be in time wait, as they
+// would ordered by arrival alone. Twice as many requests as slots arrive for three seconds, and each refused caller
+// retries once, a second later.
+func TestOverloadServesTimelyRequestsFirst(t *testing.T) {
 	const (
-		objective = 300 * time.Millisecond
-		places    = 4 // of each 100 ms
-		arrivals  = 8
-		overload  = 30 // times 100 ms
+		objective         = 300 * time.Millisecond
+		slotsPerPeriod    = 4 // per 100 ms
+		arrivalsPerPeriod = 8
+		overloadPeriods   = 30 // periods of 100 ms
 	)
-	// play returns how many of each kind were served, and how many places went to those who came back while others waited.
-	play := func(marks bool) (timely, late, passed int) {
-		w := newWorld(t, Options{})
-		w.serve("s1", kindModel, testModel, 0)
-		returns := make(map[int][]string)
-		first, sent, again := make(map[string]bool), make(map[string]bool), make(map[string]bool)
-		for slot := range 2 * overload {
-			for _, id := range returns[slot] {
-				r := w.request(id, summary)
-				r.Objective, r.Overdue = w.now.Add(objective), marks
-				w.step(Arrive{Request: r})
+	// runOverload returns how many timely and overdue requests were served, and how many slots went to overdue ones
+	// while others waited.
+	runOverload := func(markOverdue bool) (timely, late, overtaken int) {
+		h := newHarness(t, Options{})
+		h.addServer("s1", kindModel, testModel, 0)
+		retries := make(map[int][]string)
+		first, sent, retried := make(map[string]bool), make(map[string]bool), make(map[string]bool)
+		for period := range 2 * overloadPeriods {
+			for _, id := range retries[period] {
+				r := h.request(id, summary)
+				r.Objective, r.Overdue = h.now.Add(objective), markOverdue
+				h.step(Arrive{Request: r})
 			}
-			for i := range arrivals {
-				if id := fmt.Sprintf("%d-%d", slot, i); slot < overload {
+			for i := range arrivalsPerPeriod {
+				if id := fmt.Sprintf("%d-%d", period, i); period < overloadPeriods {
 					first[id] = true
-					w.arriveWithObjective(id, summary, objective)
+					h.arriveWithObjective(id, summary, objective)
 				}
 			}
-			w.room("s1", kindModel, testModel, places)
-			lateHere := 0
-			for _, s := range w.sent {
+			h.reportRoom("s1", kindModel, testModel, slotsPerPeriod)
+			lateInPeriod := 0
+			for _, s := range h.sent {
 				id := s.Message.GetDispatch().GetAttempt().GetRequest()
 				switch {
 				case id == "" || sent[id]:
@@ -80,33 +81,33 @@
 				case first[id]:
 					timely++
 				default:
-					lateHere++
+					lateInPeriod++
 				}
 				sent[id] = true
 			}
-			late += lateHere
+			late += lateInPeriod
 			for id := range first {
-				if !sent[id] && w.failures[id] == nil {
-					passed += lateHere
+				if !sent[id] && h.failures[id] == nil {
+					overtaken += lateInPeriod
 					break
 				}
 			}
-			w.completeAll("s1")
-			w.room("s1", kindModel, testModel, 0)
-			w.pass(100 * time.Millisecond)
-			for id := range w.failures {
-				if first[id] && !again[id] {
-					again[id] = true
-					returns[slot+10] = append(returns[slot+10], id+"-again")
+			h.completeAll("s1")
+			h.reportRoom("s1", kindModel, testModel, 0)
+			h.advance(100 * time.Millisecond)
+			for id := range h.failures {
+				if first[id] && !retried[id] {
+					retried[id] = true
+					retries[period+10] = append(retries[period+10], id+"-again")
 				}
 			}
 		}
-		return timely, late, passed
+		return timely, late, overtaken
 	}
-	timelyBefore, lateBefore, _ := play(false)
-	timely, late, passed := play(true)
-	t.Logf("in time %d, late %d in the order of arrival; %d, %d with the timely first", timelyBefore, lateBefore, timely, late)
-	require.Zero(t, passed, "no place goes to one who came back while others wait who may be in time")
+	timelyBefore, lateBefore, _ := runOverload(false)
+	timely, late, overtaken := runOverload(true)
+	t.Logf("by arrival: %d in time, %d late; timely first: %d in time, %d late", timelyBefore, lateBefore, timely, late)
+	require.Zero(t, overtaken, "no slot goes to an overdue request while a timely one waits")
 	require.Greater(t, timely, timelyBefore)
-	require.Positive(t, late, "those who came back get the places that are left")
+	require.Positive(t, late, "overdue requests get the remaining slots")
 }
--- a/sched/poison.go
+++ b/sched/poison.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// ownCrashes and ownCrashLife bound the crashes that this entry has heard of itself. They count until control has
-	// committed them, and longer where control can't be reached.
-	ownCrashes   = 256
-	ownCrashLife = time.Minute
-	// wholeAnswers and wholeAnswerLife bound the requests that are remembered for having ended whole.
-	wholeAnswers    = 2048
-	wholeAnswerLife = 10 * time.Second
+	// maxLocalCrashes and localCrashRetention bound the crashes that were reported to this entry. They count until
+	// control has committed them, and longer while control is unreachable.
+	maxLocalCrashes     = 256
+	localCrashRetention = time.Minute
+	// maxRecentAnswers and recentAnswerRetention bound the requests that are remembered as answered.
+	maxRecentAnswers      = 2048
+	recentAnswerRetention = 10 * time.Second
 )
 
-// poisonTable is what is known of requests under which servers have crashed: what control has committed, and what this entry has
-// heard itself, which binds it at once.
+// poisonTable holds the requests during which servers crashed: the records committed by control, and the crashes
+// reported to this entry, which take effect here at once.
 type poisonTable struct {
-	committed map[poison.Key]*wire.PoisonRecord
-	own       *simplelru.LRU[poison.Key, ownRecord]
-	whole     *simplelru.LRU[poison.Key, time.Time]
+	committed     map[poison.Key]*wire.PoisonRecord
+	local         *simplelru.LRU[poison.Key, localRecord]
+	recentAnswers *simplelru.LRU[poison.Key, time.Time]
 }
 
-type ownRecord struct {
+type localRecord struct {
 	record *wire.PoisonRecord
 	at     time.Time // of the last crash
 }
 
 func newPoisonTable() *poisonTable {
-	return &poisonTable{own: newLRU[ownRecord](ownCrashes), whole: newLRU[time.Time](wholeAnswers)}
+	return &poisonTable{local: newLRU[localRecord](maxLocalCrashes), recentAnswers: newLRU[time.Time](maxRecentAnswers)}
 }
 
-// newLRU makes a table of a size that is a constant here and not 0, the only mistake that there is.
+// newLRU returns an LRU table of a constant size above 0; any other size is a programming error and panics.
 func newLRU[V any](size int) *simplelru.LRU[poison.Key, V] {
 	table, err := simplelru.NewLRU[poison.Key, V](size, nil)
 	if err != nil {
@@ -51,62 +51,65 @@
 	return table
 }
 
-// record joins what is known of a request, nil for nothing.
-func (t *poisonTable) record(key poison.Key, now time.Time) *wire.PoisonRecord {
-	if len(t.committed) == 0 && t.own.Len() == 0 {
+// lookup merges the committed record of a request with local crashes. It returns nil if there is neither.
+func (t *poisonTable) lookup(key poison.Key, now time.Time) *wire.PoisonRecord {
+	if len(t.committed) == 0 && t.local.Len() == 0 {
 		return nil
 	}
 	committed := t.committed[key]
-	own, ok := t.own.Peek(key)
-	if !ok || now.Sub(own.at) > ownCrashLife || t.wasServed(key, now) {
+	local, ok := t.local.Peek(key)
+	if !ok || now.Sub(local.at) > localCrashRetention || t.answeredRecently(key, now) {
 		return committed
 	}
 	joined := key.Record()
 	if committed != nil {
 		joined = proto.CloneOf(committed)
 	}
-	for _, crash := range own.record.GetCrashes() {
+	for _, crash := range local.record.GetCrashes() {
 		poison.Add(joined, crash, crash.GetUnixMs())
 	}
 	return joined
 }
 
-// crashed notes a crash that this entry has heard of, and tells whether that changes what it goes by.
-func (t *poisonTable) crashed(key poison.Key, crash *wire.Crash, now time.Time) bool {
-	own, ok := t.own.Get(key)
-	if !ok || now.Sub(own.at) > ownCrashLife {
-		own = ownRecord{record: key.Record()}
+// addCrash adds a crash reported to this entry, and reports whether that changed the local record.
+func (t *poisonTable) addCrash(key poison.Key, crash *wire.Crash, now time.Time) bool {
+	local, ok := t.local.Get(key)
+	if !ok || now.Sub(local.at) > localCrashRetention {
+		local = localRecord{record: key.Record()}
 	}
-	changed := poison.Add(own.record, crash, uint64(now.UnixMilli()))
-	own.at = now
-	t.own.Add(key, own)
+	changed := poison.Add(local.record, crash, uint64(now.UnixMilli()))
+	local.at = now
+	t.local.Add(key, local)
 	return changed
 }
 
-// endedWhole notes that a server ran a request to its end, and returns the committed record that this refutes, nil for none.
-func (t *poisonTable) endedWhole(key poison.Key, now time.Time) *wire.PoisonRecord {
-	t.whole.Add(key, now)
-	t.own.Remove(key)
+// answered records that a server ran a request to completion, and returns the committed record that this refutes,
+// or nil.
+func (t *poisonTable) answered(key poison.Key, now time.Time) *wire.PoisonRecord {
+	t.recentAnswers.Add(key, now)
+	t.local.Remove(key)
 	refuted := t.committed[key]
 	delete(t.committed, key)
 	return refuted
 }
 
-// wasServed tells whether a request was answered within the last seconds. Then crashes say nothing against it.
+// answeredRecently reports whether a request was answered within recentAnswerRetention. Crashes then don't count
+// against it.
 //
-// What many callers ask for may be on all servers of a rack that dies, and then three crashes come before the next answer. It was
-// served just before, and no server that began to run a poison request ever served it.
-func (t *poisonTable) wasServed(key poison.Key, now time.Time) bool {
-	at, ok := t.whole.Peek(key)
-	return ok && now.Sub(at) <= wholeAnswerLife
+// A request that many callers send may run on all servers of a rack that fails, which gives three crashes before
+// the next answer. It was answered just before, whereas a server that begins to run a poison request never answers
+// it.
+func (t *poisonTable) answeredRecently(key poison.Key, now time.Time) bool {
+	at, ok := t.recentAnswers.Peek(key)
+	return ok && now.Sub(at) <= recentAnswerRetention
 }
 
-// commit takes what control has committed, whole, and returns the records that answers of the last seconds refute.
-func (t *poisonTable) commit(records []*wire.PoisonRecord, now time.Time) (refuted []*wire.PoisonRecord) {
+// setCommitted replaces the committed records and returns those that recent answers refute.
+func (t *poisonTable) setCommitted(records []*wire.PoisonRecord, now time.Time) (refuted []*wire.PoisonRecord) {
 	t.committed = make(map[poison.Key]*wire.PoisonRecord, len(records))
 	for _, record := range records {
 		key := poison.KeyOf(record)
-		if t.wasServed(key, now) {
+		if t.answeredRecently(key, now) {
 			refuted = append(refuted, record)
 			continue
 		}
@@ -115,68 +118,69 @@
 	return refuted
 }
 
-// poisonKey names a request over its repeats.
+// poisonKey identifies the request across its repeats.
 func (r *request) poisonKey() poison.Key {
 	return poison.Key{Organisation: r.Organisation, Fingerprint: r.fingerprint}
 }
 
-// isWatched tells whether a request has to begin alone.
+// isWatched reports whether a request has to begin alone at its server.
 func (s *Scheduler) isWatched(r *request) bool {
-	return poison.StandingOf(s.poison.record(r.poisonKey(), s.now)) != poison.Clear
+	return poison.StandingOf(s.poison.lookup(r.poisonKey(), s.now)) != poison.Clear
 }
 
-// refusePoison says why a request may not run, since servers crashed under it; nil if it may.
+// refuseQuarantined returns why a quarantined request may not run, or nil if it may.
 //
-// Its caller hears at once that it has not run, and that it won't be, rather than the end of one more server.
-func (s *Scheduler) refusePoison(r *request) *result.Error {
-	record := s.poison.record(r.poisonKey(), s.now)
+// The caller learns at once that the request was not run and won't be, instead of crashing one more server.
+func (s *Scheduler) refuseQuarantined(r *request) *result.Error {
+	record := s.poison.lookup(r.poisonKey(), s.now)
 	if poison.StandingOf(record) != poison.Quarantined {
 		return nil
 	}
-	left := time.UnixMilli(int64(record.GetUntilUnixMs())).Sub(s.now).Round(time.Second)
+	remaining := time.UnixMilli(int64(record.GetUntilUnixMs())).Sub(s.now).Round(time.Second)
 	code := result.RequestQuarantined
 	if r.ran() != result.RanNo {
 		code = result.EngineLost
 	}
 	return result.New(code, "the same request was running at %s when they crashed; it is refused for %s",
-		strings.Join(poison.Servers(record), ", "), left).WithRetryAfter(max(left, 0))
+		strings.Join(poison.Servers(record), ", "), remaining).WithRetryAfter(max(remaining, 0))
 }
 
-// noteCrash notes that a server crashed while it ran an attempt of a request, and tells control, as the agent does that reported it.
+// noteCrash records that a server crashed while it ran an attempt of the request, and reports it to control. The
+// agent that reported the crash does so as well.
 func (s *Scheduler) noteCrash(r *request, crash *wire.Crash) {
-	if s.poison.crashed(r.poisonKey(), crash, s.now) {
-		s.act(ReportCrash{Note: &wire.NoteCrash{Crash: crash, Ran: []*wire.PoisonRecord{r.poisonKey().Record()}}})
+	if s.poison.addCrash(r.poisonKey(), crash, s.now) {
+		s.emit(ReportCrash{Note: &wire.NoteCrash{Crash: crash, Ran: []*wire.PoisonRecord{r.poisonKey().Record()}}})
 	}
 }
 
-// noteWhole notes that a request was answered, and has control forget the crashes that it was beside. A server may give an
-// error to a request that it never began to run.
-func (s *Scheduler) noteWhole(r *request, end *wire.AnswerEnd) {
+// noteAnswered records that a request was answered, and asks control to clear its crashes. An error answer doesn't
+// count, since a server may give one without having begun to run the request.
+func (s *Scheduler) noteAnswered(r *request, end *wire.AnswerEnd) {
 	if end.GetStatus() >= http.StatusBadRequest {
 		return
 	}
-	if refuted := s.poison.endedWhole(r.poisonKey(), s.now); refuted != nil {
-		s.act(ClearPoison{Records: []*wire.PoisonRecord{refuted}})
+	if refuted := s.poison.answered(r.poisonKey(), s.now); refuted != nil {
+		s.emit(ClearPoison{Records: []*wire.PoisonRecord{refuted}})
 	}
 }
 
-// setPoison puts what control has committed in force, also for requests that wait.
+// setPoison applies the records committed by control, also to queued requests.
 func (s *Scheduler) setPoison(records []*wire.PoisonRecord) {
-	if refuted := s.poison.commit(records, s.now); len(refuted) > 0 {
-		s.act(ClearPoison{Records: refuted})
+	if refuted := s.poison.setCommitted(records, s.now); len(refuted) > 0 {
+		s.emit(ClearPoison{Records: refuted})
 	}
 	if len(s.poison.committed) == 0 {
 		return
 	}
-	for _, r := range s.waitingRequests() {
-		if err := s.refusePoison(r); err != nil {
+	for _, r := range s.queuedRequests() {
+		if err := s.refuseQuarantined(r); err != nil {
 			s.refuse(r, err)
 		}
 	}
 }
 
-// waitingRequests are those that no server has, in order of arrival.
-func (s *Scheduler) waitingRequests() []*request {
+// queuedRequests returns the requests that no server has, in order of arrival.
+func (s *Scheduler) queuedRequests() []*request {
 	var waiting []*request
 	for _, r := range s.requests {
 		if r.state == queued || r.state == reserved {
--- a/sched/poison_test.go
+++ b/sched/poison_test.go
@@ -12,39 +12,39 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// poisonWorld is a world with so many servers of the test service with room.
-func poisonWorld(t *testing.T, servers int) *world {
-	w := newWorld(t, Options{})
+// newPoisonHarness returns a harness with the given number of servers of the test service, each with room.
+func newPoisonHarness(t *testing.T, servers int) *harness {
+	h := newHarness(t, Options{})
 	for i := range servers {
-		w.serve(fmt.Sprint("s", i), kindService, testService, 1)
+		h.addServer(fmt.Sprint("s", i), kindService, testService, 1)
 	}
-	return w
+	return h
 }
 
-// print is the key that all requests of a world for a class share.
-func (w *world) print(class *wire.Class) poison.Key {
-	return poison.Key{Organisation: "org", Fingerprint: w.request("any", class).fingerprint()}
+// poisonKeyOf returns the key that all requests of a harness for a class share.
+func (h *harness) poisonKeyOf(class *wire.Class) poison.Key {
+	return poison.Key{Organisation: "org", Fingerprint: h.request("any", class).fingerprint()}
 }
 
-// crash ends an attempt by the end of its server's process.
-func (w *world) crash(at sentTo) {
-	w.t.Helper()
-	w.over(at.server, &wire.Over{
-		Attempt: at.id, Proof: wire.Proof_PROOF_CANCELLED, Began: true, Crash: w.crashAt(at),
+// crash ends an attempt by a crash of its server's process.
+func (h *harness) crash(at sentMessage) {
+	h.t.Helper()
+	h.over(at.server, &wire.Over{
+		Attempt: at.id, Proof: wire.Proof_PROOF_CANCELLED, Began: true, Crash: h.crashAt(at),
 	})
-	w.pass(MinTickInterval)
+	h.advance(MinTickInterval)
 }
 
-// crashAt is the crash of an attempt's server, as its agent reports it.
-func (w *world) crashAt(at sentTo) *wire.Crash {
+// crashAt returns the crash of an attempt's server as its agent reports it.
+func (h *harness) crashAt(at sentMessage) *wire.Crash {
 	return &wire.Crash{
-		Id: fmt.Sprint(at.server, "@", at.id.GetNumber()), Server: at.server, Alone: w.isWatched(at), Reporter: agentOf(at.server),
+		Id: fmt.Sprint(at.server, "@", at.id.GetNumber()), Server: at.server, Alone: h.isWatched(at), Reporter: agentOf(at.server),
 	}
 }
 
-// isWatched tells whether an attempt was sent as one that has to begin alone.
-func (w *world) isWatched(at sentTo) bool {
-	for _, sent := range w.sent {
+// isWatched reports whether an attempt was sent as one that has to begin alone.
+func (h *harness) isWatched(at sentMessage) bool {
+	for _, sent := range h.sent {
 		if d := sent.Message.GetDispatch(); d != nil && d.GetAttempt() == at.id {
 			return d.GetWork().GetWatched()
 		}
@@ -52,8 +52,8 @@
 	return false
 }
 
-// committed is a record of so many crashes.
-func committed(key poison.Key, crashes int, version uint64) *wire.PoisonRecord {
+// committedRecord returns a record with the given number of crashes.
+func committedRecord(key poison.Key, crashes int, version uint64) *wire.PoisonRecord {
 	record := key.Record()
 	for i := range crashes {
 		poison.Add(record, &wire.Crash{Id: fmt.Sprint(i), Server: fmt.Sprint("other-", i), Alone: i == 2}, 1)
@@ -62,8 +62,8 @@
 	return record
 }
 
-// cleared are the versions of the records that a step has control forget.
-func cleared(actions []Action) []uint64 {
+// clearedVersions returns the versions of the records that the actions ask control to clear.
+func clearedVersions(actions []Action) []uint64 {
 	var versions []uint64
 	for _, a := range actions {
 		if c, ok := a.(ClearPoison); ok {
@@ -75,61 +75,61 @@
 	return versions
 }
 
-// Symptom: one entry sends a request to server after server, and each crashes. Sequence: its attempts end with their servers'
-// processes, before control has committed anything. The caller of the third hears that it ran, later ones that theirs did not.
-// Cause: an entry that goes by what control has committed only.
-func TestEntryGoesByTheCrashesThatItHasSeen(t *testing.T) {
-	w := poisonWorld(t, 6)
-	w.arrive("r1", gateCheck)
+// Guards against an entry that sends a request to server after server, crashing each. Its attempts end with their
+// servers' processes before control has committed anything; the local crashes must count. The caller of the third
+// attempt is told that it ran, later callers that theirs didn't.
+func TestLocalCrashesQuarantineRequest(t *testing.T) {
+	h := newPoisonHarness(t, 6)
+	h.arrive("r1", gateCheck)
 	for n := range poison.QuarantinedAt {
-		w.crash(w.last("r1", n+1))
+		h.crash(h.lastDispatch("r1", n+1))
 	}
-	require.Len(t, w.dispatches("r1"), poison.QuarantinedAt)
-	require.Equal(t, result.EngineLost, w.failures["r1"].Code)
-	require.Equal(t, result.RanYes, w.failures["r1"].Ran)
+	require.Len(t, h.dispatches("r1"), poison.QuarantinedAt)
+	require.Equal(t, result.EngineLost, h.failures["r1"].Code)
+	require.Equal(t, result.RanYes, h.failures["r1"].Ran)
 
-	w.arrive("r2", gateCheck)
-	require.Empty(t, w.dispatches("r2"))
-	failure := w.failures["r2"]
+	h.arrive("r2", gateCheck)
+	require.Empty(t, h.dispatches("r2"))
+	failure := h.failures["r2"]
 	require.Equal(t, result.RequestQuarantined, failure.Code)
 	require.Equal(t, result.RanNo, failure.Ran)
 	require.Positive(t, failure.RetryAfter)
-	for _, at := range w.dispatches("r1") {
+	for _, at := range h.dispatches("r1") {
 		require.Contains(t, failure.Message, at.server, "the reason names the servers")
 	}
-	explanation, known := w.s.Explain("r2")
+	explanation, known := h.s.Explain("r2")
 	require.True(t, known)
 	require.Equal(t, failure.Message, explanation.Reason)
 	lost := 0
-	for _, c := range w.counts {
+	for _, c := range h.counts {
 		if c.Counter == Lost {
 			lost++
 		}
 	}
-	require.Equal(t, 1, lost, "r1 only: who repeats it doesn't make the class look as if it missed its target")
-	other := w.request("r3", gateCheck)
+	require.Equal(t, 1, lost, "r1 only: refused repeats don't count against the class's target")
+	other := h.request("r3", gateCheck)
 	other.Organisation = "rival"
-	w.step(Arrive{Request: other})
-	require.Len(t, w.dispatches("r3"), 1, "another caller's request is another one")
+	h.step(Arrive{Request: other})
+	require.Len(t, h.dispatches("r3"), 1, "the same request of another organisation is a different one")
 
-	w.pass(ownCrashLife + time.Second)
-	w.arrive("r4", gateCheck)
-	require.Len(t, w.dispatches("r4"), 1, "control has it by then, or has refuted it")
+	h.advance(localCrashRetention + time.Second)
+	h.arrive("r4", gateCheck)
+	require.Len(t, h.dispatches("r4"), 1, "by then control has committed or refuted the crashes")
 }
 
-// Symptom: three servers more crash for each entry, though one knows of three crashes. Sequence: the agents that saw them are cut
-// off from control, and their entries are not. Cause: crashes reported by agents only.
-func TestEntryReportsTheCrashesThatItHearsOf(t *testing.T) {
-	w := poisonWorld(t, 6)
+// Guards against three more crashed servers for each entry although one entry knows of three crashes: the agents
+// that saw them can't reach control, while their entries can. The entry must report crashes as well.
+func TestEntryReportsCrashesToControl(t *testing.T) {
+	h := newPoisonHarness(t, 6)
 	var notes []*wire.NoteCrash
-	w.arrive("r1", gateCheck)
+	h.arrive("r1", gateCheck)
 	for n := range poison.QuarantinedAt {
-		at := w.last("r1", n+1)
+		at := h.lastDispatch("r1", n+1)
 		for _, proof := range []wire.Proof{wire.Proof_PROOF_UNPROVEN, wire.Proof_PROOF_CANCELLED} {
 			over := &wire.Over{
-				Attempt: at.id, Server: at.server, Proof: proof, Began: true, Crash: w.crashAt(at),
+				Attempt: at.id, Server: at.server, Proof: proof, Began: true, Crash: h.crashAt(at),
 			}
-			for _, a := range w.step(MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+			for _, a := range h.step(MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 				Kind: &wire.AgentMessage_Over{Over: over},
 			}}) {
 				if report, ok := a.(ReportCrash); ok {
@@ -137,108 +137,110 @@
 				}
 			}
 		}
-		w.pass(MinTickInterval)
+		h.advance(MinTickInterval)
 	}
-	require.Len(t, notes, poison.QuarantinedAt, "each crash once, though it is heard of before and with the proof")
-	record := w.print(gateCheck).Record()
+	require.Len(t, notes, poison.QuarantinedAt, "each crash once, although it is reported before and with the proof")
+	record := h.poisonKeyOf(gateCheck).Record()
 	for i, note := range notes {
-		require.Equal(t, w.print(gateCheck), poison.KeyOf(note.GetRan()[0]))
+		require.Equal(t, h.poisonKeyOf(gateCheck), poison.KeyOf(note.GetRan()[0]))
 		require.True(t, poison.Add(record, note.GetCrash(), uint64(i)))
 	}
 	require.Equal(t, poison.Quarantined, poison.StandingOf(record))
 }
 
-// Symptom: an entry sends a request on that others know to crash servers. Sequence: requests wait and run when control's word
-// comes. Cause: the word of control looked at on arrival only.
-func TestWordOfControlBindsWhatWaits(t *testing.T) {
-	w := poisonWorld(t, 1)
-	w.arrive("runs", gateCheck)
-	w.room("s0", kindService, testService, 0)
-	w.arrive("waits", gateCheck)
-	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 9)}})
-	require.Equal(t, result.RequestQuarantined, w.failures["waits"].Code)
-	require.Nil(t, w.failures["runs"])
-	w.crash(w.last("runs", 1))
-	require.Len(t, w.dispatches("runs"), 1)
-	require.Equal(t, result.EngineLost, w.failures["runs"].Code)
-
-	w.step(PoisonRecords{})
-	w.room("s0", kindService, testService, 1)
-	w.pass(ownCrashLife)
-	w.arrive("later", gateCheck)
-	require.Len(t, w.dispatches("later"), 1)
+// Guards against sending a request that other entries know to crash servers: it is queued or running when the
+// committed record arrives. The record must also apply to requests that have already arrived.
+func TestCommittedQuarantineAppliesToQueuedRequests(t *testing.T) {
+	h := newPoisonHarness(t, 1)
+	h.arrive("runs", gateCheck)
+	h.reportRoom("s0", kindService, testService, 0)
+	h.arrive("waits", gateCheck)
+	h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 3, 9)}})
+	require.Equal(t, result.RequestQuarantined, h.failures["waits"].Code)
+	require.Nil(t, h.failures["runs"])
+	h.crash(h.lastDispatch("runs", 1))
+	require.Len(t, h.dispatches("runs"), 1)
+	require.Equal(t, result.EngineLost, h.failures["runs"].Code)
+
+	h.step(PoisonRecords{})
+	h.reportRoom("s0", kindService, testService, 1)
+	h.advance(localCrashRetention)
+	h.arrive("later", gateCheck)
+	require.Len(t, h.dispatches("later"), 1)
 }
 
-// Symptom: a request that may be innocent takes several servers from all others. Sequence: it has to begin alone; it waits at
-// three gates, each of which lets its server run empty, or is sent to a server that runs others. Cause: as many reservations as
-// for any request.
-func TestWatchedRequestWaitsAtOneGate(t *testing.T) {
-	w := poisonWorld(t, 3)
+// Guards against a request that may be harmless and takes capacity at several servers: it has to begin alone, and
+// each gate where it has a reservation drains its server. It must reserve at one server only, and not be sent to
+// one that runs others.
+func TestWatchedRequestReservesAtOneServer(t *testing.T) {
+	h := newPoisonHarness(t, 3)
 	for i := range 3 {
 		room := readyRoom(fmt.Sprint("s", i), kindService, testService, 2)
 		room.Running = 1
-		w.say(fmt.Sprint("s", i), &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+		h.receive(fmt.Sprint("s", i), &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 	}
-	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
-	w.arrive("r1", gateCheck)
-	require.Empty(t, w.dispatches("r1"))
-	reserved := w.reserves("r1")
+	h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 2, 9)}})
+	h.arrive("r1", gateCheck)
+	require.Empty(t, h.dispatches("r1"))
+	reserved := h.reserves("r1")
 	require.Len(t, reserved, 1)
-	w.offer(reserved[0].server, reserved[0].id)
-	require.Len(t, w.dispatches("r1"), 1)
-	require.True(t, w.isWatched(w.last("r1", 1)))
+	h.offer(reserved[0].server, reserved[0].id)
+	require.Len(t, h.dispatches("r1"), 1)
+	require.True(t, h.isWatched(h.lastDispatch("r1", 1)))
 }
 
-func TestCrashesSeenHereAndElsewhereAddUp(t *testing.T) {
-	w := poisonWorld(t, 3)
-	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
-	w.arrive("r1", gateCheck)
-	at := w.last("r1", 1)
-	require.True(t, w.isWatched(at))
-	w.crash(at)
-	require.Len(t, w.dispatches("r1"), 1)
-	require.Equal(t, result.EngineLost, w.failures["r1"].Code)
+// Guards against counting local and committed crashes separately: two committed crashes and a local one must
+// quarantine the request.
+func TestLocalAndCommittedCrashesAddUp(t *testing.T) {
+	h := newPoisonHarness(t, 3)
+	h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 2, 9)}})
+	h.arrive("r1", gateCheck)
+	at := h.lastDispatch("r1", 1)
+	require.True(t, h.isWatched(at))
+	h.crash(at)
+	require.Len(t, h.dispatches("r1"), 1)
+	require.Equal(t, result.EngineLost, h.failures["r1"].Code)
 }
 
-// Symptom: a request that harmed nobody stays refused. Sequence: it was beside crashes, and then a server answers it; or it was
-// answered a moment before three servers died at once. Cause: crashes that nothing takes back.
-func TestAnswerRefutesCrashes(t *testing.T) {
-	w := poisonWorld(t, 2)
-	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 2, 9)}})
-	w.arrive("r1", gateCheck)
-	at := w.last("r1", 1)
-	w.frame(at.server, at.id, 0, "x")
-	actions := w.s.Step(w.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+// Guards against a harmless request that stays refused: it ran during crashes and is then answered, or was answered
+// shortly before three servers crashed at once. The answer must clear the crashes.
+func TestAnswerClearsPoisonRecord(t *testing.T) {
+	h := newPoisonHarness(t, 2)
+	h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 2, 9)}})
+	h.arrive("r1", gateCheck)
+	at := h.lastDispatch("r1", 1)
+	h.frame(at.server, at.id, 0, "x")
+	actions := h.s.Step(h.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 		Kind: &wire.AgentMessage_Over{Over: &wire.Over{
-			Attempt: at.id, Server: at.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: endOf(0, "x"),
+			Attempt: at.id, Server: at.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: answerEndOf(0, "x"),
 		}},
 	}})
-	require.Equal(t, []uint64{9}, cleared(actions))
+	require.Equal(t, []uint64{9}, clearedVersions(actions))
 
-	require.Equal(t, []uint64{12}, cleared(w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 12)}})))
-	w.room(at.server, kindService, testService, 1)
-	w.arrive("r2", gateCheck)
-	require.Len(t, w.dispatches("r2"), 1, "it isn't refused meanwhile")
+	require.Equal(t, []uint64{12}, clearedVersions(h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 3, 12)}})))
+	h.reportRoom(at.server, kindService, testService, 1)
+	h.arrive("r2", gateCheck)
+	require.Len(t, h.dispatches("r2"), 1, "it isn't refused meanwhile")
 
-	w.pass(wholeAnswerLife + time.Second)
-	require.Empty(t, cleared(w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(gateCheck), 3, 15)}})))
-	w.arrive("r3", gateCheck)
-	require.Equal(t, result.RequestQuarantined, w.failures["r3"].Code, "an answer of long ago says nothing")
+	h.advance(recentAnswerRetention + time.Second)
+	require.Empty(t, clearedVersions(h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(gateCheck), 3, 15)}})))
+	h.arrive("r3", gateCheck)
+	require.Equal(t, result.RequestQuarantined, h.failures["r3"].Code, "an old answer doesn't refute crashes")
 }
 
-// A server may answer with an error before it begins to run a request.
-func TestErrorOfAServerRefutesNothing(t *testing.T) {
-	w := poisonWorld(t, 2)
-	w.step(PoisonRecords{Records: []*wire.PoisonRecord{committed(w.print(passIssue), 2, 9)}})
-	w.arrive("r1", passIssue)
-	at := w.last("r1", 1)
-	w.frame(at.server, at.id, 0, "x")
-	end := endOf(0, "x")
+// Guards against clearing crashes on an error answer, which a server may give before it begins to run a request.
+func TestErrorAnswerClearsNoPoisonRecord(t *testing.T) {
+	h := newPoisonHarness(t, 2)
+	h.step(PoisonRecords{Records: []*wire.PoisonRecord{committedRecord(h.poisonKeyOf(passIssue), 2, 9)}})
+	h.arrive("r1", passIssue)
+	at := h.lastDispatch("r1", 1)
+	h.frame(at.server, at.id, 0, "x")
+	end := answerEndOf(0, "x")
 	end.Status = 500
-	actions := w.s.Step(w.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
+	actions := h.s.Step(h.now, MessageReceived{Agent: agentOf(at.server), Incarnation: 1, Message: &wire.AgentMessage{
 		Kind: &wire.AgentMessage_Over{Over: &wire.Over{
 			Attempt: at.id, Server: at.server, Proof: wire.Proof_PROOF_COMPLETED, Answer: end,
 		}},
 	}})
-	require.Empty(t, cleared(actions))
+	require.Empty(t, clearedVersions(actions))
 }
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -13,17 +13,17 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func (w *world) arriveAs(id, organisation string, class *wire.Class, prompt uint32) {
-	w.t.Helper()
-	r := w.request(id, class)
+func (h *harness) arriveAs(id, organisation string, class *wire.Class, prompt uint32) {
+	h.t.Helper()
+	r := h.request(id, class)
 	r.Organisation, r.PromptTokens = organisation, prompt
-	w.step(Arrive{Request: r})
+	h.step(Arrive{Request: r})
 }
 
-// running returns the requests that have an attempt.
-func (w *world) running() []*request {
+// running returns the requests that have an attempt, in order of arrival.
+func (h *harness) running() []*request {
 	set := map[*request]struct{}{}
-	for _, r := range w.s.requests {
+	for _, r := range h.s.requests {
 		if r.attempt != nil {
 			set[r] = struct{}{}
 		}
@@ -31,39 +31,40 @@
 	return sortedRequests(set)
 }
 
-// finishOne has the only running attempt completed, with the prompt it was estimated to have, and its slot freed.
-func (w *world) finishOne() *request {
-	w.t.Helper()
-	all := w.running()
-	require.Len(w.t, all, 1)
+// completeRunning completes the only running attempt, with the estimated prompt tokens, frees its slot and returns
+// its request.
+func (h *harness) completeRunning() *request {
+	h.t.Helper()
+	all := h.running()
+	require.Len(h.t, all, 1)
 	r := all[0]
-	end := endOf(0)
+	end := answerEndOf(0)
 	end.PromptTokens, end.OutputTokens = r.PromptTokens, 0
 	v := r.attempt.server
-	w.over(v.name, &wire.Over{Attempt: r.attempt.id, Proof: wire.Proof_PROOF_COMPLETED, Answer: end})
-	w.room(v.name, v.room.GetAddressKind(), v.room.GetTargets()[0], 1)
+	h.over(v.name, &wire.Over{Attempt: r.attempt.id, Proof: wire.Proof_PROOF_COMPLETED, Answer: end})
+	h.reportRoom(v.name, v.room.GetAddressKind(), v.room.GetTargets()[0], 1)
 	return r
 }
 
+// Guards against the organisation with the longest or the most requests getting most of the pool. Three
+// organisations are backlogged in one class; one sends ten times longer prompts, one ten times more requests.
+// Service must be shared by token, not by request or arrival.
 func TestBackloggedOrganisationsGetEqualShares(t *testing.T) {
-	// Symptom: the partner with the longest or the most requests gets most of the pool.
-	// Sequence: three organisations are backlogged in one class; one sends ten times longer prompts, one ten times more.
-	// Cause: turns by request, or first come first served.
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 1)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 1)
 	prompts := map[string]uint32{"short": 100, "many": 100, "long": 1000}
 	for i := range 2000 {
-		w.arriveAs(fmt.Sprintf("many-%d", i), "many", appeal, prompts["many"])
+		h.arriveAs(fmt.Sprintf("many-%d", i), "many", appeal, prompts["many"])
 		if i%10 == 0 {
-			w.arriveAs(fmt.Sprintf("long-%d", i), "long", appeal, prompts["long"])
+			h.arriveAs(fmt.Sprintf("long-%d", i), "long", appeal, prompts["long"])
 			for j := range 3 {
-				w.arriveAs(fmt.Sprintf("short-%d-%d", i, j), "short", appeal, prompts["short"])
+				h.arriveAs(fmt.Sprintf("short-%d-%d", i, j), "short", appeal, prompts["short"])
 			}
 		}
 	}
 	tokens := map[string]int{}
 	for range 900 {
-		r := w.finishOne()
+		r := h.completeRunning()
 		tokens[r.Organisation] += int(r.PromptTokens)
 	}
 	for name := range prompts {
@@ -71,77 +72,75 @@
 	}
 }
 
-func TestTierFirstThenClassNearestItsTargets(t *testing.T) {
-	// Symptom: a class breaks its targets while another of its tier has plenty of slack.
-	// Sequence: two classes of one tier are queued; one has lost much of its work lately.
-	// Cause: order by arrival or deadline only.
-	hurt := &wire.Class{Name: "hurt", Tier: 2, DeadlineMs: 10_000, LateMax: 0.05, LostMax: 0.05, Repeatable: true, Kind: kindModel}
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arrive("low", appeal)
-	w.arrive("calm", summary)
-	w.arrive("hurt", hurt)
-	w.arrive("first", urgentModel)
+// Guards against a class missing its targets while another of its tier has slack: two classes of one tier are
+// queued, and one has lost many requests lately. It must go first, whatever the order of arrival and deadline.
+func TestOrderIsByTierThenTargetViolation(t *testing.T) {
+	violated := &wire.Class{Name: "hurt", Tier: 2, DeadlineMs: 10_000, LateMax: 0.05, LostMax: 0.05, Repeatable: true, Kind: kindModel}
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arrive("low", appeal)
+	h.arrive("calm", summary)
+	h.arrive("hurt", violated)
+	h.arrive("first", urgentModel)
 	for range 10 {
-		w.s.classFor(hurt).window.add(w.now, false, true)
+		h.s.classFor(violated).window.add(h.now, false, true)
 	}
-	w.pass(baseRefresh)
-	w.room("s1", kindModel, testModel, 1)
+	h.advance(usedShareInterval)
+	h.reportRoom("s1", kindModel, testModel, 1)
 	for _, want := range []string{"first", "hurt", "calm", "low"} {
-		assert.Equal(t, want, w.finishOne().ID)
+		assert.Equal(t, want, h.completeRunning().ID)
 	}
 }
 
-// busyRoom is a report of a server without room where the tier given runs.
+// busyRoom returns a Room report of a server without room on which the tier runs.
 func busyRoom(server string, tier uint32) *wire.AgentMessage {
 	room := readyRoom(server, kindModel, testModel, 0)
 	room.LowestRunningTier, room.Running, room.BacklogMs = tier, 8, 60_000
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}}
 }
 
-func TestTierOneIsNotRefusedWhileLowerWorkMayBeServed(t *testing.T) {
-	// Symptom: a gate check is refused while appeals are served.
-	// Sequence: the queue is full of tier 1; the rows say what is known of the servers.
-	// Cause: room judged by a report that is old, missing, or says that lower work runs.
+// Guards against refusing tier 1 while a lower tier is served: the queue is full of tier 1, and the rows say what
+// is known about the servers. A report that is old, missing, or shows lower tiers must prevent the refusal.
+func TestTierOneIsNotRefusedWhileLowerTiersMayBeServed(t *testing.T) {
 	rows := []struct {
 		name    string
-		do      func(w *world)
+		do      func(h *harness)
 		refused bool
 	}{
-		{"fresh: only tier 1 everywhere", func(w *world) { w.say("s1", busyRoom("s1", 1)); w.say("s2", busyRoom("s2", 1)) }, true},
-		{"lower tier runs at one", func(w *world) { w.say("s1", busyRoom("s1", 1)); w.say("s2", busyRoom("s2", 3)) }, false},
-		{"lower tier waits at one", func(w *world) {
-			w.say("s1", busyRoom("s1", 1))
+		{"fresh: only tier 1 everywhere", func(h *harness) { h.receive("s1", busyRoom("s1", 1)); h.receive("s2", busyRoom("s2", 1)) }, true},
+		{"lower tier runs at one", func(h *harness) { h.receive("s1", busyRoom("s1", 1)); h.receive("s2", busyRoom("s2", 3)) }, false},
+		{"lower tier waits at one", func(h *harness) {
+			h.receive("s1", busyRoom("s1", 1))
 			room := busyRoom("s2", 1)
 			room.GetRoom().LowestWaitingTier = 2
-			w.say("s2", room)
+			h.receive("s2", room)
 		}, false},
-		{"one report is old", func(w *world) {
-			w.say("s1", busyRoom("s1", 1))
-			w.pass(DefaultMaxRoomAge + MinTickInterval)
-			w.say("s2", busyRoom("s2", 1))
+		{"one report is old", func(h *harness) {
+			h.receive("s1", busyRoom("s1", 1))
+			h.advance(DefaultMaxRoomAge + MinTickInterval)
+			h.receive("s2", busyRoom("s2", 1))
 		}, false},
-		{"one server is silent", func(w *world) { w.say("s1", busyRoom("s1", 1)); w.down("s2") }, false},
-		{"lower tier queued here", func(w *world) {
-			w.say("s1", busyRoom("s1", 1))
-			w.say("s2", busyRoom("s2", 1))
-			w.arrive("low", appeal)
+		{"one server is silent", func(h *harness) { h.receive("s1", busyRoom("s1", 1)); h.linkDown("s2") }, false},
+		{"lower tier queued here", func(h *harness) {
+			h.receive("s1", busyRoom("s1", 1))
+			h.receive("s2", busyRoom("s2", 1))
+			h.arrive("low", appeal)
 		}, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			w := newWorld(t, Options{MaxQueued: 3})
-			w.serve("s1", kindModel, testModel, 0)
-			w.serve("s2", kindModel, testModel, 0)
-			row.do(w)
+			h := newHarness(t, Options{MaxQueued: 3})
+			h.addServer("s1", kindModel, testModel, 0)
+			h.addServer("s2", kindModel, testModel, 0)
+			row.do(h)
 			for i := range 3 {
-				w.arrive(fmt.Sprint(i), urgentModel)
+				h.arrive(fmt.Sprint(i), urgentModel)
 			}
-			_, shed := w.failures["low"]
-			delete(w.failures, "low")
-			w.arrive("last", urgentModel)
-			assert.Equal(t, row.refused, len(w.failures) > 0 && !shed)
-			for id, err := range w.failures {
+			_, shed := h.failures["low"]
+			delete(h.failures, "low")
+			h.arrive("last", urgentModel)
+			assert.Equal(t, row.refused, len(h.failures) > 0 && !shed)
+			for id, err := range h.failures {
 				if id != "low" {
 					assert.Equal(t, result.QueueFull, err.Code)
 					assert.Equal(t, result.RanNo, err.Ran)
@@ -152,38 +151,37 @@
 	}
 }
 
+// Guards against shedding a higher tier while a lower one is queued: the queue is full and more requests of each
+// tier arrive. Neither the newest request nor the one with the full pool must be shed, but the last of the lowest
+// tier.
 func TestShedFromTheLowestTierUp(t *testing.T) {
-	// Symptom: a gate check or summary is shed while appeals are queued.
-	// Sequence: the queue is full; more work of each tier arrives.
-	// Cause: the newest shed, or the one whose pool is full.
-	w := newWorld(t, Options{MaxQueued: 4})
-	w.serve("s1", kindModel, testModel, 0)
-	w.say("s1", busyRoom("s1", 3))
-	w.arrive("low1", appeal)
-	w.arrive("low2", appeal)
-	w.arrive("mid1", summary)
-	w.arrive("mid2", summary)
-	w.arrive("top1", urgentModel)
-	require.Contains(t, w.failures, "low2", "the one with the later place in the order")
-	assert.Equal(t, result.ShedForHigherTier, w.failures["low2"].Code)
-	assert.Positive(t, w.failures["low2"].RetryAfter)
-	w.arrive("low3", appeal)
-	assert.Contains(t, w.failures, "low3")
-	w.arrive("top2", urgentModel)
-	assert.Contains(t, w.failures, "low1")
-	w.arrive("top3", urgentModel)
-	assert.Contains(t, w.failures, "mid2")
-	w.arrive("top4", urgentModel)
-	assert.Contains(t, w.failures, "mid1")
-	w.arrive("top5", urgentModel)
-	assert.Len(t, w.failures, 5, "tier 1 stays without fresh evidence")
-	assert.Equal(t, []int{5, 0, 0}, w.s.Status().Queued)
+	h := newHarness(t, Options{MaxQueued: 4})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.receive("s1", busyRoom("s1", 3))
+	h.arrive("low1", appeal)
+	h.arrive("low2", appeal)
+	h.arrive("mid1", summary)
+	h.arrive("mid2", summary)
+	h.arrive("top1", urgentModel)
+	require.Contains(t, h.failures, "low2", "the last in order")
+	assert.Equal(t, result.ShedForHigherTier, h.failures["low2"].Code)
+	assert.Positive(t, h.failures["low2"].RetryAfter)
+	h.arrive("low3", appeal)
+	assert.Contains(t, h.failures, "low3")
+	h.arrive("top2", urgentModel)
+	assert.Contains(t, h.failures, "low1")
+	h.arrive("top3", urgentModel)
+	assert.Contains(t, h.failures, "mid2")
+	h.arrive("top4", urgentModel)
+	assert.Contains(t, h.failures, "mid1")
+	h.arrive("top5", urgentModel)
+	assert.Len(t, h.failures, 5, "tier 1 isn't shed without current reports")
+	assert.Equal(t, []int{5, 0, 0}, h.s.Status().Queued)
 }
 
+// Guards against prompts computed for answers that come too late: a request arrives that can't finish in time even
+// at an idle server. It must be refused on arrival, unless its class tolerates lateness or is of tier 1.
 func TestEarlyRefusal(t *testing.T) {
-	// Symptom: prompts are computed for answers that come too late.
-	// Sequence: a request arrives that can't be done in time even at an idle server.
-	// Cause: it is dispatched all the same, or one is refused that would rather be late or is of tier 1.
 	rows := []struct {
 		name    string
 		class   *wire.Class
@@ -195,53 +193,55 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 4)
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 4)
 			room := readyRoom("s1", kindModel, testModel, 4)
 			room.LowestRunningTier = 3
-			w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
-			for range learnSamples {
-				w.s.classFor(row.class).outputs.add(50)
+			h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+			for range minSamples {
+				h.s.classFor(row.class).outputTokens.add(50)
 			}
-			w.arriveAs("r", "org", row.class, 60_000)
-			assert.Equal(t, row.refused, len(w.dispatches("r")) == 0)
+			h.arriveAs("r", "org", row.class, 60_000)
+			assert.Equal(t, row.refused, len(h.dispatches("r")) == 0)
 			if row.refused {
-				require.Contains(t, w.failures, "r")
-				assert.Equal(t, result.CannotFinishInTime, w.failures["r"].Code)
-				assert.Equal(t, result.RanNo, w.failures["r"].Ran)
-				assert.Positive(t, w.failures["r"].RetryAfter)
+				require.Contains(t, h.failures, "r")
+				assert.Equal(t, result.CannotFinishInTime, h.failures["r"].Code)
+				assert.Equal(t, result.RanNo, h.failures["r"].Ran)
+				assert.Positive(t, h.failures["r"].RetryAfter)
 			}
 		})
 	}
 }
 
+// Guards against queueing requests past their deadline, unless their class may be late: one request fails at its
+// deadline, one is answered late, and one is given up at lateFactor times its allowed time.
 func TestDeadlineInQueue(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arrive("on time", summary)
-	w.arrive("may be late", appeal)
-	w.pass(20*time.Second + MinTickInterval)
-	require.Contains(t, w.failures, "on time")
-	assert.Equal(t, result.DeadlinePassedInQueue, w.failures["on time"].Code)
-	assert.Equal(t, result.RanNo, w.failures["on time"].Ran)
-	assert.NotContains(t, w.failures, "may be late")
-	w.room("s1", kindModel, testModel, 1)
-	d := w.last("may be late", 1)
-	w.complete(d.server, d.id, 0)
-	assert.Contains(t, w.answers, "may be late")
-	assert.Equal(t, uint64(1), w.countedClass(Late, "appeal"))
-	assert.Equal(t, uint64(1), w.countedClass(Lost, "summary"))
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arrive("on time", summary)
+	h.arrive("may be late", appeal)
+	h.advance(20*time.Second + MinTickInterval)
+	require.Contains(t, h.failures, "on time")
+	assert.Equal(t, result.DeadlinePassedInQueue, h.failures["on time"].Code)
+	assert.Equal(t, result.RanNo, h.failures["on time"].Ran)
+	assert.NotContains(t, h.failures, "may be late")
+	h.reportRoom("s1", kindModel, testModel, 1)
+	d := h.lastDispatch("may be late", 1)
+	h.complete(d.server, d.id, 0)
+	assert.Contains(t, h.answers, "may be late")
+	assert.Equal(t, uint64(1), h.countedForClass(Late, "appeal"))
+	assert.Equal(t, uint64(1), h.countedForClass(Lost, "summary"))
 
-	w.arrive("too late", appeal)
-	w.room("s1", kindModel, testModel, 0)
-	w.down("s1")
-	w.pass(lateFactor*20*time.Second + MinTickInterval)
-	assert.Contains(t, w.failures, "too late")
+	h.arrive("too late", appeal)
+	h.reportRoom("s1", kindModel, testModel, 0)
+	h.linkDown("s1")
+	h.advance(lateFactor*20*time.Second + MinTickInterval)
+	assert.Contains(t, h.failures, "too late")
 }
 
-func (w *world) countedClass(c Counter, class string) uint64 {
+func (h *harness) countedForClass(c Counter, class string) uint64 {
 	n := uint64(0)
-	for _, count := range w.counts {
+	for _, count := range h.counts {
 		if count.Counter == c && count.Class == class {
 			n += count.Add
 		}
@@ -249,87 +249,89 @@
 	return n
 }
 
-func TestTierOneIsNotGivenUpWhileLowerWorkIsQueued(t *testing.T) {
-	// Symptom: a gate check is refused as hopeless while an appeal of the same queue is served next.
-	// Sequence: all servers say that only tier 1 runs; an appeal is queued here; a slot is offered to a tier-1 request
-	// that can't end in time.
-	// Cause: the entry's own queue not looked at.
+// Guards against refusing a tier 1 request as too late while a lower tier in the same queue is served next: all
+// servers report only tier 1, a lower tier is queued here, and a slot is offered to a tier 1 request that can't
+// finish in time. The entry's own queue must be considered.
+func TestTierOneIsNotRefusedAtOfferWhileLowerTierIsQueued(t *testing.T) {
 	for _, lower := range []bool{true, false} {
-		w := newWorld(t, Options{})
-		w.serve("s1", kindModel, testModel, 0)
+		h := newHarness(t, Options{})
+		h.addServer("s1", kindModel, testModel, 0)
 		if lower {
-			w.arrive("low", appeal)
+			h.arrive("low", appeal)
 		}
-		for range learnSamples {
-			w.s.classFor(urgentModel).outputs.add(50)
+		for range minSamples {
+			h.s.classFor(urgentModel).outputTokens.add(50)
 		}
-		w.arriveAs("top", "org", urgentModel, 60_000)
-		w.offer("s1", w.reserves("top")[0].id)
-		assert.Equal(t, lower, len(w.dispatches("top")) == 1)
-		assert.Equal(t, !lower, w.failures["top"] != nil)
+		h.arriveAs("top", "org", urgentModel, 60_000)
+		h.offer("s1", h.reserves("top")[0].id)
+		assert.Equal(t, lower, len(h.dispatches("top")) == 1)
+		assert.Equal(t, !lower, h.failures["top"] != nil)
 	}
 }
 
+// Guards against losing requests that may be late but never lost: one is preempted by tier 1 again and again.
+// Preemptions must not count as failures.
 func TestPreemptedWorkIsNotLost(t *testing.T) {
-	// Symptom: appeals, which may be late but never lost, are lost under load.
-	// Sequence: one is preempted by gate checks again and again.
-	// Cause: preemptions counted as if the work itself failed.
-	w, _ := twoServers(t, appeal)
-	for range 3 * maxStarts {
-		all := w.dispatches("r")
+	h, _ := newTwoServerHarness(t, appeal)
+	for range 3 * maxBegunAttempts {
+		all := h.dispatches("r")
 		d := all[len(all)-1]
-		w.say(d.server, started(d))
-		w.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_CANCELLED, PreemptedByTier: 1})
-		w.room(d.server, kindModel, testModel, 4)
+		h.receive(d.server, started(d))
+		h.over(d.server, &wire.Over{Attempt: d.id, Proof: wire.Proof_PROOF_CANCELLED, PreemptedByTier: 1})
+		h.reportRoom(d.server, kindModel, testModel, 4)
 	}
-	assert.Empty(t, w.failures)
-	assert.Len(t, w.dispatches("r"), 3*maxStarts+1)
+	assert.Empty(t, h.failures)
+	assert.Len(t, h.dispatches("r"), 3*maxBegunAttempts+1)
 }
 
-func TestBrokenWorkIsNotTriedForEver(t *testing.T) {
-	w, _ := twoServers(t, appeal)
-	for i := range maxStarts {
-		d := w.last("r", i+1)
-		w.prove(d.server, d.id, wire.Proof_PROOF_FAILED)
-		w.room(d.server, kindModel, testModel, 4)
+// Guards against endless retries of a request that fails at every server: it must fail after maxBegunAttempts.
+func TestFailingRequestIsNotRetriedForever(t *testing.T) {
+	h, _ := newTwoServerHarness(t, appeal)
+	for i := range maxBegunAttempts {
+		d := h.lastDispatch("r", i+1)
+		h.prove(d.server, d.id, wire.Proof_PROOF_FAILED)
+		h.reportRoom(d.server, kindModel, testModel, 4)
 	}
-	require.Contains(t, w.failures, "r")
-	assert.Equal(t, result.EngineFailed, w.failures["r"].Code)
-	assert.Equal(t, result.RanYes, w.failures["r"].Ran)
+	require.Contains(t, h.failures, "r")
+	assert.Equal(t, result.EngineFailed, h.failures["r"].Code)
+	assert.Equal(t, result.RanYes, h.failures["r"].Ran)
 }
 
-func TestNoServerIsSaidAtOnce(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, "other", 1)
-	w.arrive("r", summary)
-	require.Contains(t, w.failures, "r")
-	assert.Equal(t, result.NoServer, w.failures["r"].Code)
-	assert.Positive(t, w.failures["r"].RetryAfter)
-	w.arrive("top", urgentModel)
-	assert.NotContains(t, w.failures, "top")
+// Guards against queueing a request for which no server exists, except in tier 1, and against memory that grows
+// with target names that callers invent.
+func TestRequestWithoutServerFailsAtOnce(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, "other", 1)
+	h.arrive("r", summary)
+	require.Contains(t, h.failures, "r")
+	assert.Equal(t, result.NoServer, h.failures["r"].Code)
+	assert.Positive(t, h.failures["r"].RetryAfter)
+	h.arrive("top", urgentModel)
+	assert.NotContains(t, h.failures, "top")
 	for i := range 1000 {
-		r := w.request(fmt.Sprint(i), summary)
+		r := h.request(fmt.Sprint(i), summary)
 		r.Target = fmt.Sprint("made-up-", i)
-		w.step(Arrive{Request: r})
+		h.step(Arrive{Request: r})
 	}
-	assert.LessOrEqual(t, len(w.s.pools), 3, "targets that callers make up aren't kept")
+	assert.LessOrEqual(t, len(h.s.pools), 3, "pools of unknown targets aren't kept")
 }
 
+// Guards against results that depend on map order: the same seed and events must give the same messages.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, Options{Seed: 7})
+		h := newHarness(t, Options{Seed: 7})
 		for i := range 20 {
-			w.serve(fmt.Sprintf("s%02d", i), kindModel, testModel, uint32(i%3))
+			h.addServer(fmt.Sprintf("s%02d", i), kindModel, testModel, uint32(i%3))
 		}
 		for i := range 200 {
-			w.arriveAs(fmt.Sprint(i), fmt.Sprint("org", i%5), []*wire.Class{appeal, summary, urgentModel}[i%3], uint32(i*10))
+			h.arriveAs(fmt.Sprint(i), fmt.Sprint("org", i%5), []*wire.Class{appeal, summary, urgentModel}[i%3], uint32(i*10))
 			if i%20 == 0 {
-				w.down(fmt.Sprintf("s%02d", i/20))
+				h.linkDown(fmt.Sprintf("s%02d", i/20))
 			}
 		}
-		w.pass(3 * time.Second)
+		h.advance(3 * time.Second)
 		var log []string
-		for _, s := range w.sent {
+		for _, s := range h.sent {
 			log = append(log, s.Agent+" "+s.Message.String())
 		}
 		return log
@@ -339,12 +341,12 @@
 		again := run()
 		require.Len(t, again, len(first))
 		for i := range first {
-			require.Equal(t, normal(first[i]), normal(again[i]))
+			require.Equal(t, collapseSpaces(first[i]), collapseSpaces(again[i]))
 		}
 	}
 }
 
-// normal takes out the blanks that protobuf's text form puts in at random.
-func normal(text string) string {
+// collapseSpaces normalises the blanks that protobuf's text format inserts at random.
+func collapseSpaces(text string) string {
 	return strings.Join(strings.Fields(text), " ")
 }
