--- a/sched/pool.go
+++ b/sched/pool.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Kinds of backend server, as classes and servers name them.
+// Kinds of backend server, as used by classes and servers.
 const (
 	kindModel   = "model"
 	kindService = "service"
 )
 
-// maxPassed bounds how many queued requests one walk passes over because no server with room suits them.
-const maxPassed = 32
+// maxSkipped bounds the queued requests that one scan skips because no server with room suits them.
+const maxSkipped = 32
 
-// maxRounds bounds how often one event has pools looked at.
-const maxRounds = 16
+// maxRoundsPerStep bounds the rounds over changed pools in one Step.
+const maxRoundsPerStep = 16
 
-// poolKey names what requests are for.
+// poolKey identifies what requests are for.
 type poolKey struct {
 	kind   string
 	target string
 }
 
-// pool is the queue for one model or service and the servers that have it.
+// pool holds the queue for one model or service and the servers that have it.
 type pool struct {
-	key      poolKey
-	tiers    [tierCount]tierQueue
-	servers  []*server      // sorted by name
-	roomy    int            // servers that are ready and have room
-	ready    int            // servers that are ready
-	reserved [tierCount]int // queued requests with reservations, by tier
-	live     int            // requests, queued or not
-	dirty    bool
-	drain    rate     // dispatches a second
-	arrivals rate     // requests a second
-	classes  []*class // that requests came of
-	retries  retryWindow
-	returnAt time.Time // when the last one who was told to come back does so
+	key          poolKey
+	tiers        [tierCount]tierQueue
+	servers      []*server      // sorted by name
+	withRoom     int            // servers that are ready and have room
+	ready        int            // servers that are ready
+	reserved     [tierCount]int // queued requests with reservations, by tier
+	requests     int            // live requests, queued or not
+	dirty        bool
+	dispatchRate rate     // dispatches per second
+	arrivalRate  rate     // requests per second
+	classes      []*class // classes that requests arrived in
+	retryBudget  retryBudget
+	nextReturn   time.Time // latest time at which a refused caller was told to retry
 }
 
 func (s *Scheduler) pool(key poolKey) *pool {
@@ -52,89 +52,90 @@
 	return p
 }
 
-// forget drops a pool that nothing refers to. Without it every target that a caller makes up would stay.
-func (s *Scheduler) forget(p *pool) {
-	if p.live == 0 && len(p.servers) == 0 && !p.dirty {
+// removeIfUnused removes a pool that nothing refers to. Without it a pool would remain for every target name that a
+// caller invents.
+func (s *Scheduler) removeIfUnused(p *pool) {
+	if p.requests == 0 && len(p.servers) == 0 && !p.dirty {
 		delete(s.pools, p.key)
 	}
 }
 
-func (p *pool) anyResume() bool {
+func (p *pool) canResumeAnywhere() bool {
 	return slices.ContainsFunc(p.servers, func(v *server) bool { return v.ready && v.room.GetResume() })
 }
 
-// isAway tells whether every sound server has asked to keep away for a while, of one at least.
-func (p *pool) isAway() bool {
+// inBackoff reports whether there is at least one healthy server and all healthy servers have requested back-off.
+func (p *pool) inBackoff() bool {
 	found := false
 	for _, v := range p.servers {
-		if v.isSound() && !v.isAway() {
+		if v.isHealthy() && !v.inBackoff() {
 			return false
 		}
-		found = found || v.isSound()
+		found = found || v.isHealthy()
 	}
 	return found
 }
 
-// left notes that a request of this pool was dispatched.
-func (p *pool) left(now time.Time) {
-	p.drain.add(now)
+// noteDispatch counts a dispatch of a request of this pool.
+func (p *pool) noteDispatch(now time.Time) {
+	p.dispatchRate.add(now)
 }
 
-// touch has the pool looked at when the event is done.
-func (s *Scheduler) touch(p *pool) {
+// markDirty schedules the pool for the end of the current Step.
+func (s *Scheduler) markDirty(p *pool) {
 	if !p.dirty {
 		p.dirty = true
 		s.dirty = append(s.dirty, p)
 	}
 }
 
-// push puts a request into its pool's queue, unless it backs off.
-func (s *Scheduler) push(r *request) {
-	if r.lane != nil || s.now.Before(r.notBefore) {
+// addToQueue adds a request to its pool's queue, unless it is in back-off or already queued.
+func (s *Scheduler) addToQueue(r *request) {
+	if r.queue != nil || s.now.Before(r.notBefore) {
 		return
 	}
-	tier, class, organisation := s.order(r)
-	q := &r.pool.tiers[tier]
-	r.lane = q.lane(class, organisation)
-	r.lane.part(r).add(r)
-	q.count++
-	q.clock.Enter(organisation)
+	tier, class, organisation := s.queueKeys(r)
+	t := &r.pool.tiers[tier]
+	r.queue = t.organisationQueue(class, organisation)
+	r.queue.listFor(r).add(r)
+	t.count++
+	t.clock.Enter(organisation)
 	s.queued[tier]++
-	s.touch(r.pool)
+	s.markDirty(r.pool)
 }
 
-// pull takes a request out of its pool's queue.
-func (s *Scheduler) pull(r *request) {
-	if r.lane == nil {
+// removeFromQueue removes a request from its pool's queue, if it is queued.
+func (s *Scheduler) removeFromQueue(r *request) {
+	if r.queue == nil {
 		return
 	}
-	l := r.lane
-	q := l.class.tier
-	l.part(r).remove(r)
+	q := r.queue
+	t := q.class.tier
+	q.listFor(r).remove(r)
 	if len(r.reservations) > 0 {
 		r.pool.reserved[r.tier]--
 	}
-	r.lane = nil
-	q.count--
-	q.clock.Leave(l.organisation)
+	r.queue = nil
+	t.count--
+	t.clock.Leave(q.organisation)
 	s.queued[r.queueTier(s)]--
-	if l.empty() {
-		q.drop(l)
+	if q.empty() {
+		t.removeEmpty(q)
 	}
-	s.touch(r.pool)
+	s.markDirty(r.pool)
 }
 
-// overdueRank puts a request behind all that aren't overdue: it is longer than any deadline.
+// overdueRank is added to the rank of overdue requests. It is longer than any deadline, so that they go last.
 const overdueRank = 24 * time.Hour
 
-// order gives the places by which the policy orders a request: tier, class and organisation, and its rank within.
-// The baselines know one order only, that of arrival.
-func (s *Scheduler) order(r *request) (tier int, c *class, organisation string) {
+// queueKeys sets the request's rank and returns the tier, class and organisation by which the policy queues it. The
+// baseline policies order by arrival only.
+func (s *Scheduler) queueKeys(r *request) (tier int, c *class, organisation string) {
 	if s.options.Policy != PolicyTargets {
 		r.rank = r.Arrived
 		return 0, s.classes[baselineClass], ""
 	}
-	r.rank = r.due()
+	r.rank = r.dueAt()
 	if r.Overdue {
 		r.rank = r.rank.Add(overdueRank)
 	}
@@ -148,26 +149,27 @@
 	return r.tier
 }
 
-// pump gives out what can be given out now in the pools that changed, the highest tier first over all pools, since
-// one server may belong to several. What it gives out changes pools again. The rounds are bounded, so that a mistake
-// here costs a little time with each event and doesn't stop the entry for good; what is left waits for the next event.
-func (s *Scheduler) pump() {
-	for round := 0; len(s.dirty) > 0 && round < maxRounds; round++ {
-		s.dirty, s.pumping = s.pumping[:0], s.dirty
-		for _, p := range s.pumping {
+// schedulePools dispatches and reserves what it can in the pools that changed, the highest tier first over all
+// pools, since one server may belong to several. That marks pools as changed again. The rounds are bounded, so that
+// a fault here costs some time with each event rather than blocking the entry forever; the remaining pools wait for
+// the next event.
+func (s *Scheduler) schedulePools() {
+	for round := 0; len(s.dirty) > 0 && round < maxRoundsPerStep; round++ {
+		s.dirty, s.scheduling = s.scheduling[:0], s.dirty
+		for _, p := range s.scheduling {
 			p.dirty = false
 		}
-		s.pumpOnce(s.pumping)
-		for _, p := range s.pumping {
-			s.forget(p)
+		s.scheduleRound(s.scheduling)
+		for _, p := range s.scheduling {
+			s.removeIfUnused(p)
 		}
 	}
 }
 
-func (s *Scheduler) pumpOnce(pools []*pool) {
+func (s *Scheduler) scheduleRound(pools []*pool) {
 	for tier := range tierCount {
 		for _, p := range pools {
-			s.pumpDirect(p, tier)
+			s.dispatchQueued(p, tier)
 		}
 	}
 	if s.options.Policy != PolicyTargets {
@@ -175,58 +177,59 @@
 	}
 	for tier := range tierCount {
 		for _, p := range pools {
-			s.pumpReserve(p, tier)
+			s.reserveQueued(p, tier)
 		}
 	}
 }
 
-// pumpDirect dispatches to servers that have advertised room.
-func (s *Scheduler) pumpDirect(p *pool, tier int) {
-	s.mark++
-	passed := 0
-	for p.roomy > 0 && passed < maxPassed {
-		r := p.tiers[tier].next(s.now, s.mark, false)
+// dispatchQueued dispatches to servers that have advertised room.
+func (s *Scheduler) dispatchQueued(p *pool, tier int) {
+	s.scan++
+	skipped := 0
+	for p.withRoom > 0 && skipped < maxSkipped {
+		r := p.tiers[tier].next(s.now, s.scan, false)
 		if r == nil {
 			return
 		}
-		to := s.choose(r)
+		to := s.chooseServer(r)
 		switch {
 		case to == nil:
-			r.mark = s.mark
-			passed++
-			s.stuck(r)
-		case s.giveUp(r, to):
+			r.lastScan = s.scan
+			skipped++
+			s.handleUnplaceable(r)
+		case s.refuseIfTooLate(r, to):
 		default:
-			r.mark = s.mark
+			r.lastScan = s.scan
 			r.promote()
 			s.dispatch(r, to, false)
 		}
 	}
 }
 
-// pumpReserve places reservations for the requests that are next. How many requests of a tier have some is bounded, so
-// that the messages and the gates' queues don't grow with a backlog; tier 1 isn't held back by the bound. The bound is
-// for each tier, so that a lower one can show the gates what its organisations want while a higher one waits.
-func (s *Scheduler) pumpReserve(p *pool, tier int) {
+// reserveQueued places reservations for the requests that are next. The number of requests of a tier with
+// reservations is bounded, so that messages and the gates' queues don't grow with a backlog; tier 1 is exempt. The
+// bound is per tier, so that a lower tier can show the gates the demand of its organisations while a higher one
+// waits.
+func (s *Scheduler) reserveQueued(p *pool, tier int) {
 	if p.ready == 0 {
 		return
 	}
-	s.mark++
-	passed := 0
-	for passed < maxPassed && (tier == 0 || p.reserved[tier] < s.reserveBound(p)) {
-		r := p.tiers[tier].next(s.now, s.mark, true)
+	s.scan++
+	skipped := 0
+	for skipped < maxSkipped && (tier == 0 || p.reserved[tier] < s.maxReserved(p)) {
+		r := p.tiers[tier].next(s.now, s.scan, true)
 		if r == nil {
 			return
 		}
-		r.mark = s.mark
+		r.lastScan = s.scan
 		if !s.reserve(r) {
-			passed++
-			s.stuck(r)
+			skipped++
+			s.handleUnplaceable(r)
 		}
 	}
 }
 
-// reserveBound is how many requests of a tier of the pool may have reservations.
-func (s *Scheduler) reserveBound(p *pool) int {
+// maxReserved returns how many requests of a tier of the pool may have reservations.
+func (s *Scheduler) maxReserved(p *pool) int {
 	return max(1, p.ready*s.options.ReservationsPerServer/s.options.Reservations)
 }
--- a/sched/precedence.go
+++ b/sched/precedence.go
@@ -6,98 +6,102 @@
 	"time"
 )
 
-// What a class gets that others go before.
+// Service guaranteed to classes that others go before.
 const (
-	// guaranteedShare is the part of its share of a pool's requests that a class gets of the pool's dispatches, whatever goes before it.
-	// Under a lasting overload the class with the lowest precedence is then served about a third as often as all requests together.
+	// guaranteedShare is the fraction of its share of a pool's requests that a class gets of the pool's dispatches,
+	// whatever goes before it. Under a lasting overload the class with the lowest precedence is then served about a
+	// third as often as all requests on average.
 	guaranteedShare = 0.35
-	// creditMost bounds what a class is owed, or has had ahead, in dispatches: a class that nobody asked for, or that had all it wanted,
-	// for a while takes no places from others later.
-	creditMost = 4
+	// maxCredit bounds a class's credit and debt, in dispatches: a class that had no requests for a while, or was
+	// served in full, takes no slots from others later.
+	maxCredit = 4
 )
 
-// firstPrecedence goes before what operators may set, which is one lower for that reason.
-const firstPrecedence = 1
+// promotedPrecedence is the precedence of promoted requests. Those that operators set are shifted by one to come
+// after it.
+const promotedPrecedence = 1
 
-// precedence is the class's order within its tier: a lower number goes first, 0 stands for a class that goes by its targets.
+// precedence returns the class's position within its tier: a lower number goes first, 0 means that the class is
+// ordered by its targets.
 func (c *class) precedence() uint32 {
-	own := c.spec.GetPrecedence()
-	if own == 0 {
+	configured := c.spec.GetPrecedence()
+	if configured == 0 {
 		return 0
 	}
-	return firstPrecedence + own
+	return promotedPrecedence + configured
 }
 
-// precedence is that of the request: one that was promoted goes first.
+// precedence returns that of the request's class, or promotedPrecedence if the request was promoted.
 func (r *request) precedence() uint32 {
 	if r.promoted {
-		return firstPrecedence
+		return promotedPrecedence
 	}
 	return r.class.precedence()
 }
 
-// order is the place of the class among those of its tier, with a request that is next: higher goes first. Classes that go by
-// their targets are ordered by urgency, before those with a precedence.
-func (c *class) order(now, due time.Time, next *request) int {
+// priority returns the position of the class among those of its tier, given its next request: higher goes first.
+// Classes ordered by their targets rank by urgency, before all classes with a precedence.
+func (c *class) priority(now, due time.Time, next *request) int {
 	switch p := next.precedence(); {
 	case p == 0:
-		return band(c.urgency(now, due))
-	case c.isOwed():
-		return -firstPrecedence
+		return urgencyBand(c.urgency(now, due))
+	case c.hasCredit():
+		return -promotedPrecedence
 	default:
 		return -int(p)
 	}
 }
 
-// A class with a precedence is owed a part of each dispatch of its pool, and pays with its own dispatches.
+// A class with a precedence earns credit with each dispatch of its pool, and pays with its own dispatches.
 //
-// Without it an overload that lasts serves nothing of the class that comes last, however small a part of the servers it needs; its
-// callers would see an outage where others see some refusals. What it is owed is paid one request at a time. If instead all its
-// requests went first until it was served often enough, then in the seconds of a burst, when all of its callers are refused,
-// they would take the places of classes that operators put first: one would notice by long answers of the last class that begin at once
-// while the first wait and are refused.
+// Without this credit a lasting overload would serve none of the class with the lowest precedence, however small
+// its demand: its callers would see an outage where others see some refusals. The credit is spent one request at a
+// time. If instead all requests of the class went first until it had its share, then in a burst, when all of its
+// callers are refused, they would take the slots of classes that operators put first: long answers of the lowest
+// class would begin at once while the first class waits and is refused.
 
-// isOwed tells whether a request of the class is due to go first.
-func (c *class) isOwed() bool { return c.credit >= 1 }
+// hasCredit reports whether a request of the class may be promoted.
+func (c *class) hasCredit() bool { return c.credit >= 1 }
 
-// promote has a request go first if its class is owed that.
+// promote gives a request precedence over the other classes of its tier if its class has credit for that.
 func (r *request) promote() {
-	if r.promoted || r.class.precedence() == 0 || !r.class.isOwed() {
+	if r.promoted || r.class.precedence() == 0 || !r.class.hasCredit() {
 		return
 	}
 	r.promoted = true
 	r.class.credit--
 }
 
-// giveBack returns to the class what a promoted request didn't use.
-func (r *request) giveBack() {
+// returnCredit returns the credit of a promoted request that was never sent.
+func (r *request) returnCredit() {
 	if r.promoted && len(r.attempts) == 0 {
-		r.class.credit = min(r.class.credit+1, creditMost)
+		r.class.credit = min(r.class.credit+1, maxCredit)
 	}
 }
 
-// noteDispatch counts what the classes of the pool are owed for a dispatch, and what the dispatched one has had.
-func (s *Scheduler) noteDispatch(r *request) {
-	all := max(r.pool.arrivals.value(s.now), math.SmallestNonzeroFloat64)
+// settleCredits adds the credit that the classes of the pool earn from a dispatch, and charges the dispatched
+// request's class.
+func (s *Scheduler) settleCredits(r *request) {
+	all := max(r.pool.arrivalRate.value(s.now), math.SmallestNonzeroFloat64)
 	for _, c := range r.pool.classes {
-		share := min(c.arrivals.value(s.now)/all, 1)
-		c.credit = min(c.credit+guaranteedShare*share, creditMost)
+		share := min(c.arrivalRate.value(s.now)/all, 1)
+		c.credit = min(c.credit+guaranteedShare*share, maxCredit)
 	}
 	if !r.promoted {
-		r.class.credit = max(r.class.credit-1, -creditMost)
+		r.class.credit = max(r.class.credit-1, -maxCredit)
 	}
 }
 
-// noteArrival counts a request for the shares of classes. A caller that comes back was counted when it came first.
-func (s *Scheduler) noteArrival(r *request) {
+// countArrival counts a request for the class shares. An overdue request was counted when it first arrived.
+func (s *Scheduler) countArrival(r *request) {
 	p := r.pool
 	if !slices.Contains(p.classes, r.class) {
-		gone := func(c *class) bool { return s.classes[c.name] != c }
-		p.classes = append(slices.DeleteFunc(p.classes, gone), r.class)
+		removed := func(c *class) bool { return s.classes[c.name] != c }
+		p.classes = append(slices.DeleteFunc(p.classes, removed), r.class)
 	}
 	if r.Overdue {
 		return
 	}
-	r.class.arrivals.add(s.now)
-	p.arrivals.add(s.now)
+	r.class.arrivalRate.add(s.now)
+	p.arrivalRate.add(s.now)
 }
--- a/sched/precedence_test.go
+++ b/sched/precedence_test.go
@@ -10,82 +10,83 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Two classes of one tier that the operators put in an order.
+// Two classes of one tier, ordered by precedence.
 var (
 	review = &wire.Class{Name: "review", Tier: 2, DeadlineMs: 6000, Kind: kindModel, Precedence: 1}
 	chat   = &wire.Class{Name: "chat", Tier: 2, DeadlineMs: 6000, Kind: kindModel, Precedence: 3}
 )
 
-// Symptom: under overload long chats are served while reviews are refused, though operators say that reviews go first.
-// Sequence: an organisation's tier goes before the routes' own, so that all its routes are of one tier; a chat that came
-// first takes the place that becomes free. Cause: the routes' order was dropped with their tier.
+// Guards against long chats served under overload while reviews are refused, although operators give reviews
+// precedence. All routes of an organisation are in one tier, and a chat that arrived first competes for the slot
+// that becomes free; the precedence must decide.
 func TestClassWithPrecedenceGoesFirst(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arriveWithObjective("chat", chat, 300*time.Millisecond)
-	w.arriveWithObjective("review", review, 800*time.Millisecond)
-	w.room("s1", kindModel, testModel, 1)
-	require.Len(t, w.dispatches("review"), 1)
-	require.Empty(t, w.dispatches("chat"))
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arriveWithObjective("chat", chat, 300*time.Millisecond)
+	h.arriveWithObjective("review", review, 800*time.Millisecond)
+	h.reportRoom("s1", kindModel, testModel, 1)
+	require.Len(t, h.dispatches("review"), 1)
+	require.Empty(t, h.dispatches("chat"))
 }
 
-// Symptom: no chat at all is answered as long as an overload lasts. Sequence: reviews come faster than they can be served.
-// Cause: a strict order of classes.
-func TestStarvedClassGoesFirstUntilItIsNot(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
+// Guards against a class that gets no answer while an overload lasts: reviews arrive faster than they can be
+// served, and a strict order of classes would serve no chat.
+func TestStarvedClassGetsGuaranteedShare(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
 	served := map[string]int{}
 	const rounds = 200
 	for i := range rounds {
 		for _, class := range []*wire.Class{review, chat} {
-			w.arriveWithObjective(fmt.Sprintf("%s-%d", class.GetName(), i), class, 95*time.Millisecond)
+			h.arriveWithObjective(fmt.Sprintf("%s-%d", class.GetName(), i), class, 95*time.Millisecond)
 		}
-		w.room("s1", kindModel, testModel, 1)
+		h.reportRoom("s1", kindModel, testModel, 1)
 		for _, class := range []*wire.Class{review, chat} {
-			served[class.GetName()] += w.answerIfSent(fmt.Sprintf("%s-%d", class.GetName(), i))
+			served[class.GetName()] += h.answerIfSent(fmt.Sprintf("%s-%d", class.GetName(), i))
 		}
-		w.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	require.Greater(t, served["chat"], rounds/10)
 	require.Greater(t, served["review"], 2*served["chat"])
 }
 
-// answerIfSent has the request's attempt, if there is one, end with a whole answer, and tells how many there were.
-func (w *world) answerIfSent(request string) int {
-	w.t.Helper()
-	if len(w.dispatches(request)) == 0 {
+// answerIfSent completes the request's attempt, if there is one, and returns how many it completed.
+func (h *harness) answerIfSent(request string) int {
+	h.t.Helper()
+	if len(h.dispatches(request)) == 0 {
 		return 0
 	}
-	sent := w.last(request, 1)
-	w.frame(sent.server, sent.id, 0, "x")
-	w.complete(sent.server, sent.id, 0, "x")
-	w.room("s1", kindModel, testModel, 0)
+	sent := h.lastDispatch(request, 1)
+	h.frame(sent.server, sent.id, 0, "x")
+	h.complete(sent.server, sent.id, 0, "x")
+	h.reportRoom("s1", kindModel, testModel, 0)
 	return 1
 }
 
-// Symptom: a request is told to come back after a moment, and is refused once more. Cause: the wait was predicted from the
-// whole queue's pace as if classes that go first didn't.
-func TestClassesThatGoFirstAreAhead(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
+// Guards against advised retry delays that are too short: the estimated wait must include the requests of classes
+// that go first.
+func TestRequestsAheadCountsHigherPrecedence(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
 	for i := range 5 {
-		w.arriveWithObjective(fmt.Sprintf("review-%d", i), review, time.Second)
+		h.arriveWithObjective(fmt.Sprintf("review-%d", i), review, time.Second)
 	}
-	w.arriveWithObjective("chat", chat, time.Second)
-	require.Equal(t, 5+1, w.s.aheadOf(w.s.requests["chat"]))
-	require.Less(t, w.s.aheadOf(w.s.requests["review-0"]), 6)
+	h.arriveWithObjective("chat", chat, time.Second)
+	require.Equal(t, 5+1, h.s.requestsAhead(h.s.requests["chat"]))
+	require.Less(t, h.s.requestsAhead(h.s.requests["review-0"]), 6)
 }
 
-func TestTraceTellsOfTheWait(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arriveWithObjective("a", review, time.Second)
-	w.pass(100 * time.Millisecond)
-	w.room("s1", kindModel, testModel, 1)
-	sent := w.last("a", 1)
-	w.pass(50 * time.Millisecond)
-	w.frame("s1", sent.id, 0, "x")
-	got := w.s.trace(w.s.requests["a"])
+// Guards against wrong times in the log line at the end of a request.
+func TestTraceReportsWaitTimes(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arriveWithObjective("a", review, time.Second)
+	h.advance(100 * time.Millisecond)
+	h.reportRoom("s1", kindModel, testModel, 1)
+	sent := h.lastDispatch("a", 1)
+	h.advance(50 * time.Millisecond)
+	h.frame("s1", sent.id, 0, "x")
+	got := h.s.trace(h.s.requests["a"])
 	require.Equal(t, "s1", got.Server)
 	require.EqualValues(t, 2, got.Tier)
 	require.Equal(t, 100*time.Millisecond, got.SentAfter)
@@ -94,32 +95,32 @@
 	require.Equal(t, 50*time.Millisecond, got.RoomAge)
 }
 
-// Symptom: in a burst chats hold half of the places, and reviews, which operators put first, are refused. Sequence: twice as many reviews
-// as places come, and as many chats again, each of which is refused at its objective and comes back once. Cause: a class that
-// was served seldom went first with all its requests until that had changed, and each try counted. Here it gets the part that
-// it is guaranteed of the places, a third of its share of the requests, and no more.
-func TestBurstGivesTheLastClassItsPartOnly(t *testing.T) {
+// Guards against a burst in which chats take half of the slots and reviews, which have precedence, are refused.
+// Twice as many reviews as slots arrive, and as many chats, each refused at its objective and retried once. Chats
+// must get their guaranteed share only, a third of their share of the requests, and retries must not count as
+// further requests.
+func TestBurstKeepsLastClassAtGuaranteedShare(t *testing.T) {
 	const (
-		places = 8 // of each 100 ms
-		slots  = 100
+		slotsPerPeriod = 8 // per 100 ms
+		periods        = 100
 	)
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
 	served := map[string]int{}
-	for slot := range slots {
-		for i := range 2 * places {
-			w.arriveWithObjective(fmt.Sprintf("review-%d-%d", slot, i), review, 300*time.Millisecond)
-			w.arriveWithObjective(fmt.Sprintf("chat-%d-%d", slot, i), chat, 300*time.Millisecond)
-			back := w.request(fmt.Sprintf("back-%d-%d", slot, i), chat)
-			back.Objective, back.Overdue = w.now.Add(300*time.Millisecond), true
-			w.step(Arrive{Request: back})
+	for period := range periods {
+		for i := range 2 * slotsPerPeriod {
+			h.arriveWithObjective(fmt.Sprintf("review-%d-%d", period, i), review, 300*time.Millisecond)
+			h.arriveWithObjective(fmt.Sprintf("chat-%d-%d", period, i), chat, 300*time.Millisecond)
+			retried := h.request(fmt.Sprintf("back-%d-%d", period, i), chat)
+			retried.Objective, retried.Overdue = h.now.Add(300*time.Millisecond), true
+			h.step(Arrive{Request: retried})
 		}
-		w.room("s1", kindModel, testModel, places)
-		w.completeAll("s1")
-		w.room("s1", kindModel, testModel, 0)
-		w.pass(100 * time.Millisecond)
+		h.reportRoom("s1", kindModel, testModel, slotsPerPeriod)
+		h.completeAll("s1")
+		h.reportRoom("s1", kindModel, testModel, 0)
+		h.advance(100 * time.Millisecond)
 	}
-	for id := range w.answers {
+	for id := range h.answers {
 		served[id[:4]]++
 	}
 	all := served["revi"] + served["chat"] + served["back"]
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// PrefixBlockTokens is how many tokens of a prompt one digest of Request.Prefix stands for. A CacheHint counts only if
-// its digest is of blocks of the same size.
+// PrefixBlockTokens is the number of prompt tokens that one digest of Request.Prefix stands for. A CacheHint
+// matches only if its digest is of blocks of the same size.
 const PrefixBlockTokens = 64
 
 const (
-	// longPrompt is from how many tokens on the prefix cache decides where a request goes.
-	longPrompt = 256
-	// serversPerPrefix bounds the servers remembered for one digest.
+	// minAffinityTokens is the prompt length, in tokens, from which on the prefix cache influences where a request
+	// goes.
+	minAffinityTokens = 256
+	// serversPerPrefix bounds the servers remembered per digest.
 	serversPerPrefix = 4
 )
 
-// prefixTable remembers to which servers prompts with a prefix were sent: those servers probably have it cached. It
-// is a bounded LRU, kept by own dispatches and corrected by cache events, which come late and with gaps.
+// prefixTable records to which servers prompts with a prefix were sent, since they probably have it cached. It is a
+// bounded LRU table, filled by own dispatches and corrected by cache events, which arrive late and incompletely.
 type prefixTable struct {
 	bound   int
 	entries map[uint64]*prefixEntry
@@ -24,7 +25,7 @@
 
 type prefixEntry struct {
 	digest  uint64
-	servers []string // the latest first
+	servers []string // most recent first
 	newer   *prefixEntry
 	older   *prefixEntry
 }
@@ -33,8 +34,8 @@
 	return &prefixTable{bound: bound, entries: map[uint64]*prefixEntry{}}
 }
 
-// note remembers that a prompt with these digests went to the server.
-func (t *prefixTable) note(server string, digests []uint64) {
+// addAll records that a prompt with these digests was sent to the server.
+func (t *prefixTable) addAll(server string, digests []uint64) {
 	for _, digest := range digests {
 		t.add(server, digest)
 	}
@@ -48,19 +49,19 @@
 	} else {
 		t.unlink(e)
 	}
-	t.front(e)
+	t.pushFront(e)
 	if at := slices.Index(e.servers, server); at >= 0 {
 		e.servers = slices.Delete(e.servers, at, at+1)
 	}
 	e.servers = slices.Insert(e.servers, 0, server)
 	e.servers = e.servers[:min(len(e.servers), serversPerPrefix)]
 	if len(t.entries) > t.bound {
-		t.forget(t.oldest)
+		t.remove(t.oldest)
 	}
 }
 
-// hint takes a cache event of a server.
-func (t *prefixTable) hint(server string, digest uint64, evicted bool) {
+// applyHint applies a cache event of a server.
+func (t *prefixTable) applyHint(server string, digest uint64, evicted bool) {
 	if !evicted {
 		t.add(server, digest)
 		return
@@ -73,12 +74,12 @@
 		e.servers = slices.Delete(e.servers, at, at+1)
 	}
 	if len(e.servers) == 0 {
-		t.forget(e)
+		t.remove(e)
 	}
 }
 
-// cached returns how many of the digests the server probably has. Each digest covers all before it.
-func (t *prefixTable) cached(server string, digests []uint64) int {
+// cachedBlocks returns how many of the digests the server probably has cached. Each digest covers all before it.
+func (t *prefixTable) cachedBlocks(server string, digests []uint64) int {
 	for n := len(digests); n > 0; n-- {
 		if e := t.entries[digests[n-1]]; e != nil && slices.Contains(e.servers, server) {
 			return n
@@ -87,7 +88,7 @@
 	return 0
 }
 
-// holders returns the servers with the longest known prefix, the latest first.
+// holders returns the servers with the longest known prefix, most recent first.
 func (t *prefixTable) holders(digests []uint64) []string {
 	for n := len(digests); n > 0; n-- {
 		if e := t.entries[digests[n-1]]; e != nil {
@@ -97,12 +98,12 @@
 	return nil
 }
 
-func (t *prefixTable) forget(e *prefixEntry) {
+func (t *prefixTable) remove(e *prefixEntry) {
 	t.unlink(e)
 	delete(t.entries, e.digest)
 }
 
-func (t *prefixTable) front(e *prefixEntry) {
+func (t *prefixTable) pushFront(e *prefixEntry) {
 	e.older = t.newest
 	if t.newest != nil {
 		t.newest.newer = e
@@ -127,15 +128,16 @@
 	e.newer, e.older = nil, nil
 }
 
-// affine returns the servers that probably have the prompt's prefix, for a prompt long enough to matter.
-func (s *Scheduler) affine(r *request, suits func(*request, *server) bool) []*server {
+// prefixServers returns the suitable servers that hold the stream to resume or, for a prompt of at least
+// minAffinityTokens, probably have its prefix cached.
+func (s *Scheduler) prefixServers(r *request, suits func(*request, *server) bool) []*server {
 	var picked []*server
 	if r.resume != nil {
 		if v := s.servers[r.resume.server]; v != nil && r.pool.has(v) && suits(r, v) {
 			picked = append(picked, v)
 		}
 	}
-	if r.PromptTokens < longPrompt {
+	if r.PromptTokens < minAffinityTokens {
 		return picked
 	}
 	for _, name := range s.prefixes.holders(r.Prefix) {
@@ -151,7 +153,7 @@
 	return slices.Contains(v.pools, p)
 }
 
-// cachedTokens is how many tokens of the prompt the server probably needn't compute.
+// cachedTokens estimates how many tokens of the prompt the server needn't compute.
 func (s *Scheduler) cachedTokens(r *request, v *server) uint32 {
 	if r.resume != nil && r.resume.server == v.name && v.room.GetResume() {
 		return r.PromptTokens
@@ -159,5 +161,5 @@
 	if len(r.Prefix) == 0 {
 		return 0
 	}
-	return min(uint32(s.prefixes.cached(v.name, r.Prefix)*PrefixBlockTokens), r.PromptTokens)
+	return min(uint32(s.prefixes.cachedBlocks(v.name, r.Prefix)*PrefixBlockTokens), r.PromptTokens)
 }
--- a/sched/proofs.go
+++ b/sched/proofs.go
@@ -7,42 +7,44 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Times of asking for proof.
+// Intervals and time-outs of requests for proof.
 const (
-	// cancelRepeat is how often a Cancel is repeated. A message that met a full ring is lost without a sign.
-	cancelRepeat = time.Second
-	// quietBound is how long a dispatch may stay without any answer of its agent on an open link. Then the dispatch,
-	// or the answer, was lost, and a Cancel asks what became of it.
-	// For a short deadline it is a share of that, since a gate may also keep a dispatch of tier 1 waiting for a slot
-	// while another server has one. Nothing is lost by a Cancel of an attempt that hasn't started.
-	quietBound = 2 * time.Second
-	quietShare = 4
-	quietLeast = 100 * time.Millisecond
-	// proveRepeat is how often the engine itself is asked again.
-	proveRepeat = 2 * time.Second
+	// cancelInterval is how often a Cancel is repeated. A message to a link whose ring is full is dropped silently.
+	cancelInterval = time.Second
+	// silenceTimeout is how long a dispatch may stay without any reply of its agent on an open link. After that the
+	// dispatch or the reply counts as lost, and a Cancel is sent to learn what became of it.
+	//
+	// For a short deadline the time-out is the deadline over silenceDivisor, at least minSilence, since a gate may
+	// keep a dispatch of tier 1 waiting for a slot while another server has one. A Cancel of an attempt that hasn't
+	// started loses nothing.
+	silenceTimeout = 2 * time.Second
+	silenceDivisor = 4
+	minSilence     = 100 * time.Millisecond
+	// engineProofInterval is how often the engine itself is asked again.
+	engineProofInterval = 2 * time.Second
 )
 
-// over takes an agent's proof. Only one for the present attempt counts: a late one for an earlier attempt says
-// nothing of the attempt that runs now.
-func (s *Scheduler) over(a *agent, m *wire.Over) {
+// attemptOver handles an agent's report that an attempt is over. Only one for the current attempt counts: a late
+// one for an earlier attempt says nothing about the current one.
+func (s *Scheduler) attemptOver(a *agent, m *wire.Over) {
 	id := m.GetAttempt()
 	if isProof(m.GetProof()) {
-		s.lingers.over(a, id)
+		s.orphans.removeReported(a, id)
 	}
 	r := s.requests[id.GetRequest()]
 	if r == nil {
 		return
 	}
 	if r.state == awaitingEarlier {
-		s.earlierOver(r, m)
+		s.earlierAttemptsOver(r, m)
 		return
 	}
 	if r.attempt == nil {
 		s.reservationRefused(r, m)
 		return
 	}
-	if !r.present(a, id) || m.GetServer() != r.attempt.server.name {
-		s.countStray(strayAttempt)
+	if !r.isCurrent(a, id) || m.GetServer() != r.attempt.server.name {
+		s.countDropped(droppedAttempt)
 		return
 	}
 	s.acknowledge(r)
@@ -50,13 +52,13 @@
 		s.noteCrash(r, m.GetCrash())
 	}
 	if provesBegun(r, m) {
-		r.record().began = true
+		r.currentRecord().began = true
 	}
-	s.overPresent(r, m)
-	s.setWake(r)
+	s.currentAttemptOver(r, m)
+	s.setTimer(r)
 }
 
-// isProof tells whether an attempt with this word is over. PROOF_UNPROVEN, and a word of a newer protocol, isn't one.
+// isProof reports whether p proves an attempt over. PROOF_UNPROVEN and unknown values of a newer protocol don't.
 func isProof(p wire.Proof) bool {
 	switch p {
 	case wire.Proof_PROOF_NEVER_STARTED, wire.Proof_PROOF_CANCELLED, wire.Proof_PROOF_COMPLETED, wire.Proof_PROOF_FAILED:
@@ -66,63 +68,63 @@
 	}
 }
 
-func (s *Scheduler) overPresent(r *request, m *wire.Over) {
-	s.countWasted(r, m)
+func (s *Scheduler) currentAttemptOver(r *request, m *wire.Over) {
+	s.countReportedWaste(r, m)
 	switch m.GetProof() {
 	case wire.Proof_PROOF_NEVER_STARTED:
 		s.neverStarted(r, m)
 	case wire.Proof_PROOF_CANCELLED:
-		s.cancelled(r, m)
+		s.attemptCancelled(r, m)
 	case wire.Proof_PROOF_COMPLETED:
-		s.completed(r, m)
+		s.engineCompleted(r, m)
 	case wire.Proof_PROOF_FAILED:
 		r.setResume(m)
-		s.ended(r, evAttemptFailed, m.GetProof(), retryFailed, s.overError(m, result.EngineFailed))
+		s.attemptEnded(r, evAttemptFailed, m.GetProof(), retryEngineFailed, s.proofError(m, result.EngineFailed))
 	default:
 		if m.GetUnprovable() {
 			s.outcomeLost(r)
 			return
 		}
-		s.askCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
+		s.requestCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
 	}
 }
 
-// outcomeLost answers a request of whose attempt nothing more can be learnt. Waiting longer would tell its caller
-// nothing else, so it takes the way of the deadline now.
+// outcomeLost ends a request about whose attempt nothing more can be learnt. Waiting until the deadline would give
+// its caller no more information, so the deadline event is raised now.
 func (s *Scheduler) outcomeLost(r *request) {
 	r.err = result.New(result.OutcomeUnknown, "the backend server's answer was lost")
 	_ = s.fire(r, evDeadline)
 }
 
-// neverStarted takes the promise that the attempt never began and never will. After a frame of the same attempt it
-// is a contradiction, and isn't believed.
+// neverStarted handles the proof that the attempt never began and never will. After a frame of the same attempt the
+// proof contradicts the frame and is dropped.
 func (s *Scheduler) neverStarted(r *request, m *wire.Over) {
 	if r.attempt.framesSeen {
-		s.countStray(strayProof)
+		s.countDropped(droppedProof)
 		return
 	}
 	r.refusals++
 	if m.GetUnsent() && r.attempt.started {
-		// The agent says that an attempt starts before it calls. Nothing arrived, so a next attempt is no retry: counted as
-		// one, those of a crashed server used up the budget of the whole pool.
-		r.arrivals--
+		// The agent reports an attempt as started before it calls the server. Nothing was sent, so the next attempt
+		// is no retry: counting it would let the attempts at a crashed server use up the retry budget of the pool.
+		r.reached--
 	}
 	r.avoidServer(r.attempt.server.name)
-	r.attempt.server.refused()
-	s.ended(r, evNeverStarted, m.GetProof(), retryNeverStarted, s.overError(m, result.RefusedNeverStarted))
+	r.attempt.server.attemptRefused()
+	s.attemptEnded(r, evNeverStarted, m.GetProof(), retryNeverStarted, s.proofError(m, result.RefusedNeverStarted))
 }
 
-func (s *Scheduler) cancelled(r *request, m *wire.Over) {
+func (s *Scheduler) attemptCancelled(r *request, m *wire.Over) {
 	reason := retryCancelled
 	if m.GetPreemptedByTier() > 0 {
 		reason = retryPreempted
 	}
 	r.setResume(m)
-	s.ended(r, evCancelConfirmed, m.GetProof(), reason, s.overError(m, result.Cancelled))
+	s.attemptEnded(r, evCancelConfirmed, m.GetProof(), reason, s.proofError(m, result.Cancelled))
 }
 
-// overError makes the error of a proof: the agent's own code if it says one.
-func (s *Scheduler) overError(m *wire.Over, def result.Code) *result.Error {
+// proofError returns the error of a proof: with the agent's code if it gives one, else with def.
+func (s *Scheduler) proofError(m *wire.Over, def result.Code) *result.Error {
 	code := def
 	if m.GetCode() != 0 {
 		code = result.Code(m.GetCode())
@@ -134,22 +136,22 @@
 	return err.WithRetryAfter(time.Duration(m.GetRetryAfterMs()) * time.Millisecond)
 }
 
-// ended closes the present attempt by a proof and raises the event that says which. The request then waits in the
-// queue again or has its final answer.
-func (s *Scheduler) ended(r *request, e event, proof wire.Proof, reason string, err *result.Error) {
+// attemptEnded ends the current attempt by a proof and raises the matching event. The request is then queued again
+// or has its final answer.
+func (s *Scheduler) attemptEnded(r *request, e event, proof wire.Proof, reason string, err *result.Error) {
 	if r.attempt.brokenErr != nil {
 		err, reason = r.attempt.brokenErr, retryIncomplete
 	}
-	rec := r.record()
-	rec.over, rec.proof, rec.proved, rec.reason = s.now, proof, true, reason
+	rec := r.currentRecord()
+	rec.over, rec.proof, rec.provedOver, rec.reason = s.now, proof, true, reason
 	if proof != wire.Proof_PROOF_NEVER_STARTED && reason != retryPreempted {
-		r.starts++
+		r.begun++
 	}
 	r.lastErr = err
 	if !r.abandoned() {
-		r.err = endError(r, err)
+		r.err = finalError(r, err)
 	}
-	s.trueUp(r, proof)
+	s.reconcileCharge(r, proof)
 	if s.fire(r, e) != nil {
 		return
 	}
@@ -161,12 +163,12 @@
 	s.requeue(r)
 }
 
-// provesBegun tells whether the word says that an engine began the present attempt. CANCELLED alone doesn't, nor does
-// Started, which is sent before the call: an agent also says CANCELLED of an attempt that an incarnation before it may
-// have run, of one that the engine says it didn't begin, and of one that the engine doesn't know.
+// provesBegun reports whether the message proves that an engine began the current attempt. CANCELLED alone doesn't,
+// nor does Started, which is sent before the call: an agent also reports CANCELLED for an attempt that a previous
+// incarnation may have run, for one that the engine reports as not begun, and for one unknown to the engine.
 //
-// Otherwise: the connection breaks before the engine reads the call, the engine says that it knows no such attempt, and
-// the caller hears that its request ran.
+// Otherwise, if the connection broke before the engine read the call and the engine then reports no such attempt,
+// the caller would be told that its request ran.
 func provesBegun(r *request, m *wire.Over) bool {
 	switch m.GetProof() {
 	case wire.Proof_PROOF_COMPLETED, wire.Proof_PROOF_FAILED:
@@ -178,18 +180,18 @@
 	}
 }
 
-// endError is what the caller hears if the request isn't tried again.
-func endError(r *request, err *result.Error) *result.Error {
+// finalError returns the error for the caller if the request isn't retried.
+func finalError(r *request, err *result.Error) *result.Error {
 	if r.ran() == result.RanUnknown && !r.Class.GetRepeatable() {
 		return result.New(result.OutcomeUnknown, "")
 	}
 	return err
 }
 
-// mayRetry tells whether the request may have another attempt after one that may have begun. Work that may not be
-// repeated never has: only a proof that nothing began lets it run, and that doesn't ask here.
+// mayRetry reports whether the request may have another attempt after one that may have begun. A request that may
+// not be repeated never may: it runs again only after a proof that nothing began, which doesn't call mayRetry.
 func (s *Scheduler) mayRetry(r *request) bool {
-	if !r.wanted() || !s.now.Before(r.limit()) || r.starts >= r.mostStarts() {
+	if !r.wanted() || !s.now.Before(r.expiresAt()) || r.begun >= r.begunLimit() {
 		return false
 	}
 	if r.ran() != result.RanNo && !r.Class.GetRepeatable() {
@@ -201,15 +203,15 @@
 	return s.canResume(r)
 }
 
-// mostStarts bounds the attempts that may have begun.
-func (r *request) mostStarts() int {
+// begunLimit returns the bound of attempts that may have begun.
+func (r *request) begunLimit() int {
 	if r.MaxAttempts > 0 {
 		return r.MaxAttempts
 	}
-	return maxStarts
+	return maxBegunAttempts
 }
 
-// requeue puts a request whose attempt is proved over back into the queue.
+// requeue returns a request whose attempt is proved over to the queue.
 func (s *Scheduler) requeue(r *request) {
 	if r.state != queued {
 		return
@@ -219,46 +221,46 @@
 		return
 	}
 	s.prepareRetry(r)
-	s.backOff(r)
+	s.backOffIfRefused(r)
 	s.enqueue(r)
 }
 
-// provedOver closes the present attempt by a proof that doesn't say whether it began.
+// provedOver ends the current attempt by a proof that doesn't tell whether it began.
 func (s *Scheduler) provedOver(r *request, reason string) {
-	s.countLostPrefill(r, reason)
-	s.ended(r, evProvedOver, wire.Proof_PROOF_UNSPECIFIED, reason, result.New(result.EngineLost, ""))
-	s.setWake(r)
+	s.countEstimatedWaste(r, reason)
+	s.attemptEnded(r, evProvedOver, wire.Proof_PROOF_UNSPECIFIED, reason, result.New(result.EngineLost, ""))
+	s.setTimer(r)
 }
 
-// engineProved takes what the backend server itself said of an attempt whose agent is gone. That it doesn't know the
-// attempt proves that it is over, not that it never ran: engines forget.
+// engineProved handles the backend server's own reply about an attempt whose agent is unreachable. An engine that
+// doesn't know the attempt proves that it is over, not that it never ran: engines drop their records of attempts.
 func (s *Scheduler) engineProved(e EngineProved) {
 	if !isProof(e.Proof) {
 		return
 	}
-	s.lingers.proved(e.Attempt)
+	s.orphans.removeProved(e.Attempt)
 	r := s.requests[e.Attempt.GetRequest()]
 	if r == nil || r.attempt == nil || r.attempt.id.GetNumber() != e.Attempt.GetNumber() || r.attempt.server.name != e.Server {
 		return
 	}
 	if e.Proof == wire.Proof_PROOF_COMPLETED || e.Proof == wire.Proof_PROOF_FAILED {
-		r.record().began = true
+		r.currentRecord().began = true
 	}
-	s.provedOver(r, retryProved)
+	s.provedOver(r, retryEngineProved)
 }
 
-// askCancel wants the present attempt to be over. Repeating it is left to wake: an agent that can't prove the end
-// answers each Cancel at once, and the two would send each other messages without pause.
-func (s *Scheduler) askCancel(r *request, cause wire.CancelCause) {
+// requestCancel asks for the end of the current attempt. Repeats are left to the timer: an agent that can't prove
+// the end replies to each Cancel at once, so a repeat per reply would be an endless exchange.
+func (s *Scheduler) requestCancel(r *request, cause wire.CancelCause) {
 	if r.attempt.cancelAsked {
 		return
 	}
 	r.attempt.cancelCause = cause
 	_ = s.fire(r, evCancelAsked)
-	s.setWake(r)
+	s.setTimer(r)
 }
 
-// sendCancel sends the Cancel of the present attempt, or leaves it to be sent when the link is open again.
+// sendCancel sends the Cancel of the current attempt. With the link down it is sent when the link reopens.
 func (s *Scheduler) sendCancel(r *request) {
 	a := r.attempt
 	if a == nil {
@@ -268,7 +270,7 @@
 	if a.cancelCause == wire.CancelCause_CANCEL_CAUSE_UNSPECIFIED {
 		a.cancelCause = r.cancelCause()
 	}
-	a.cancelledAt = s.now
+	a.cancelSentAt = s.now
 	s.send(a.agent, cancelMessage(a.id, a.server.name, a.cancelCause))
 }
 
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -8,16 +8,16 @@
 	"github.com/carawaypitch/carawaypitch/fair"
 )
 
-// tierCount is the number of tiers. A tier beyond the last counts as the last.
+// tierCount is the number of tiers. A higher tier number counts as the last tier.
 const tierCount = 3
 
 func tierIndex(tier uint32) int {
 	return int(min(max(tier, 1), tierCount)) - 1
 }
 
-// run is a list of requests sorted by rank, then by arrival. Requests mostly come in that order, so that adding is
-// cheap; the first and the last are always at hand.
-type run struct {
+// requestList is a list of requests sorted by rank, then by arrival. Requests mostly arrive in that order, so that
+// adding is usually an append; reading the first and last takes constant time.
+type requestList struct {
 	items []*request
 	head  int
 }
@@ -29,11 +29,11 @@
 	return a.sequence < b.sequence
 }
 
-func (q *run) live() []*request {
+func (q *requestList) elements() []*request {
 	return q.items[q.head:]
 }
 
-func (q *run) add(r *request) {
+func (q *requestList) add(r *request) {
 	n := len(q.items)
 	if n == q.head || before(q.items[n-1], r) {
 		q.items = append(q.items, r)
@@ -42,12 +42,12 @@
 	q.items = slices.Insert(q.items, q.head+q.search(r), r)
 }
 
-func (q *run) length() int {
+func (q *requestList) length() int {
 	return len(q.items) - q.head
 }
 
-func (q *run) search(r *request) int {
-	at, _ := slices.BinarySearchFunc(q.live(), r, func(a, b *request) int {
+func (q *requestList) search(r *request) int {
+	at, _ := slices.BinarySearchFunc(q.elements(), r, func(a, b *request) int {
 		switch {
 		case before(a, b):
 			return -1
@@ -60,7 +60,7 @@
 	return at
 }
 
-func (q *run) remove(r *request) {
+func (q *requestList) remove(r *request) {
 	at := q.head + q.search(r)
 	if at == q.head {
 		q.items[at] = nil
@@ -71,100 +71,103 @@
 	q.items = slices.Delete(q.items, at, at+1)
 }
 
-// compact gives the space before head back once it is the larger half.
-func (q *run) compact() {
+// compact frees the space before head once it is at least half of the slice.
+func (q *requestList) compact() {
 	if q.head*2 < len(q.items) {
 		return
 	}
-	n := copy(q.items, q.live())
+	n := copy(q.items, q.elements())
 	clear(q.items[n:])
 	q.items = q.items[:n]
 	q.head = 0
 }
 
-// first returns the first request of rank cut or later that the present walk hasn't passed over, or else the first
-// of all that it hasn't, or nil.
-func (q *run) first(mark uint64, cut time.Time) *request {
-	live := q.live()
-	at, _ := slices.BinarySearchFunc(live, cut, func(r *request, cut time.Time) int { return r.rank.Compare(cut) })
-	if r := firstOf(live[at:], mark); r != nil {
+// firstUnscanned returns the first request of rank cutoff or later that the current scan hasn't visited, or else
+// the first of all that it hasn't visited, or nil.
+func (q *requestList) firstUnscanned(scan uint64, cutoff time.Time) *request {
+	elements := q.elements()
+	at, _ := slices.BinarySearchFunc(elements, cutoff, func(r *request, cutoff time.Time) int { return r.rank.Compare(cutoff) })
+	if r := firstNotScanned(elements[at:], scan); r != nil {
 		return r
 	}
-	return firstOf(live[:at], mark)
+	return firstNotScanned(elements[:at], scan)
 }
 
-// below is how many requests have a rank before cut.
-func (q *run) below(cut time.Time) int {
-	at, _ := slices.BinarySearchFunc(q.live(), cut, func(r *request, cut time.Time) int { return r.rank.Compare(cut) })
+// countBefore returns the number of requests with a rank before cutoff.
+func (q *requestList) countBefore(cutoff time.Time) int {
+	at, _ := slices.BinarySearchFunc(q.elements(), cutoff, func(r *request, cutoff time.Time) int { return r.rank.Compare(cutoff) })
 	return at
 }
 
-func firstOf(requests []*request, mark uint64) *request {
+func firstNotScanned(requests []*request, scan uint64) *request {
 	for _, r := range requests {
-		if r.mark != mark {
+		if r.lastScan != scan {
 			return r
 		}
 	}
 	return nil
 }
 
-func (q *run) last() *request {
+func (q *requestList) last() *request {
 	if len(q.items) == q.head {
 		return nil
 	}
 	return q.items[len(q.items)-1]
 }
 
-// lane holds the queued requests of one organisation in one class. Those with reservations stand apart, so that the
-// next one to reserve for is found without looking through them.
-type lane struct {
+// organisationQueue holds the queued requests of one organisation in one class. Requests with reservations are kept
+// separately, so that the next one to reserve for is found without a search.
+type organisationQueue struct {
 	organisation string
 	class        *classQueue
-	plain        run
-	reserved     run
+	unreserved   requestList
+	reserved     requestList
 }
 
-func (l *lane) part(r *request) *run {
+func (q *organisationQueue) listFor(r *request) *requestList {
 	if len(r.reservations) > 0 {
-		return &l.reserved
+		return &q.reserved
 	}
-	return &l.plain
+	return &q.unreserved
 }
 
-// length is the number of requests in the lane.
-func (l *lane) length() int { return l.plain.length() + l.reserved.length() }
+// length returns the number of requests in the queue.
+func (q *organisationQueue) length() int { return q.unreserved.length() + q.reserved.length() }
 
-func (l *lane) empty() bool {
-	return len(l.plain.live()) == 0 && len(l.reserved.live()) == 0
+func (q *organisationQueue) empty() bool {
+	return len(q.unreserved.elements()) == 0 && len(q.reserved.elements()) == 0
 }
 
-// first returns the lane's best request: of those that can still be in time the one with the earliest deadline.
-func (l *lane) first(now time.Time, mark uint64, plainOnly bool) *request {
-	cut := l.class.class.cut(now)
-	a := l.plain.first(mark, cut)
-	if plainOnly {
+// first returns the next request of the queue: of those that can still be in time the one with the earliest rank,
+// or nil.
+func (q *organisationQueue) first(now time.Time, scan uint64, unreservedOnly bool) *request {
+	cutoff := q.class.class.lateCutoff(now)
+	a := q.unreserved.firstUnscanned(scan, cutoff)
+	if unreservedOnly {
 		return a
 	}
-	return sooner(a, l.reserved.first(mark, cut), cut)
+	return preferred(a, q.reserved.firstUnscanned(scan, cutoff), cutoff)
 }
 
-// pending is about what the lane's requests with reservations will cost, in tokens, each like r. An organisation is charged
-// only once a request of it is dispatched: without this the one with the lowest tag would take all reservations there
-// may be, and the gates, which share between organisations by what waits there, wouldn't see the others.
-func (l *lane) pending(r *request) int64 {
-	return int64(l.reserved.length()) * (int64(r.PromptTokens) + int64(r.outputs) + 1)
+// reservedCost estimates the cost, in tokens, of the queue's requests with reservations, each taken to be like r.
+// An organisation is charged only at dispatch: without this cost the one with the lowest tag would take all
+// available reservations, and the gates, which share among organisations by their waiting reservations, wouldn't
+// see the others.
+func (q *organisationQueue) reservedCost(r *request) int64 {
+	return int64(q.reserved.length()) * (int64(r.PromptTokens) + int64(r.estimatedOutput) + 1)
 }
 
-// sooner returns the one of two requests that goes first: one that can still be in time, then the earlier deadline.
-func sooner(a, b *request, cut time.Time) *request {
+// preferred returns which of two requests goes first: one that can still be in time, then the one of earlier rank.
+// A nil request loses against any other.
+func preferred(a, b *request, cutoff time.Time) *request {
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
-	case a.rank.Before(cut) && !b.rank.Before(cut):
+	case a.rank.Before(cutoff) && !b.rank.Before(cutoff):
 		return b
-	case b.rank.Before(cut) && !a.rank.Before(cut):
+	case b.rank.Before(cutoff) && !a.rank.Before(cutoff):
 		return a
 	case before(b, a):
 		return b
@@ -173,40 +176,40 @@
 	}
 }
 
-func (l *lane) last() *request {
-	a, b := l.plain.last(), l.reserved.last()
+func (q *organisationQueue) last() *request {
+	a, b := q.unreserved.last(), q.reserved.last()
 	if a == nil || (b != nil && before(a, b)) {
 		return b
 	}
 	return a
 }
 
-// classQueue holds the lanes of one class that aren't empty, sorted by organisation.
+// classQueue holds the non-empty queues of one class, sorted by organisation.
 type classQueue struct {
-	class *class
-	tier  *tierQueue
-	lanes []*lane
+	class         *class
+	tier          *tierQueue
+	organisations []*organisationQueue
 }
 
-// tierQueue holds what is queued of one tier in one pool, by class, sorted by the class's name.
+// tierQueue holds the queued requests of one tier in one pool, by class and sorted by class name.
 type tierQueue struct {
 	clock   *fair.Clock
 	classes []*classQueue
 	count   int
 }
 
-// place is where a request stands in the order of its tier.
-type place struct {
-	request *request
-	order   int   // of its class; higher goes first
-	tag     int64 // of the organisation; lower goes first
+// queuePosition is the position of a request in the order of its tier.
+type queuePosition struct {
+	request  *request
+	priority int   // of its class; higher goes first
+	tag      int64 // of its organisation; lower goes first
 }
 
-// ahead tells whether a goes before b: the class with precedence or nearer to breaking its targets, then one that may be in time, then the
-// organisation with the smaller share, then the earlier deadline.
-func (a place) ahead(b place) bool {
-	if a.order != b.order {
-		return a.order > b.order
+// precedes reports whether a goes before b: by the priority of its class, then requests that aren't overdue, then
+// the organisation with the lower tag, then the earlier rank.
+func (a queuePosition) precedes(b queuePosition) bool {
+	if a.priority != b.priority {
+		return a.priority > b.priority
 	}
 	if a.request.Overdue != b.request.Overdue {
 		return b.request.Overdue
@@ -217,50 +220,50 @@
 	return before(a.request, b.request)
 }
 
-// next returns the best request that the present walk hasn't passed over, or nil.
-func (t *tierQueue) next(now time.Time, mark uint64, plainOnly bool) *request {
-	var best place
+// next returns the first request in order that the current scan hasn't visited, or nil.
+func (t *tierQueue) next(now time.Time, scan uint64, unreservedOnly bool) *request {
+	var best queuePosition
 	for _, c := range t.classes {
-		if p := c.next(now, mark, plainOnly); p.request != nil && (best.request == nil || p.ahead(best)) {
+		if p := c.next(now, scan, unreservedOnly); p.request != nil && (best.request == nil || p.precedes(best)) {
 			best = p
 		}
 	}
 	return best.request
 }
 
-func (c *classQueue) next(now time.Time, mark uint64, plainOnly bool) place {
-	var best place
+func (c *classQueue) next(now time.Time, scan uint64, unreservedOnly bool) queuePosition {
+	var best queuePosition
 	earliest := time.Time{}
-	for _, l := range c.lanes {
-		r := l.first(now, mark, plainOnly)
+	for _, q := range c.organisations {
+		r := q.first(now, scan, unreservedOnly)
 		if r == nil {
 			continue
 		}
-		if earliest.IsZero() || r.due().Before(earliest) {
-			earliest = r.due()
+		if earliest.IsZero() || r.dueAt().Before(earliest) {
+			earliest = r.dueAt()
 		}
-		p := place{request: r, tag: c.tier.clock.Tag(l.organisation)}
-		if plainOnly {
-			p.tag += l.pending(r)
+		p := queuePosition{request: r, tag: c.tier.clock.Tag(q.organisation)}
+		if unreservedOnly {
+			p.tag += q.reservedCost(r)
 		}
-		if best.request == nil || p.ahead(best) {
+		if best.request == nil || p.precedes(best) {
 			best = p
 		}
 	}
 	if best.request != nil {
-		best.order = c.class.order(now, earliest, best.request)
+		best.priority = c.class.priority(now, earliest, best.request)
 	}
 	return best
 }
 
 // worst returns the request that would be served last, or nil.
 func (t *tierQueue) worst(now time.Time) *request {
-	var worst place
+	var worst queuePosition
 	for _, c := range t.classes {
-		for _, l := range c.lanes {
-			r := l.last()
-			p := place{request: r, tag: t.clock.Tag(l.organisation), order: c.class.order(now, r.due(), r)}
-			if worst.request == nil || worst.ahead(p) {
+		for _, q := range c.organisations {
+			r := q.last()
+			p := queuePosition{request: r, tag: t.clock.Tag(q.organisation), priority: c.class.priority(now, r.dueAt(), r)}
+			if worst.request == nil || worst.precedes(p) {
 				worst = p
 			}
 		}
@@ -268,35 +271,35 @@
 	return worst.request
 }
 
-func (t *tierQueue) lane(c *class, organisation string) *lane {
+func (t *tierQueue) organisationQueue(c *class, organisation string) *organisationQueue {
 	at, ok := slices.BinarySearchFunc(t.classes, c.name, func(q *classQueue, name string) int {
 		return cmp.Compare(q.class.name, name)
 	})
 	if !ok {
 		t.classes = slices.Insert(t.classes, at, &classQueue{class: c, tier: t})
 	}
-	return t.classes[at].lane(organisation)
+	return t.classes[at].organisationQueue(organisation)
 }
 
-func (c *classQueue) lane(organisation string) *lane {
+func (c *classQueue) organisationQueue(organisation string) *organisationQueue {
 	at, ok := c.search(organisation)
 	if !ok {
-		c.lanes = slices.Insert(c.lanes, at, &lane{organisation: organisation, class: c})
+		c.organisations = slices.Insert(c.organisations, at, &organisationQueue{organisation: organisation, class: c})
 	}
-	return c.lanes[at]
+	return c.organisations[at]
 }
 
 func (c *classQueue) search(organisation string) (int, bool) {
-	return slices.BinarySearchFunc(c.lanes, organisation, func(l *lane, name string) int {
-		return cmp.Compare(l.organisation, name)
+	return slices.BinarySearchFunc(c.organisations, organisation, func(q *organisationQueue, name string) int {
+		return cmp.Compare(q.organisation, name)
 	})
 }
 
-// drop forgets an empty lane, and its class's queue with the last one.
-func (t *tierQueue) drop(l *lane) {
-	at, _ := l.class.search(l.organisation)
-	l.class.lanes = slices.Delete(l.class.lanes, at, at+1)
-	if len(l.class.lanes) == 0 {
-		t.classes = slices.DeleteFunc(t.classes, func(c *classQueue) bool { return c == l.class })
+// removeEmpty removes an empty organisation queue, and its class queue if that was the last one.
+func (t *tierQueue) removeEmpty(q *organisationQueue) {
+	at, _ := q.class.search(q.organisation)
+	q.class.organisations = slices.Delete(q.class.organisations, at, at+1)
+	if len(q.class.organisations) == 0 {
+		t.classes = slices.DeleteFunc(t.classes, func(c *classQueue) bool { return c == q.class })
 	}
 }
--- a/sched/rapid_test.go
+++ b/sched/rapid_test.go
@@ -12,10 +12,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// restart begins a new incarnation: before it answers anybody it ends all that its engine runs, and it has forgotten
-// everything else.
-func (m *model) restart(a *modelAgent) {
-	m.cut(a)
+// restart begins a new incarnation: before it replies to anybody it ends all that its engine runs, and it has lost
+// all other state.
+func (m *agentModel) restart(a *modelAgent) {
+	m.cutLink(a)
 	for request, at := range m.running {
 		if at == a.name {
 			delete(m.running, request)
@@ -26,13 +26,13 @@
 	m.link(a)
 }
 
-func (m *model) pick() *modelAgent {
+func (m *agentModel) pickAgent() *modelAgent {
 	return rapid.SampledFrom(m.agents).Draw(m.t, "agent")
 }
 
-// take removes a message from a queue: mostly the first, now and then another one, and now and then it stays to
-// come again.
-func take[T any](m *model, queue *[]T) T {
+// takeMessage removes a message from a queue: usually the first, sometimes a later one. Sometimes the message also
+// stays and is delivered again.
+func takeMessage[T any](m *agentModel, queue *[]T) T {
 	at := 0
 	if rapid.IntRange(0, 3).Draw(m.t, "reorder") == 0 {
 		at = rapid.IntRange(0, len(*queue)-1).Draw(m.t, "position")
@@ -44,7 +44,7 @@
 	return message
 }
 
-func (m *model) arrive() {
+func (m *agentModel) arrive() {
 	id := fmt.Sprintf("r%d", len(m.order))
 	class := rapid.SampledFrom(modelClasses).Draw(m.t, "class")
 	stream := rapid.Bool().Draw(m.t, "stream")
@@ -58,7 +58,7 @@
 }
 
 // runningAt returns an attempt that the agent's engine runs, or nil.
-func (m *model) runningAt(a *modelAgent) *modelAttempt {
+func (m *agentModel) runningAt(a *modelAgent) *modelAttempt {
 	var all []*modelAttempt
 	for _, at := range a.attempts {
 		if at.running {
@@ -68,24 +68,25 @@
 	if len(all) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, func(x, y *modelAttempt) int { return cmp.Compare(key(x.id), key(y.id)) })
+	slices.SortFunc(all, func(x, y *modelAttempt) int { return cmp.Compare(attemptKey(x.id), attemptKey(y.id)) })
 	return rapid.SampledFrom(all).Draw(m.t, "attempt")
 }
 
-func (m *model) progress(a *modelAgent, at *modelAttempt) {
+func (m *agentModel) progress(a *modelAgent, at *modelAttempt) {
 	offset := at.from + uint64(len(at.events))
 	e := eventOf(at.id.GetRequest(), offset)
 	at.events = append(at.events, e)
-	m.say(a, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(at.id, offset, e)}})
+	m.sendToEntry(a, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: frameOf(at.id, offset, e)}})
 }
 
-// askedEngine answers the entry's own question at an engine whose agent is gone: it ends the attempt.
-func (m *model) askedEngine() {
-	ask := m.asked[0]
-	m.asked = m.asked[1:]
+// answerEngineProof replies to the entry's request for proof as the engine of an unreachable agent: it ends the
+// attempt.
+func (m *agentModel) answerEngineProof() {
+	ask := m.engineProofs[0]
+	m.engineProofs = m.engineProofs[1:]
 	a := m.agents[slices.IndexFunc(m.agents, func(a *modelAgent) bool { return a.name == ask.Server })]
 	proof := wire.Proof_PROOF_NEVER_STARTED
-	if at := a.attempts[key(ask.Attempt)]; at != nil && at.running {
+	if at := a.attempts[attemptKey(ask.Attempt)]; at != nil && at.running {
 		m.stop(a, at, wire.Proof_PROOF_CANCELLED)
 		proof = wire.Proof_PROOF_CANCELLED
 	}
@@ -93,9 +94,9 @@
 	m.step(EngineProved{Attempt: ask.Attempt, Server: ask.Server, Proof: proof})
 }
 
-func (m *model) actions() map[string]func(*rapid.T) {
+func (m *agentModel) actions() map[string]func(*rapid.T) {
 	onAgent := func(do func(a *modelAgent)) func(*rapid.T) {
-		return func(*rapid.T) { do(m.pick()) }
+		return func(*rapid.T) { do(m.pickAgent()) }
 	}
 	onRun := func(do func(a *modelAgent, at *modelAttempt)) func(*rapid.T) {
 		return onAgent(func(a *modelAgent) {
@@ -106,15 +107,15 @@
 	}
 	receive := onAgent(func(a *modelAgent) {
 		if len(a.toEntry) > 0 {
-			m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
+			m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: takeMessage(m, &a.toEntry)})
 		}
 	})
 	deliver := onAgent(func(a *modelAgent) {
 		if len(a.toAgent) > 0 {
-			m.agentTakes(a, take(m, &a.toAgent))
+			m.agentReceives(a, takeMessage(m, &a.toAgent))
 		}
 	})
-	flow := onAgent(m.flow)
+	flow := onAgent(m.exchange)
 	return map[string]func(*rapid.T){
 		"flow":     flow,
 		"flow2":    flow,
@@ -132,17 +133,17 @@
 		"unproven": onRun(func(a *modelAgent, at *modelAttempt) {
 			m.over(a, &wire.Over{Attempt: at.id, Proof: wire.Proof_PROOF_UNPROVEN})
 		}),
-		"room": onAgent(m.sayRoom),
+		"room": onAgent(m.sendRoom),
 		"lose": onAgent(func(a *modelAgent) {
 			if len(a.toAgent) > 0 {
-				take(m, &a.toAgent)
+				takeMessage(m, &a.toAgent)
 			}
 			if len(a.toEntry) > 0 {
-				take(m, &a.toEntry)
+				takeMessage(m, &a.toEntry)
 			}
 		}),
 		"cut": onAgent(func(a *modelAgent) {
-			m.cut(a)
+			m.cutLink(a)
 			m.step(AgentDown{Agent: agentOf(a.name), Incarnation: a.incarnation})
 		}),
 		"link": onAgent(func(a *modelAgent) {
@@ -152,8 +153,8 @@
 		}),
 		"restart": onAgent(m.restart),
 		"engine": func(*rapid.T) {
-			if len(m.asked) > 0 {
-				m.askedEngine()
+			if len(m.engineProofs) > 0 {
+				m.answerEngineProof()
 			}
 		},
 		"leave": func(*rapid.T) {
@@ -161,33 +162,33 @@
 				m.step(CallerLeft{Request: rapid.SampledFrom(m.order).Draw(m.t, "request")})
 			}
 		},
-		"time": func(*rapid.T) { m.pass(time.Duration(rapid.IntRange(1, 400).Draw(m.t, "ms")) * time.Millisecond) },
+		"time": func(*rapid.T) { m.advance(time.Duration(rapid.IntRange(1, 400).Draw(m.t, "ms")) * time.Millisecond) },
 	}
 }
 
-// flow is what happens when nothing goes wrong for a moment.
-func (m *model) flow(a *modelAgent) {
+// exchange delivers all messages of an agent without losses and lets its engine produce two events.
+func (m *agentModel) exchange(a *modelAgent) {
 	for len(a.toAgent) > 0 {
-		m.agentTakes(a, take(m, &a.toAgent))
+		m.agentReceives(a, takeMessage(m, &a.toAgent))
 	}
 	if at := m.runningAt(a); at != nil {
 		m.progress(a, at)
 		m.progress(a, at)
 	}
 	for len(a.toEntry) > 0 {
-		m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: take(m, &a.toEntry)})
+		m.step(MessageReceived{Agent: agentOf(a.name), Incarnation: a.incarnation, Message: takeMessage(m, &a.toEntry)})
 	}
 }
 
-func (m *model) pass(d time.Duration) {
+func (m *agentModel) advance(d time.Duration) {
 	m.now = m.now.Add(d)
 	m.step(Tick{})
 }
 
-// settle lets all deadlines pass and checks that each request has its one end, and nothing is left behind.
-func (m *model) settle() {
+// settle lets all deadlines pass and checks that each request has ended exactly once and that no state remains.
+func (m *agentModel) settle() {
 	for range 100 {
-		m.pass(lateFactor * time.Second)
+		m.advance(lateFactor * time.Second)
 	}
 	for _, id := range m.order {
 		if m.requests[id].ends != 1 {
@@ -195,12 +196,12 @@
 		}
 	}
 	st := m.s.Status()
-	if st.Live != 0 || slices.Max(st.Queued) != 0 || len(m.s.wakes.items) != 0 {
-		m.t.Fatalf("left behind: %+v", st)
+	if st.Live != 0 || slices.Max(st.Queued) != 0 || len(m.s.timers.items) != 0 {
+		m.t.Fatalf("state remains after all requests ended: %+v", st)
 	}
 	for _, v := range m.s.servers {
-		if v.inflight != 0 || len(v.waiting) != 0 {
-			m.t.Fatalf("%s: %d in flight, %d waiting", v.name, v.inflight, len(v.waiting))
+		if v.inflight != 0 || len(v.reservedBy) != 0 {
+			m.t.Fatalf("%s: %d in flight, %d waiting", v.name, v.inflight, len(v.reservedBy))
 		}
 	}
 }
@@ -208,7 +209,7 @@
 // modelRounds makes the runs longer than the library's default.
 const modelRounds = 4
 
-// TestModel looks for sequences of faults that break the rules on attempts, truth and frames.
+// TestModel searches for sequences of faults that violate the rules on attempts, reported outcomes and frames.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -8,38 +8,42 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Refusals.
+// Bounds of refusals.
 const (
-	// maxRefusals bounds how many gates a request of a lower tier is tried at. Tier 1 is tried until its deadline.
+	// maxRefusals bounds the gates that may refuse a request of a lower tier. Tier 1 is retried until its deadline.
 	maxRefusals = 8
-	// Back-off after a refusal when no server has room.
-	backOffFirst = 5 * time.Millisecond
-	backOffMost  = 200 * time.Millisecond
-	// Bounds of the advice when to come back.
-	retryAfterLeast = 50 * time.Millisecond
-	retryAfterMost  = 10 * time.Second
-	// returnShare is the part of a pool's pace that is planned for those who come back; new requests take the rest.
+	// Back-off after a refusal while no server has room.
+	minBackoff = 5 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
+	// Bounds of the advised retry delay.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
+	// returnShare is the fraction of a pool's dispatch rate that is planned for callers that retry; new requests
+	// get the rest.
 	returnShare = 0.5
-	// returnsLeast is the least pace of returns, a second, where a pool's own isn't known.
-	returnsLeast = 5
-	// stopMargin is how many times its predicted time a request must have left at an entry that stops. Streams took over
-	// half longer than predicted for the fastest server; a refusal costs one more try at another entry.
+	// minReturnRate is the planned rate of retrying callers, per second, while the pool's dispatch rate is unknown
+	// or low.
+	minReturnRate = 5
+	// stopMargin is the multiple of its estimated time that a request must have left at a stopping entry. Streams
+	// can take more than half longer than estimated for the fastest server; a refusal costs one more try at another
+	// entry.
 	stopMargin = 2
 )
 
-// mayRefuse tells whether a queued request may be refused for want of room. A lower tier always may. Tier 1 may only
-// with fresh evidence that no lower tier runs or waits anywhere in its pool; without it, it queues.
+// mayRefuse reports whether a queued request may be refused for lack of capacity. A lower tier always may. Tier 1
+// may only with current reports that no lower tier runs or waits anywhere in its pool; without them it stays
+// queued.
 //
-// A load report lags: by the last one the pool may look full of tier 1 while a gate is just starting tier 3 work. A
-// gate check refused then would have been shed while lower-tier work is served.
+// Load reports are delayed: by the last one the pool may look full of tier 1 while a gate is just starting work of
+// tier 3. A request of tier 1 refused then would have been shed while lower tiers are served.
 func (s *Scheduler) mayRefuse(r *request) bool {
 	if r.tier > 0 {
 		return true
 	}
-	return !r.pool.lowerQueued() && s.onlyTierOne(r.pool)
+	return !r.pool.lowerTierQueued() && s.onlyTierOne(r.pool)
 }
 
-func (p *pool) lowerQueued() bool {
+func (p *pool) lowerTierQueued() bool {
 	for tier := 1; tier < tierCount; tier++ {
 		if p.tiers[tier].count > 0 {
 			return true
@@ -48,8 +52,8 @@
 	return false
 }
 
-// onlyTierOne tells whether every server of the pool has said lately that nothing but tier 1 runs or waits there. A
-// server that says nothing is no evidence, nor is a pool without servers.
+// onlyTierOne reports whether every server of the pool has reported, within Options.MaxRoomAge, that only tier 1
+// runs and waits there. It is false if a server hasn't, or if the pool has no servers.
 func (s *Scheduler) onlyTierOne(p *pool) bool {
 	for _, v := range p.servers {
 		if v.room == nil || s.now.Sub(v.roomAt) > s.options.MaxRoomAge {
@@ -62,25 +66,26 @@
 	return len(p.servers) > 0
 }
 
-// giveUp refuses a request that is about to be dispatched and can't finish in time even so, and tells whether it
-// did. Its prefill would be wasted.
-func (s *Scheduler) giveUp(r *request, v *server) bool {
-	if s.options.Policy != PolicyTargets || r.mayBeLate || !r.certain() || !s.showsPace(r, v) || r.ran() != result.RanNo {
+// refuseIfTooLate refuses a request that is about to be dispatched but can't finish in time, since its prefill
+// would be wasted. It reports whether it did.
+func (s *Scheduler) refuseIfTooLate(r *request, v *server) bool {
+	if s.options.Policy != PolicyTargets || r.mayBeLate || !r.hasEstimate() || !s.reportsPrefillRate(r, v) || r.ran() != result.RanNo {
 		return false
 	}
-	if s.now.Add(s.estimateRun(r, v)).Before(r.Deadline) || !s.mayRefuse(r) || s.lowerGivesWay(r) {
+	if s.now.Add(s.estimateRunTime(r, v)).Before(r.Deadline) || !s.mayRefuse(r) || s.feasibleWithoutLowerTiers(r) {
 		return false
 	}
 	s.refuse(r, result.New(result.CannotFinishInTime, ""))
 	return true
 }
 
-// refuseRetry ends a request that gates have refused too often, or whose time is up.
+// refuseRetry returns why a request may not be tried again: gates have refused it too often, the retry budget is
+// used up, or its caller left. It returns nil if it may.
 func (s *Scheduler) refuseRetry(r *request) *result.Error {
 	if r.callerGone && !r.wanted() {
 		return result.New(result.CallerLeft, "")
 	}
-	if r.arrivals > 0 && !s.takeRetry(r) {
+	if r.reached > 0 && !s.takeRetry(r) {
 		return r.lastErr
 	}
 	if r.refusals < maxRefusals || r.mayBeLate || !s.mayRefuse(r) || s.options.Policy != PolicyTargets {
@@ -92,80 +97,82 @@
 	return result.New(result.RefusedNeverStarted, "")
 }
 
-// backOff has a refused request wait a little if no server has room for it. With room elsewhere it goes there at
-// once; without, its reservations wait at gates that haven't refused it.
-func (s *Scheduler) backOff(r *request) {
-	if r.record().proof != wire.Proof_PROOF_NEVER_STARTED {
+// backOffIfRefused delays a request that was refused, if every suitable server has refused it. Otherwise it is sent
+// to another one with room at once, or reserves at gates that haven't refused it. After any other end of an attempt
+// it calls avoidFailed.
+func (s *Scheduler) backOffIfRefused(r *request) {
+	if r.currentRecord().proof != wire.Proof_PROOF_NEVER_STARTED {
 		s.avoidFailed(r)
 		return
 	}
-	if !s.anySuits(r) {
-		s.rest(r)
+	if !s.anyServerSuits(r) {
+		s.startBackoff(r)
 	}
 }
 
-// avoidFailed keeps a request away from the server that its last attempt ended badly at, where another one suits.
+// avoidFailed excludes the server at which the last attempt failed, if another one suits.
 //
-// A backend server that fails a part of its requests while it answers probes would get the retry as well, since the
-// failure has just freed a place there; the caller's one more attempt is spent on the same fault.
+// A backend server that fails some of its requests but answers probes would otherwise get the retry as well, since
+// the failure has just freed a slot there, and the retry would be spent on the same fault.
 func (s *Scheduler) avoidFailed(r *request) {
-	r.avoid = append(r.avoid[:0], r.record().server)
-	if s.options.Policy != PolicyTargets || !s.anySuits(r) {
-		r.avoid = r.avoid[:0]
+	r.avoided = append(r.avoided[:0], r.currentRecord().server)
+	if s.options.Policy != PolicyTargets || !s.anyServerSuits(r) {
+		r.avoided = r.avoided[:0]
 	}
 }
 
-// rest keeps a request that every server has refused out of the queue for a moment, and then lets it try them all
-// again, under a number that none of them has a tombstone for.
-func (s *Scheduler) rest(r *request) {
-	s.pull(r)
-	r.avoid = r.avoid[:0]
-	r.number++
-	r.notBefore = s.now.Add(s.jitter(min(backOffFirst<<min(r.refusals, maxRefusals), backOffMost)))
-	s.setWake(r)
+// startBackoff removes a request that every server has refused from the queue for a short time. It may then be sent
+// to all of them again, under an attempt number for which no gate has a tombstone.
+func (s *Scheduler) startBackoff(r *request) {
+	s.removeFromQueue(r)
+	r.avoided = r.avoided[:0]
+	r.lastNumber++
+	r.notBefore = s.now.Add(s.jitter(min(minBackoff<<min(r.refusals, maxRefusals), maxBackoff)))
+	s.setTimer(r)
 }
 
-// stuck looks at a queued request that no server can take now: its operation record may need more servers, or every
-// server may have refused it.
-func (s *Scheduler) stuck(r *request) {
-	s.widenIfGone(r)
-	refused := len(r.avoid) > 0 && len(r.reservations) == 0 && !r.widen.asked
-	if refused && !s.anySuits(r) {
-		s.rest(r)
+// handleUnplaceable handles a queued request that no server can take: its operation record may need more servers,
+// or every server may have refused it.
+func (s *Scheduler) handleUnplaceable(r *request) {
+	s.widenIfUnavailable(r)
+	refused := len(r.avoided) > 0 && len(r.reservations) == 0 && !r.widen.asked
+	if refused && !s.anyServerSuits(r) {
+		s.startBackoff(r)
 	}
 }
 
-func (s *Scheduler) anySuits(r *request) bool {
+func (s *Scheduler) anyServerSuits(r *request) bool {
 	return slices.ContainsFunc(r.pool.servers, func(v *server) bool { return s.canReserve(r, v) })
 }
 
-// avoidServer keeps a request away from a server that has just refused it.
+// avoidServer excludes a server that has just refused the request.
 func (r *request) avoidServer(name string) {
-	if !slices.Contains(r.avoid, name) {
-		r.avoid = append(r.avoid, name)
+	if !slices.Contains(r.avoided, name) {
+		r.avoided = append(r.avoided, name)
 	}
 }
 
-// jitter spreads d over a half more or less, so that those refused together don't come back together.
+// jitter returns a random duration between half of d and one and a half of d, so that requests refused together
+// don't retry together.
 func (s *Scheduler) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.random.Int64N(int64(d)+1))
 }
 
-// retryAfter is the advice when to come back: after what waits now, and after those who were told to come back before,
-// at the pace at which the pool has room for them.
+// retryAfter returns the advised retry delay: after the requests that wait, and after the callers advised before,
+// at the rate at which the pool gains room for them.
 //
-// Were everybody told the time that the queue takes now, all who are refused in a burst would come back together, to be
-// refused together once more.
+// If all were told the current queueing time, all callers refused in a burst would retry together and be refused
+// together again.
 func (s *Scheduler) retryAfter(r *request) time.Duration {
 	p := r.pool
 	earliest := s.now.Add(s.predictWait(r))
-	if p.returnAt.Before(earliest) {
-		p.returnAt = earliest
+	if p.nextReturn.Before(earliest) {
+		p.nextReturn = earliest
 	}
-	gap := time.Duration(float64(time.Second) / max(returnShare*p.drain.value(s.now), returnsLeast))
-	p.returnAt = p.returnAt.Add(gap)
-	if p.returnAt.Sub(s.now) > retryAfterMost {
-		p.returnAt = s.now.Add(retryAfterMost)
+	gap := time.Duration(float64(time.Second) / max(returnShare*p.dispatchRate.value(s.now), minReturnRate))
+	p.nextReturn = p.nextReturn.Add(gap)
+	if p.nextReturn.Sub(s.now) > maxRetryAfter {
+		p.nextReturn = s.now.Add(maxRetryAfter)
 	}
-	return max(p.returnAt.Sub(s.now), retryAfterLeast)
+	return max(p.nextReturn.Sub(s.now), minRetryAfter)
 }
--- a/sched/request.go
+++ b/sched/request.go
@@ -8,100 +8,100 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of what is done for one request.
+// Bounds for one request.
 const (
-	// maxStarts bounds the attempts that may have begun and ended badly. An engine that fails on a request will often
-	// fail again. Attempts that made room for a higher tier don't count: a class that may be late but not lost would
-	// lose its work to them.
-	maxStarts = 4
-	// lateFactor is how many times its deadline a request of a class that tolerates lateness rather than loss may
-	// take before it is given up. It is counted late from the deadline on.
+	// maxBegunAttempts bounds the attempts that may have begun and then failed. An engine that fails on a request
+	// often fails again. Attempts preempted by a higher tier don't count: a class that tolerates lateness but no
+	// loss would otherwise lose requests to preemption.
+	maxBegunAttempts = 4
+	// lateFactor is the multiple of its allowed time after which a request is given up, for a class that tolerates
+	// lateness rather than loss. Such a request counts as late from its deadline on.
 	lateFactor = 4
-	// runningLateFactor is the same for a request whose answer has begun to arrive, in any class that tolerates some
-	// lateness: cutting it would turn late work into lost work and waste its prefill.
+	// runningLateFactor is the same for a request whose answer has begun to arrive, in any class that tolerates
+	// some lateness: cancelling it would turn a late answer into a lost one and waste its prefill.
 	runningLateFactor = 1.5
 )
 
-// request is a live request.
+// request is the state of a request without a final answer.
 type request struct {
 	*Request
 	fingerprint poison.Fingerprint
 
 	state     state
-	sequence  uint64 // order of arrival
-	tier      int    // index: 0 is tier 1
+	sequence  uint64 // arrival order
+	tier      int    // zero-based: 0 is tier 1
 	class     *class
 	pool      *pool
 	mayBeLate bool
 	promoted  bool // goes before the other classes of its tier
 
-	// Queue.
-	lane         *lane // nil when not queued, or waiting for a back-off
+	// Queueing.
+	queue        *organisationQueue // nil when not queued, for example in back-off
 	rank         time.Time
-	mark         uint64
+	lastScan     uint64
 	queuedAt     time.Time
-	notBefore    time.Time // back-off
+	notBefore    time.Time // end of the back-off
 	reservations []reservation
 	reservedAt   time.Time
 
 	// Attempts.
-	attempt  *attempt // sent and not proved over; nil if none
-	attempts []attemptRecord
-	number   uint64 // of the last attempt sent, without the epoch
-	refusals int    // attempts proved never started
-	arrivals int    // attempts that reached, or may have reached, a server
-	starts   int    // attempts that may have begun, see maxStarts
-	avoid    []string
-	earlier  *earlierProofs
-	widen    widenState
+	attempt    *attempt // sent and not proved over; nil if none
+	attempts   []attemptRecord
+	lastNumber uint64 // number of the last attempt sent, without the epoch
+	refusals   int    // attempts proved never started
+	reached    int    // attempts that reached, or may have reached, a server
+	begun      int    // attempts that may have begun, see maxBegunAttempts
+	avoided    []string
+	earlier    *earlierProofs
+	widen      widenState
 
 	// Answer.
-	delivered uint64 // events kept so far
-	tokens    uint32 // in those events
-	lastEvent []byte // of a verbatim stream
-	// firstEventAt is when the first event of the answer came; the head of a verbatim answer is none.
-	firstEventAt time.Time
-	lastEventAt  time.Time
-	longestPause time.Duration // between two events of the answer
-	buffer       [][]byte
-	bufferSize   int
-	resume       *resumePoint
-	passed       []PassedOver
-	outputs      uint32 // estimated output tokens
+	eventsReceived uint64 // events of the answer received so far
+	tokensReceived uint32 // tokens in those events
+	lastEvent      []byte // last event delivered of a verbatim stream
+	// firstEventAt is when the first event of the answer arrived, not counting the head of a verbatim answer.
+	firstEventAt    time.Time
+	lastEventAt     time.Time
+	longestPause    time.Duration // between two events of the answer
+	buffer          [][]byte
+	bufferSize      int
+	resume          *resumePoint
+	passedOver      []PassedOver
+	estimatedOutput uint32 // estimated output tokens
 
-	err        *result.Error // why it ends, set before the event that ends it
+	err        *result.Error // reason for the end, set before the event that ends the request
 	lastErr    *result.Error // why the last attempt ended
 	callerGone bool
 
-	wakeAt    time.Time
-	wakeIndex int // in wakeHeap, -1 when absent
+	timerAt    time.Time
+	timerIndex int // index in timerHeap, -1 when absent
 }
 
-// arrive takes a request over. Exactly one Answer or Fail follows for it.
+// arrive accepts a request. Exactly one Answer or Fail follows for it.
 func (s *Scheduler) arrive(in *Request) {
 	if s.requests[in.ID] != nil {
-		s.countStray(strayArrive)
+		s.countDropped(droppedArrival)
 		return
 	}
-	s.sequence++
-	r := &request{Request: in, fingerprint: in.fingerprint(), sequence: s.sequence, wakeIndex: -1}
+	s.lastSequence++
+	r := &request{Request: in, fingerprint: in.fingerprint(), sequence: s.lastSequence, timerIndex: -1}
 	r.class = s.classFor(in.Class)
 	r.tier = tierIndex(in.Class.GetTier())
 	r.mayBeLate = mayBeLate(in.Class)
 	r.pool = s.pool(poolKey{kind: in.Class.GetKind(), target: in.Target})
-	r.pool.live++
-	s.noteRequest(r)
-	s.noteArrival(r)
+	r.pool.requests++
+	s.countRequest(r)
+	s.countArrival(r)
 	r.state = s.table.Initial()
-	r.outputs = s.estimateOutput(r)
+	r.estimatedOutput = s.estimateOutput(r)
 	s.requests[in.ID] = r
-	s.setWake(r)
+	s.setTimer(r)
 	if len(in.EarlierServers) > 0 {
 		s.takeOver(r)
 		return
 	}
 	r.promote()
-	err := s.refusePoison(r)
+	err := s.refuseQuarantined(r)
 	if err == nil {
 		err = s.refuseBeforeStop(r)
 	}
@@ -115,26 +115,27 @@
 	s.enqueue(r)
 }
 
-// enqueue puts a request that has no attempt into its pool's queue, or refuses it if servers crashed under it meanwhile.
+// enqueue adds a request without an attempt to its pool's queue, or refuses it if it has been quarantined
+// meanwhile.
 func (s *Scheduler) enqueue(r *request) {
-	if err := s.refusePoison(r); err != nil {
+	if err := s.refuseQuarantined(r); err != nil {
 		s.refuse(r, err)
 		return
 	}
 	r.queuedAt = s.now
-	s.push(r)
+	s.addToQueue(r)
 	s.shed()
-	s.setWake(r)
+	s.setTimer(r)
 }
 
-// refuse ends a queued request for want of room or time.
+// refuse ends a queued request for lack of capacity or time.
 func (s *Scheduler) refuse(r *request, err *result.Error) {
 	r.err = err
 	_ = s.fire(r, evRefuse)
 }
 
-// callerLeft drops what nobody waits for, so that no prefill is spent on it. Work that may not be repeated and has a
-// key is left to run once it was dispatched: a cancel would make its outcome unknown for ever.
+// callerLeft cancels a request that nobody waits for, so that no prefill is spent on it. A keyed request that may
+// not be repeated continues once it was dispatched: a cancel would leave its outcome unknown for good.
 func (s *Scheduler) callerLeft(id string) {
 	r := s.requests[id]
 	if r == nil || r.callerGone {
@@ -145,29 +146,29 @@
 		r.err = result.New(result.CallerLeft, "")
 	}
 	_ = s.fire(r, evCallerLeft)
-	s.setWake(r)
+	s.setTimer(r)
 }
 
-// keepRunning tells whether an attempt goes on although the caller left.
+// keepRunning reports whether the attempt continues although the caller left.
 func (r *request) keepRunning() bool {
 	return r.Key != "" && !r.Class.GetRepeatable() && r.attempt != nil && !r.attempt.cancelAsked
 }
 
-// abandoned tells whether the request only waits for a proof, to end with CallerLeft.
+// abandoned reports whether the request only waits for a proof before it ends with CallerLeft.
 func (r *request) abandoned() bool {
 	return r.err != nil && r.err.Code == result.CallerLeft
 }
 
-// wanted tells whether somebody, or the key's record, wants the answer.
+// wanted reports whether the caller or the key's record still needs the answer.
 func (r *request) wanted() bool {
 	return !r.callerGone || (r.Key != "" && !r.Class.GetRepeatable())
 }
 
-// limit is when the request is given up, whatever it waits for.
-func (r *request) limit() time.Time {
+// expiresAt returns when the request is given up, whatever its state.
+func (r *request) expiresAt() time.Time {
 	allowed := r.Deadline.Sub(r.Arrived)
 	switch {
-	case r.isFresh() && r.Objective.Before(r.Deadline):
+	case r.objectiveApplies() && r.Objective.Before(r.Deadline):
 		return r.Objective
 	case r.mayBeLate:
 		return r.Arrived.Add(lateFactor * allowed)
@@ -178,26 +179,27 @@
 	}
 }
 
-// due is by when the request should be served.
-func (r *request) due() time.Time {
+// dueAt returns when the request should be served: its objective, or its deadline if it has none.
+func (r *request) dueAt() time.Time {
 	if r.Objective.IsZero() {
 		return r.Deadline
 	}
 	return r.Objective
 }
 
-// isFresh tells whether the request has an objective and no server has seen it. After a failure it is worth a late answer.
-func (r *request) isFresh() bool {
-	return !r.Objective.IsZero() && r.arrivals == 0 && (r.state == queued || r.state == reserved)
+// objectiveApplies reports whether the request has an objective and has reached no server. After a failed attempt
+// the objective no longer ends a request: a late answer is still useful.
+func (r *request) objectiveApplies() bool {
+	return !r.Objective.IsZero() && r.reached == 0 && (r.state == queued || r.state == reserved)
 }
 
-// remaining is the time left until the deadline, 0 if it has passed.
-func (s *Scheduler) remaining(r *request) time.Duration {
+// remainingTime returns the time left until the deadline, 0 if it has passed.
+func (s *Scheduler) remainingTime(r *request) time.Duration {
 	return max(r.Deadline.Sub(s.now), 0)
 }
 
-// deadlinePassed ends a request whose limit has come. It is answered at once: a proof that comes later is only
-// cleaned up after.
+// deadlinePassed ends a request whose expiry has come. The caller is answered at once; a proof that arrives later
+// only serves to clean up.
 func (s *Scheduler) deadlinePassed(r *request) {
 	r.err = r.deadlineError()
 	_ = s.fire(r, evDeadline)
@@ -207,7 +209,7 @@
 	switch {
 	case r.state == queued || r.state == reserved:
 		return result.New(result.DeadlinePassedInQueue, "")
-	case r.attempt != nil && r.attempt.end != nil:
+	case r.attempt != nil && r.attempt.answerEnd != nil:
 		return result.New(result.AnswerIncomplete, "the deadline passed before the whole answer arrived")
 	case r.attempt != nil && r.attempt.framesSeen && r.Class.GetRepeatable():
 		return result.New(result.Cancelled, "the deadline passed while the answer was arriving")
@@ -218,15 +220,15 @@
 	}
 }
 
-// answer closes a request with a whole answer.
+// answer completes a request with a whole answer.
 func (s *Scheduler) answer(r *request) {
 	if !r.Stream && len(r.buffer) > 0 {
-		s.act(Deliver{Request: r.ID, Events: r.buffer})
+		s.emit(Deliver{Request: r.ID, Events: r.buffer})
 	}
-	end := r.attempt.end
-	s.act(Answer{Request: r.ID, End: end, Trace: s.trace(r)})
-	s.learn(r, end)
-	s.noteWhole(r, end)
+	end := r.attempt.answerEnd
+	s.emit(Answer{Request: r.ID, End: end, Trace: s.trace(r)})
+	s.updateEstimates(r, end)
+	s.noteAnswered(r, end)
 	late := s.now.After(r.Deadline)
 	counter := Goodput
 	if late {
@@ -234,27 +236,28 @@
 	}
 	r.class.window.add(s.now, late, false)
 	s.countClass(counter, r)
-	s.countServed(r, end)
+	s.countServedTokens(r, end)
 	s.finish(r, nil)
 }
 
-// failCaller closes a request with r.err, and says of ran what is proved and no more.
+// failCaller ends a request with r.err, reporting about ran only what is proved.
 func (s *Scheduler) failCaller(r *request) {
-	err := s.truthful(r, r.err)
-	s.act(Fail{Request: r.ID, Err: err, Trace: s.trace(r)})
-	s.act(Count{Counter: Refusals, Code: err.Code, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Add: 1})
+	err := s.withProvedRan(r, r.err)
+	s.emit(Fail{Request: r.ID, Err: err, Trace: s.trace(r)})
+	s.emit(Count{Counter: Refusals, Code: err.Code, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Add: 1})
 	if !r.callerGone && err.Code != result.RequestQuarantined {
-		// A caller who repeats what crashes servers must not make its class look as if it missed its target: the class
-		// would go before others.
+		// A caller who repeats a request that crashes servers must not make its class appear to miss its target,
+		// which would order the class before others.
 		r.class.window.add(s.now, false, true)
 		s.countClass(Lost, r)
 	}
 	s.finish(r, err)
 }
 
-// truthful gives the error the proved value of ran. A code that may not carry that value is replaced by that of the
-// last attempt: a request that was tried and then given up in the queue must not be told that it never ran.
-func (s *Scheduler) truthful(r *request, err *result.Error) *result.Error {
+// withProvedRan sets the proved value of ran on the error; a nil error becomes result.Internal. A code that may not
+// carry that value is replaced by that of the last attempt: a request that was attempted and then given up in the
+// queue must not be reported as never run.
+func (s *Scheduler) withProvedRan(r *request, err *result.Error) *result.Error {
 	ran := r.ran()
 	if err == nil {
 		err = result.New(result.Internal, "")
@@ -278,27 +281,27 @@
 	return result.New(result.Cancelled, "")
 }
 
-// finish forgets a request. An attempt that isn't proved over is kept for cleaning up.
+// finish removes a request. An attempt that isn't proved over is kept as an orphan, to be cancelled later.
 func (s *Scheduler) finish(r *request, err *result.Error) {
-	s.pull(r)
+	s.removeFromQueue(r)
 	s.withdrawAll(r)
-	r.giveBack()
+	r.returnCredit()
 	if r.attempt != nil {
-		s.linger(r)
+		s.keepOrphan(r)
 		s.release(r)
 	}
-	s.wakes.remove(r)
+	s.timers.remove(r)
 	delete(s.requests, r.ID)
 	s.history.add(s.explain(r, err))
-	r.pool.live--
-	s.forget(r.pool)
+	r.pool.requests--
+	s.removeIfUnused(r.pool)
 }
 
 func (s *Scheduler) countClass(c Counter, r *request) {
-	s.act(Count{Counter: c, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Add: 1})
+	s.emit(Count{Counter: c, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Add: 1})
 }
 
-func (s *Scheduler) countServed(r *request, end *wire.AnswerEnd) {
+func (s *Scheduler) countServedTokens(r *request, end *wire.AnswerEnd) {
 	tokens := uint64(end.GetPromptTokens()) + uint64(end.GetOutputTokens())
-	s.act(Count{Counter: ServedTokens, Tier: r.Class.GetTier(), Label: r.Organisation, Add: tokens})
+	s.emit(Count{Counter: ServedTokens, Tier: r.Class.GetTier(), Label: r.Organisation, Add: tokens})
 }
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -8,18 +8,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// reservationRenewal is how often reservations are sent again. It brings the gate the present urgency, and makes up
-// for a message that met a full ring.
-const reservationRenewal = time.Second
+// reservationInterval is how often reservations are sent again. This updates the urgency at the gate, and replaces
+// messages that were dropped because a ring was full.
+const reservationInterval = time.Second
 
-// reservation is a place on a server's waiting list.
+// reservation is an entry in a server's waiting list.
 type reservation struct {
 	server *server
 }
 
-// reserve places reservations for a queued request that has none, and tells whether it could.
+// reserve places reservations for a queued request that has none, and reports whether it could.
 func (s *Scheduler) reserve(r *request) bool {
-	servers := s.chooseReservations(r)
+	servers := s.chooseReservationServers(r)
 	if len(servers) == 0 || s.fire(r, evReserve) != nil {
 		return false
 	}
@@ -29,58 +29,59 @@
 	for _, v := range servers {
 		s.sendReserve(r, v)
 	}
-	s.setWake(r)
+	s.setTimer(r)
 	return true
 }
 
-// setReservations moves a queued request between the two parts of its lane as needed.
+// setReservations replaces the reservations of a request and moves it between the two lists of its queue if needed.
 func (s *Scheduler) setReservations(r *request, servers []*server) {
-	if r.lane != nil {
-		r.lane.part(r).remove(r)
+	if r.queue != nil {
+		r.queue.listFor(r).remove(r)
 		r.pool.reserved[r.tier] -= min(len(r.reservations), 1)
 	}
 	r.reservations = r.reservations[:0]
 	for _, v := range servers {
 		r.reservations = append(r.reservations, reservation{server: v})
-		v.waiting[r] = struct{}{}
+		v.reservedBy[r] = struct{}{}
 	}
-	if r.lane != nil {
-		r.lane.part(r).add(r)
+	if r.queue != nil {
+		r.queue.listFor(r).add(r)
 		r.pool.reserved[r.tier] += min(len(r.reservations), 1)
 	}
 }
 
 func (s *Scheduler) sendReserve(r *request, v *server) {
-	m := &wire.Reserve{Attempt: r.nextID(), Server: v.name, Work: s.work(r, v)}
+	m := &wire.Reserve{Attempt: r.nextAttemptID(), Server: v.name, Work: s.describeWork(r, v)}
 	s.send(v.agent, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: m}})
 }
 
-// renewReservations sends the reservations again, and makes up for those at servers that left.
+// renewReservations sends the reservations again, and replaces those at servers that left.
 func (s *Scheduler) renewReservations(r *request) {
-	if s.yields(r) {
+	if s.shouldYield(r) {
 		s.withdrawAll(r)
-		s.afterLosing(r)
+		s.reservationLost(r)
 		return
 	}
 	r.reservedAt = s.now
-	s.topUp(r)
+	s.replaceReservations(r)
 	for _, res := range r.reservations {
 		s.sendReserve(r, res.server)
 	}
 }
 
-// yields tells whether a request that will be late gives its reservations to one of its lane that may still be in time.
-// How many requests have reservations is bounded: those that are late would keep the others from the gates.
-func (s *Scheduler) yields(r *request) bool {
-	if r.lane == nil || !r.mayBeLate {
+// shouldYield reports whether a request that will be late should give up its reservations to one of its queue that
+// may still be in time. The number of requests with reservations is bounded, so late ones would keep the others
+// from the gates.
+func (s *Scheduler) shouldYield(r *request) bool {
+	if r.queue == nil || !r.mayBeLate {
 		return false
 	}
-	cut := r.class.cut(s.now)
-	last := r.lane.plain.last()
-	return r.rank.Before(cut) && last != nil && !last.rank.Before(cut)
+	cutoff := r.class.lateCutoff(s.now)
+	last := r.queue.unreserved.last()
+	return r.rank.Before(cutoff) && last != nil && !last.rank.Before(cutoff)
 }
 
-func (s *Scheduler) topUp(r *request) {
+func (s *Scheduler) replaceReservations(r *request) {
 	want := s.reservationCount(r)
 	if len(r.reservations) >= want {
 		return
@@ -89,7 +90,7 @@
 	for _, res := range r.reservations {
 		servers = append(servers, res.server)
 	}
-	for _, v := range s.chooseReservations(r) {
+	for _, v := range s.chooseReservationServers(r) {
 		if len(servers) < want && !slices.Contains(servers, v) {
 			servers = append(servers, v)
 		}
@@ -97,77 +98,77 @@
 	s.setReservations(r, servers)
 }
 
-// reservationDue is when the reservations are sent again.
+// reservationDue returns when the reservations are sent again, zero without reservations.
 func (r *request) reservationDue() time.Time {
 	if len(r.reservations) == 0 {
 		return time.Time{}
 	}
-	return r.reservedAt.Add(reservationRenewal)
+	return r.reservedAt.Add(reservationInterval)
 }
 
-// withdrawAll takes all reservations back.
+// withdrawAll withdraws all reservations.
 func (s *Scheduler) withdrawAll(r *request) {
 	if len(r.reservations) == 0 {
 		return
 	}
-	id := r.nextID()
+	id := r.nextAttemptID()
 	for _, res := range r.reservations {
-		delete(res.server.waiting, r)
+		delete(res.server.reservedBy, r)
 		m := &wire.Withdraw{Attempt: id, Server: res.server.name}
 		s.send(res.server.agent, &wire.EntryMessage{Kind: &wire.EntryMessage_Withdraw{Withdraw: m}})
 	}
 	s.setReservations(r, nil)
 }
 
-// dropReservations takes reservations back at a server that may have no new work of their kind any more.
+// dropReservations withdraws the reservations of selected requests at a server that may no longer take them.
 func (s *Scheduler) dropReservations(v *server, which func(*request) bool) {
-	for _, r := range sortedRequests(v.waiting) {
+	for _, r := range sortedRequests(v.reservedBy) {
 		if !which(r) {
 			continue
 		}
-		m := &wire.Withdraw{Attempt: r.nextID(), Server: v.name}
+		m := &wire.Withdraw{Attempt: r.nextAttemptID(), Server: v.name}
 		s.send(v.agent, &wire.EntryMessage{Kind: &wire.EntryMessage_Withdraw{Withdraw: m}})
 		s.forgetReservation(r, v)
 		if len(r.reservations) == 0 {
 			_ = s.fire(r, evReservationsGone)
-			s.touch(r.pool)
+			s.markDirty(r.pool)
 		}
-		s.setWake(r)
+		s.setTimer(r)
 	}
 }
 
-// forgetReservation drops one reservation without a word to the gate.
+// forgetReservation removes one reservation without a message to the gate.
 func (s *Scheduler) forgetReservation(r *request, v *server) {
-	left := make([]*server, 0, len(r.reservations))
+	remaining := make([]*server, 0, len(r.reservations))
 	for _, res := range r.reservations {
 		if res.server != v {
-			left = append(left, res.server)
+			remaining = append(remaining, res.server)
 		}
 	}
-	delete(v.waiting, r)
-	s.setReservations(r, left)
+	delete(v.reservedBy, r)
+	s.setReservations(r, remaining)
 }
 
-func (r *request) reservedAtServer(v *server) bool {
+func (r *request) hasReservationAt(v *server) bool {
 	return slices.ContainsFunc(r.reservations, func(res reservation) bool { return res.server == v })
 }
 
-// reservationRefused takes a gate's refusal of a reservation. The gate has left a tombstone for the number, so the
-// request needs another one before it may come back there.
+// reservationRefused handles a gate's refusal of a reservation. The gate keeps a tombstone for the attempt number,
+// so the request needs another number before it may return there.
 func (s *Scheduler) reservationRefused(r *request, m *wire.Over) {
 	v := s.servers[m.GetServer()]
-	fits := r.state == reserved && m.GetProof() == wire.Proof_PROOF_NEVER_STARTED &&
-		m.GetAttempt().GetNumber() == r.nextID().GetNumber()
-	if !fits || v == nil || !r.reservedAtServer(v) {
-		s.countStray(strayAttempt)
+	expected := r.state == reserved && m.GetProof() == wire.Proof_PROOF_NEVER_STARTED &&
+		m.GetAttempt().GetNumber() == r.nextAttemptID().GetNumber()
+	if !expected || v == nil || !r.hasReservationAt(v) {
+		s.countDropped(droppedAttempt)
 		return
 	}
 	r.refusals++
 	r.avoidServer(v.name)
-	r.lastErr = s.overError(m, result.RefusedNeverStarted)
-	s.countRetry(r, retryReservation)
+	r.lastErr = s.proofError(m, result.RefusedNeverStarted)
+	s.countRetry(r, retryReservationRefused)
 	s.forgetReservation(r, v)
-	s.afterLosing(r)
+	s.reservationLost(r)
 	if len(r.reservations) > 0 {
 		return
 	}
@@ -176,32 +177,32 @@
 	}
 }
 
-// offer takes a gate's word that it holds a slot. The body goes to the first offer only, and only while the request
+// offerReceived handles a gate's offer of a slot. Only the first offer gets the body, and only while the request
 // has no attempt; any other is declined, since two engines would run the request.
-func (s *Scheduler) offer(a *agent, m *wire.Offer) {
+func (s *Scheduler) offerReceived(a *agent, m *wire.Offer) {
 	r := s.requests[m.GetAttempt().GetRequest()]
 	v := s.servers[m.GetServer()]
-	if r == nil || v == nil || v.agent != a || !s.acceptable(r, v, m.GetAttempt()) {
+	if r == nil || v == nil || v.agent != a || !s.canAccept(r, v, m.GetAttempt()) {
 		s.decline(a, m)
 		return
 	}
-	if better := s.betterFor(r, v); better != nil {
+	if better := s.higherTierFor(r, v); better != nil {
 		s.decline(a, m)
 		s.forgetReservation(r, v)
-		s.afterLosing(r)
+		s.reservationLost(r)
 		s.dispatch(better, v, false)
 		return
 	}
-	if s.giveUp(r, v) {
+	if s.refuseIfTooLate(r, v) {
 		s.decline(a, m)
 		return
 	}
 	s.dispatch(r, v, true)
 }
 
-func (s *Scheduler) acceptable(r *request, v *server, id *wire.AttemptID) bool {
-	return r.attempt == nil && r.state == reserved && v.ready && r.reservedAtServer(v) &&
-		id.GetNumber() == r.nextID().GetNumber()
+func (s *Scheduler) canAccept(r *request, v *server, id *wire.AttemptID) bool {
+	return r.attempt == nil && r.state == reserved && v.ready && r.hasReservationAt(v) &&
+		id.GetNumber() == r.nextAttemptID().GetNumber()
 }
 
 func (s *Scheduler) decline(a *agent, m *wire.Offer) {
@@ -209,21 +210,21 @@
 	s.send(a, &wire.EntryMessage{Kind: &wire.EntryMessage_Decline{Decline: d}})
 }
 
-// afterLosing has a request reserved again that lost its last reservation.
-func (s *Scheduler) afterLosing(r *request) {
+// reservationLost makes a request that lost its last reservation eligible for new ones.
+func (s *Scheduler) reservationLost(r *request) {
 	if len(r.reservations) == 0 {
 		_ = s.fire(r, evReservationsGone)
 	}
-	s.touch(r.pool)
+	s.markDirty(r.pool)
 }
 
-// betterFor returns a queued request that orders well before r and also waits at the server, or nil. It happens when
-// its reservation crossed the offer. The gate then offers the slot to it next, or takes it at once.
-func (s *Scheduler) betterFor(r *request, v *server) *request {
+// higherTierFor returns a queued request of a higher tier than r that also has a reservation at the server, or nil.
+// There is one if its reservation crossed the offer. The gate then offers it the slot next, or takes it at once.
+func (s *Scheduler) higherTierFor(r *request, v *server) *request {
 	for tier := 0; tier < r.tier; tier++ {
-		s.mark++
-		best := r.pool.tiers[tier].next(s.now, s.mark, false)
-		if best != nil && best.state == reserved && best.reservedAtServer(v) {
+		s.scan++
+		best := r.pool.tiers[tier].next(s.now, s.scan, false)
+		if best != nil && best.state == reserved && best.hasReservationAt(v) {
 			return best
 		}
 	}
--- a/sched/resume.go
+++ b/sched/resume.go
@@ -8,18 +8,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// resumePoint says where an engine still holds the stream of an earlier attempt.
+// resumePoint identifies the stream of an earlier attempt that an engine still holds.
 type resumePoint struct {
-	attempt string // the engine's name of it
-	server  string
+	engineAttempt string // the engine's identifier
+	server        string
 }
 
-// resumeFrom is the number of events that the next attempt must not make again.
+// resumeFrom returns the number of events that the next attempt must skip.
 func (r *request) resumeFrom() uint64 {
-	return r.delivered
+	return r.eventsReceived
 }
 
-// setResume notes that the engine still holds the cache of the attempt that ended.
+// setResume records whether the engine still holds the cache of the attempt that ended.
 func (r *request) setResume(m *wire.Over) {
 	r.resume = nil
 	if !m.GetResumable() {
@@ -27,67 +27,68 @@
 	}
 	number := strconv.FormatUint(r.attempt.id.GetNumber(), 10)
 	r.resume = &resumePoint{
-		attempt: string(engine.AttemptID(r.ID + "." + number)),
-		server:  r.attempt.server.name,
+		engineAttempt: string(engine.AttemptID(r.ID + "." + number)),
+		server:        r.attempt.server.name,
 	}
 }
 
-// resumeAttempt is the stream that the server is to resume or import, empty for none.
+// resumeAttempt returns the identifier of the stream that the server is to resume or import, or "".
 func (r *request) resumeAttempt(to *server) string {
-	if r.resume == nil || !r.canReach(to) {
+	if r.resume == nil || !r.canFetch(to) {
 		return ""
 	}
-	return r.resume.attempt
+	return r.resume.engineAttempt
 }
 
-// canReach tells whether the server can get at the kept stream: it is its own, or it can import it.
-func (r *request) canReach(to *server) bool {
+// canFetch reports whether the server holds the kept stream itself or can import it.
+func (r *request) canFetch(to *server) bool {
 	return r.resume.server == to.name && to.room.GetResume() || to.room.GetKv()
 }
 
-// resumesOn tells whether the request may go on at the server. A stream of which the caller holds a part must go on
-// where it stopped. On a server that can't, the rest would be of another run, and the two parts no answer.
-func (r *request) resumesOn(to *server) bool {
-	return r.delivered == 0 || to.room.GetResume()
+// canResumeOn reports whether the request may continue at the server. A stream that was partly delivered must
+// continue where it stopped. A server that can't resume would compute another run, and the two parts would not be
+// one answer.
+func (r *request) canResumeOn(to *server) bool {
+	return r.eventsReceived == 0 || to.room.GetResume()
 }
 
-// canResume tells whether what was kept of the answer can be continued or be made anew.
+// canResume reports whether the received part of the answer can be continued or replaced.
 func (s *Scheduler) canResume(r *request) bool {
 	switch {
-	case r.delivered == 0 || !r.Stream:
+	case r.eventsReceived == 0 || !r.Stream:
 		return true
 	case r.pool.key.kind == kindService:
 		return false
 	case r.lastErr != nil && r.lastErr.Code == result.AnswerDigestMismatch:
 		return false
 	default:
-		return r.pool.anyResume()
+		return r.pool.canResumeAnywhere()
 	}
 }
 
-// spoilt drops what can't be trusted: after a wrong digest nobody knows which event was wrong.
-func (r *request) spoilt(code result.Code) {
+// discardUntrusted discards what may be damaged: after a digest mismatch it isn't known which event was wrong.
+func (r *request) discardUntrusted(code result.Code) {
 	r.resume = nil
 	if code == result.AnswerDigestMismatch {
-		r.startOver()
+		r.resetAnswer()
 	}
 }
 
-// startOver drops the kept part of an answer that the caller has seen nothing of.
-func (r *request) startOver() {
+// resetAnswer discards the buffered part of an answer of which the caller has received nothing.
+func (r *request) resetAnswer() {
 	if r.Stream {
 		return
 	}
-	r.delivered = 0
-	r.tokens = 0
+	r.eventsReceived = 0
+	r.tokensReceived = 0
 	r.buffer = nil
 	r.bufferSize = 0
 	r.resume = nil
 }
 
-// prepareRetry drops the kept part where it can't be continued.
+// prepareRetry discards the buffered part if it can't be continued.
 func (s *Scheduler) prepareRetry(r *request) {
-	if r.delivered > 0 && (r.pool.key.kind == kindService || !r.pool.anyResume()) {
-		r.startOver()
+	if r.eventsReceived > 0 && (r.pool.key.kind == kindService || !r.pool.canResumeAnywhere()) {
+		r.resetAnswer()
 	}
 }
--- a/sched/retries.go
+++ b/sched/retries.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// retrySlots is how many slots a window of retries is counted in. The slots reach one further back than the window.
+// retrySlots is the number of slots in which retries are counted. They cover one slot more than the window.
 const retrySlots = 11
 
-// retryShare is the part of the budget that is used. The rest covers what the last incarnation of an entry used before
-// it died.
-const retryShare = 0.8
+// usedBudgetShare is the fraction of the budget that is used. The rest covers what the previous incarnation of an
+// entry used before it crashed.
+const usedBudgetShare = 0.8
 
-// retryWindow counts a pool's requests and retries at this entry.
+// retryBudget counts a pool's requests and retries at this entry.
 //
-// When backend servers fail, each request that is tried again adds load, and all entries together can keep a service
-// down that would come back by itself. The budget is shared by what each entry sees itself: the ratio counts against
-// its own requests, and the allowance is split evenly among the entries that there are. So nothing has to be told
-// between entries, and one that is cut off keeps to its part.
-type retryWindow struct {
-	turn     int64
-	requests [retrySlots]int
-	retries  [retrySlots]int
+// When backend servers fail, each retry adds load, and all entries together can keep a service down that would
+// otherwise recover. The budget is divided using only what each entry observes itself: the ratio applies to its own
+// requests, and the allowance is split evenly among the entries of the deployment. The entries therefore exchange
+// nothing, and one that is partitioned still keeps to its part.
+type retryBudget struct {
+	newestSlot int64
+	requests   [retrySlots]int
+	retries    [retrySlots]int
 }
 
-// at brings the window up to a time and returns the slot to count in.
-func (w *retryWindow) at(now time.Time, window time.Duration) int64 {
-	turn := now.UnixNano() / int64(window/(retrySlots-1))
-	for i := max(w.turn+1, turn-retrySlots+1); i <= turn; i++ {
-		w.requests[i%retrySlots], w.retries[i%retrySlots] = 0, 0
+// advance clears the slots that have expired and returns the index of the current one.
+func (b *retryBudget) advance(now time.Time, window time.Duration) int64 {
+	current := now.UnixNano() / int64(window/(retrySlots-1))
+	for i := max(b.newestSlot+1, current-retrySlots+1); i <= current; i++ {
+		b.requests[i%retrySlots], b.retries[i%retrySlots] = 0, 0
 	}
-	w.turn = max(w.turn, turn)
-	return w.turn % retrySlots
+	b.newestSlot = max(b.newestSlot, current)
+	return b.newestSlot % retrySlots
 }
 
-func (w *retryWindow) sums() (requests, retries int) {
-	for i := range w.requests {
-		requests += w.requests[i]
-		retries += w.retries[i]
+func (b *retryBudget) totals() (requests, retries int) {
+	for i := range b.requests {
+		requests += b.requests[i]
+		retries += b.retries[i]
 	}
 	return requests, retries
 }
 
-// noteRequest counts a request for its pool's budget of retries.
-func (s *Scheduler) noteRequest(r *request) {
+// countRequest counts a request for its pool's retry budget.
+func (s *Scheduler) countRequest(r *request) {
 	if s.options.RetryRatio > 0 {
-		r.pool.retries.requests[r.pool.retries.at(s.now, s.options.RetryWindow)]++
+		r.pool.retryBudget.requests[r.pool.retryBudget.advance(s.now, s.options.RetryWindow)]++
 	}
 }
 
-// takeRetry takes one retry from the pool's budget, and tells whether there was one.
+// takeRetry takes one retry from the pool's budget, and reports whether there was one.
 func (s *Scheduler) takeRetry(r *request) bool {
 	if s.options.RetryRatio <= 0 {
 		return true
 	}
-	w := &r.pool.retries
-	slot := w.at(s.now, s.options.RetryWindow)
-	requests, retries := w.sums()
-	budget := s.options.RetryRatio*float64(requests) + float64(s.options.RetryAllowance)/float64(s.entries)
-	if float64(retries+1) > retryShare*budget {
+	w := &r.pool.retryBudget
+	slot := w.advance(s.now, s.options.RetryWindow)
+	requests, retries := w.totals()
+	budget := s.options.RetryRatio*float64(requests) + float64(s.options.RetryAllowance)/float64(s.entryCount)
+	if float64(retries+1) > usedBudgetShare*budget {
 		return false
 	}
 	w.retries[slot]++
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -10,8 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Scheduler holds everything that one entry knows of its requests. It isn't safe for concurrent use: one goroutine
-// calls all methods.
+// Scheduler holds the state of all requests of one entry. It is not safe for concurrent use: one goroutine calls
+// all methods.
 type Scheduler struct {
 	options Options
 	random  *rand.Rand
@@ -19,31 +19,31 @@
 	now     time.Time
 	actions []Action
 
-	sequence uint64 // of arrivals
-	requests map[string]*request
-	wakes    wakeHeap
-	lingers  *lingerTable
-	history  *history
-
-	pools   map[poolKey]*pool
-	dirty   []*pool
-	pumping []*pool
-	mark    uint64 // of the present walk over a queue
-	queued  [tierCount]int
-	clocks  [tierCount]*fair.Clock
-	classes map[string]*class
-
-	agents    map[string]*agent
-	servers   map[string]*server
-	directory bool // a directory was received
-	entries   int  // of the deployment
-	turn      int  // of PolicyRoundRobin
-	prefixes  *prefixTable
-	poison    *poisonTable
+	lastSequence uint64 // of the request that arrived last
+	requests     map[string]*request
+	timers       timerHeap
+	orphans      *orphanTable
+	history      *history
+
+	pools      map[poolKey]*pool
+	dirty      []*pool
+	scheduling []*pool
+	scan       uint64 // number of the current scan over a queue
+	queued     [tierCount]int
+	clocks     [tierCount]*fair.Clock
+	classes    map[string]*class
+
+	agents            map[string]*agent
+	servers           map[string]*server
+	directoryReceived bool // a directory was received
+	entryCount        int  // in the deployment
+	roundRobin        int  // server index for PolicyRoundRobin
+	prefixes          *prefixTable
+	poison            *poisonTable
 }
 
-// New returns a scheduler that knows no server and no class yet. The error, with code result.ChartInvalid, means that
-// the embedded chart doesn't fit this code.
+// New returns a scheduler without servers and classes. The error, with code result.ChartInvalid, means that the
+// embedded state chart doesn't match this code.
 func New(options Options) (*Scheduler, error) {
 	table, err := openChart()
 	if err != nil {
@@ -51,29 +51,29 @@
 	}
 	options = options.withDefaults()
 	s := &Scheduler{
-		options:  options,
-		random:   options.random(),
-		table:    table,
-		requests: map[string]*request{},
-		lingers:  newLingerTable(),
-		history:  newHistory(options.HistorySize),
-		pools:    map[poolKey]*pool{},
-		classes:  map[string]*class{},
-		agents:   map[string]*agent{},
-		servers:  map[string]*server{},
-		prefixes: newPrefixTable(options.PrefixEntries),
-		poison:   newPoisonTable(),
-		entries:  1,
+		options:    options,
+		random:     options.random(),
+		table:      table,
+		requests:   map[string]*request{},
+		orphans:    newOrphanTable(),
+		history:    newHistory(options.HistorySize),
+		pools:      map[poolKey]*pool{},
+		classes:    map[string]*class{},
+		agents:     map[string]*agent{},
+		servers:    map[string]*server{},
+		prefixes:   newPrefixTable(options.PrefixEntries),
+		poison:     newPoisonTable(),
+		entryCount: 1,
 	}
-	s.classes[baselineClass] = &class{name: baselineClass, outputs: newQuantiles(), service: newQuantiles()}
+	s.classes[baselineClass] = &class{name: baselineClass, outputTokens: newRunningMedian(), serviceTimes: newRunningMedian()}
 	for tier := range s.clocks {
 		s.clocks[tier] = fair.New()
 	}
 	return s, nil
 }
 
-// Step takes one event in and returns what to do now. The slice is valid until the next Step. Time never runs
-// backwards: an earlier now counts as the latest seen.
+// Step processes one event and returns the actions to carry out. The slice is valid until the next Step. Time never
+// goes backwards: a now earlier than the latest seen counts as the latest seen.
 func (s *Scheduler) Step(now time.Time, e Event) []Action {
 	clear(s.actions)
 	s.actions = s.actions[:0]
@@ -81,8 +81,8 @@
 		s.now = now
 	}
 	s.handle(e)
-	s.wakeDue()
-	s.pump()
+	s.runTimers()
+	s.schedulePools()
 	return s.actions
 }
 
@@ -98,10 +98,10 @@
 	case AgentDown:
 		s.agentDown(e.Agent, e.Incarnation)
 	case MessageReceived:
-		s.received(e)
+		s.handleMessage(e)
 	case Directory:
 		s.setDirectory(e.Agents)
-		s.entries = max(e.Entries, 1)
+		s.entryCount = max(e.Entries, 1)
 	case Config:
 		s.setClasses(e.Classes)
 	case CandidatesWidened:
@@ -111,81 +111,81 @@
 	case PoisonRecords:
 		s.setPoison(e.Records)
 	case CacheHint:
-		s.prefixes.hint(e.Server, e.Digest, e.Evicted)
+		s.prefixes.applyHint(e.Server, e.Digest, e.Evicted)
 	}
 }
 
-// received passes an agent's message on. A message of an incarnation that isn't the present one is dropped: what an
-// older one says was overtaken by the proof that a newer one is.
-func (s *Scheduler) received(e MessageReceived) {
+// handleMessage processes a message of an agent. A message of an incarnation other than the current one is dropped:
+// reports of an older incarnation are superseded by the proof that a newer one exists.
+func (s *Scheduler) handleMessage(e MessageReceived) {
 	a := s.agents[e.Agent]
 	if a == nil || a.incarnation != e.Incarnation {
-		s.countStray(strayIncarnation)
+		s.countDropped(droppedIncarnation)
 		return
 	}
 	switch m := e.Message.GetKind().(type) {
 	case *wire.AgentMessage_Room:
-		s.room(a, m.Room)
+		s.roomReceived(a, m.Room)
 	case *wire.AgentMessage_Offer:
-		s.offer(a, m.Offer)
+		s.offerReceived(a, m.Offer)
 	case *wire.AgentMessage_Started:
-		s.started(a, m.Started)
+		s.attemptStarted(a, m.Started)
 	case *wire.AgentMessage_Frame:
-		s.frame(a, m.Frame)
+		s.frameReceived(a, m.Frame)
 	case *wire.AgentMessage_Over:
-		s.over(a, m.Over)
+		s.attemptOver(a, m.Over)
 	}
 }
 
-func (s *Scheduler) act(a Action) {
+func (s *Scheduler) emit(a Action) {
 	s.actions = append(s.actions, a)
 }
 
-// send passes a message to the agent if its link is up, and tells whether it is.
+// send emits a message to the agent if its link is up, and reports whether it is. A nil agent has no link.
 func (s *Scheduler) send(a *agent, m *wire.EntryMessage) bool {
 	if a == nil || !a.up {
 		return false
 	}
-	s.act(Send{Agent: a.name, Incarnation: a.incarnation, Message: m})
+	s.emit(Send{Agent: a.name, Incarnation: a.incarnation, Message: m})
 	return true
 }
 
-// Labels of Count with ChartErrors and no chart: messages that fit nothing.
+// Labels of Count with ChartErrors that name no chart event: messages that match no known state.
 const (
-	strayIncarnation = "other_incarnation"
-	strayAttempt     = "other_attempt"
-	strayRequest     = "other_request"
-	strayFrame       = "duplicate_frame"
-	strayProof       = "contradicting_proof"
-	strayArrive      = "request_id_in_use"
+	droppedIncarnation = "other_incarnation"
+	droppedAttempt     = "other_attempt"
+	droppedRequest     = "other_request"
+	droppedFrame       = "duplicate_frame"
+	droppedProof       = "contradicting_proof"
+	droppedArrival     = "request_id_in_use"
 )
 
-// countStray counts a message or event that fits nothing that is known. It is dropped.
-func (s *Scheduler) countStray(label string) {
-	s.act(Count{Counter: ChartErrors, Code: result.BadMessage, Label: label, Add: 1})
+// countDropped counts a message or event that is dropped because it matches no known state.
+func (s *Scheduler) countDropped(label string) {
+	s.emit(Count{Counter: ChartErrors, Code: result.BadMessage, Label: label, Add: 1})
 }
 
 // Labels of Count with Retries.
 const (
-	retryNeverStarted = "never_started"
-	retryReservation  = "reservation_refused"
-	retryFailed       = "engine_failed"
-	retryCancelled    = "cancelled"
-	retryPreempted    = "preempted"
-	retryLost         = "agent_restarted"
-	retryProved       = "engine_proved"
-	retryIncomplete   = "answer_incomplete"
-	retryDigest       = "answer_digest_mismatch"
+	retryNeverStarted       = "never_started"
+	retryReservationRefused = "reservation_refused"
+	retryEngineFailed       = "engine_failed"
+	retryCancelled          = "cancelled"
+	retryPreempted          = "preempted"
+	retryAgentRestarted     = "agent_restarted"
+	retryEngineProved       = "engine_proved"
+	retryIncomplete         = "answer_incomplete"
+	retryDigestMismatch     = "answer_digest_mismatch"
 )
 
-// RetryReasons returns the labels of the counter Retries.
+// RetryReasons returns all labels of the counter Retries.
 func RetryReasons() []string {
 	return []string{
-		retryNeverStarted, retryReservation, retryFailed, retryCancelled, retryPreempted, retryLost, retryProved,
-		retryIncomplete, retryDigest,
+		retryNeverStarted, retryReservationRefused, retryEngineFailed, retryCancelled, retryPreempted, retryAgentRestarted, retryEngineProved,
+		retryIncomplete, retryDigestMismatch,
 	}
 }
 
 func (s *Scheduler) countRetry(r *request, reason string) {
-	s.act(Count{Counter: Retries, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Label: reason, Add: 1})
+	s.emit(Count{Counter: Retries, Tier: r.Class.GetTier(), Class: r.Class.GetName(), Label: reason, Add: 1})
 }
--- a/sched/servers.go
+++ b/sched/servers.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// agent is an agent that was linked, or is in the directory.
+// agent is an agent that is or was linked, or is in the directory.
 type agent struct {
 	name        string
 	incarnation uint64 // highest seen on a link
@@ -22,25 +22,25 @@
 
 // server is a backend server.
 type server struct {
-	name      string
-	agent     *agent
-	kind      string
-	address   string
-	listed    bool // in the directory, and not on its way out there
-	record    *wire.ServerRecord
-	room      *wire.Room // of the present link; nil until one came
-	roomAt    time.Time
-	ready     bool // may have new work, see isReady
-	hasRoom   bool
-	pools     []*pool
-	waiting   map[*request]struct{} // requests with a reservation here
-	inflight  int                   // attempts of this entry
-	unacked   int                   // dispatched, and the agent hasn't answered
-	sinceRoom int                   // acknowledged since the last Room, which may not count them
-	pace      pace
+	name           string
+	agent          *agent
+	kind           string
+	address        string
+	listed         bool // in the directory, and not leaving
+	record         *wire.ServerRecord
+	room           *wire.Room // last report on the current link; nil before the first
+	roomAt         time.Time
+	ready          bool // may have new work, see isReady
+	hasRoom        bool
+	pools          []*pool
+	reservedBy     map[*request]struct{} // requests with a reservation here
+	inflight       int                   // attempts of this entry
+	unacked        int                   // dispatched and not acknowledged by the agent
+	ackedSinceRoom int                   // acknowledged since the last Room, which may not count them
+	correction     runCorrection
 }
 
-// agentNamed returns the agent, which is made if it isn't known.
+// agentNamed returns the agent, creating it if it is unknown.
 func (s *Scheduler) agentNamed(name string) *agent {
 	a := s.agents[name]
 	if a == nil {
@@ -50,84 +50,85 @@
 	return a
 }
 
-// setDirectory takes the committed directory in. A server that isn't in it any more gets no new work from now on,
-// whatever its agent says.
+// setDirectory applies the committed directory. A server that is no longer in it gets no new work, whatever its
+// agent reports.
 func (s *Scheduler) setDirectory(records []*wire.AgentRecord) {
-	s.directory = true
+	s.directoryReceived = true
 	listed := map[string]bool{}
 	for _, record := range records {
 		a := s.agentNamed(record.GetAgent())
 		a.zone = record.GetAvailabilityZone()
 		for _, server := range record.GetServers() {
 			listed[server.GetServer()] = true
-			s.list(a, server)
+			s.listServer(a, server)
 		}
 	}
 	for _, v := range s.sortedServers() {
 		if !listed[v.name] {
-			s.unlist(v)
+			s.unlistServer(v)
 		}
 	}
-	s.forgetAgents()
+	s.removeUnusedAgents()
 }
 
-func (s *Scheduler) list(a *agent, record *wire.ServerRecord) {
+func (s *Scheduler) listServer(a *agent, record *wire.ServerRecord) {
 	v := s.serverNamed(a, record.GetServer())
 	if v.agent != a {
-		s.move(v, a)
+		s.moveServer(v, a)
 	}
 	v.record = record
 	v.kind = record.GetKind()
 	v.address = record.GetAddress()
 	v.listed = inService(record.GetCondition())
-	s.place(v)
-	s.refresh(v)
+	s.updatePools(v)
+	s.updateReadiness(v)
 }
 
-// inService tells whether the directory's condition allows new work. A record that says nothing does.
+// inService reports whether the directory's condition allows new work. An unspecified condition does.
 func inService(c wire.ServerCondition) bool {
 	return c == wire.ServerCondition_SERVER_CONDITION_READY || c == wire.ServerCondition_SERVER_CONDITION_UNSPECIFIED
 }
 
-func (s *Scheduler) unlist(v *server) {
+func (s *Scheduler) unlistServer(v *server) {
 	v.listed = false
 	v.record = nil
-	s.refresh(v)
-	s.place(v)
+	s.updateReadiness(v)
+	s.updatePools(v)
 	if v.inflight == 0 && v.room == nil {
 		delete(v.agent.servers, v.name)
 		delete(s.servers, v.name)
 	}
 }
 
-// move gives a server to another agent, as when an instance was replaced. Its attempts stay with the old one.
-func (s *Scheduler) move(v *server, a *agent) {
+// moveServer assigns a server to another agent, as when an instance was replaced. Its attempts stay with the old
+// one.
+func (s *Scheduler) moveServer(v *server, a *agent) {
 	v.room = nil
-	s.refresh(v)
+	s.updateReadiness(v)
 	delete(v.agent.servers, v.name)
 	v.agent = a
 	a.servers[v.name] = v
-	v.unacked, v.sinceRoom = 0, 0
+	v.unacked, v.ackedSinceRoom = 0, 0
 }
 
 func (s *Scheduler) serverNamed(a *agent, name string) *server {
 	v := s.servers[name]
 	if v == nil {
-		v = &server{name: name, agent: a, waiting: map[*request]struct{}{}}
+		v = &server{name: name, agent: a, reservedBy: map[*request]struct{}{}}
 		s.servers[name] = v
 		a.servers[name] = v
 	}
 	return v
 }
 
-// HasAttempts tells whether attempts of this entry are at an agent.
+// HasAttempts reports whether the agent has attempts of this entry.
 func (s *Scheduler) HasAttempts(agent string) bool {
 	a := s.agents[agent]
 	return a != nil && len(a.attempts) > 0
 }
 
-// forgetAgents drops the agents that nothing refers to. One that was linked is kept while it is up.
-func (s *Scheduler) forgetAgents() {
+// removeUnusedAgents removes agents that nothing refers to and whose link is down.
+func (s *Scheduler) removeUnusedAgents() {
 	for name, a := range s.agents {
 		if !a.up && len(a.servers) == 0 && len(a.attempts) == 0 {
 			delete(s.agents, name)
@@ -135,49 +136,49 @@
 	}
 }
 
-// room takes in what a gate can take now.
-func (s *Scheduler) room(a *agent, m *wire.Room) {
+// roomReceived handles a gate's report of its room.
+func (s *Scheduler) roomReceived(a *agent, m *wire.Room) {
 	v := s.serverNamed(a, m.GetServer())
 	if v.agent != a || !a.up {
-		s.countStray(strayIncarnation)
+		s.countDropped(droppedIncarnation)
 		return
 	}
 	old := v.room
 	v.room = m
 	v.roomAt = s.now
-	v.sinceRoom = 0
+	v.ackedSinceRoom = 0
 	if old == nil || !slices.Equal(old.GetTargets(), m.GetTargets()) || old.GetAddressKind() != m.GetAddressKind() {
-		s.place(v)
+		s.updatePools(v)
 	}
-	s.refresh(v)
+	s.updateReadiness(v)
 	s.serverCleared(v)
 }
 
-// place puts the server into the pools of what it has ready.
-func (s *Scheduler) place(v *server) {
+// updatePools moves the server to the pools of the targets that it has ready.
+func (s *Scheduler) updatePools(v *server) {
 	for _, p := range v.pools {
-		p.take(v)
+		p.removeServer(v)
 	}
 	old := v.pools
 	v.pools = nil
-	kind, targets := v.offers()
+	kind, targets := v.advertised()
 	for _, target := range targets {
 		p := s.pool(poolKey{kind: kind, target: target})
-		p.put(v)
+		p.addServer(v)
 		v.pools = append(v.pools, p)
 	}
 	for _, p := range old {
-		s.touch(p)
-		s.forget(p)
+		s.markDirty(p)
+		s.removeIfUnused(p)
 	}
 	for _, p := range v.pools {
-		s.touch(p)
+		s.markDirty(p)
 	}
 	s.dropReservations(v, func(r *request) bool { return !r.pool.has(v) })
 }
 
-// offers says what a listed server has: by its last Room, else by the directory.
-func (v *server) offers() (kind string, targets []string) {
+// advertised returns the targets that a listed server has: by its last Room, or by the directory without one.
+func (v *server) advertised() (kind string, targets []string) {
 	if v.record == nil {
 		return "", nil
 	}
@@ -190,30 +191,30 @@
 	return v.room.GetAddressKind(), v.room.GetTargets()
 }
 
-func (p *pool) put(v *server) {
+func (p *pool) addServer(v *server) {
 	at, ok := p.search(v.name)
 	if ok {
 		return
 	}
 	p.servers = slices.Insert(p.servers, at, v)
-	p.count(v, 1)
+	p.adjustCounts(v, 1)
 }
 
-func (p *pool) take(v *server) {
+func (p *pool) removeServer(v *server) {
 	at, ok := p.search(v.name)
 	if !ok {
 		return
 	}
 	p.servers = slices.Delete(p.servers, at, at+1)
-	p.count(v, -1)
+	p.adjustCounts(v, -1)
 }
 
-func (p *pool) count(v *server, n int) {
+func (p *pool) adjustCounts(v *server, n int) {
 	if v.ready {
 		p.ready += n
 	}
 	if v.hasRoom {
-		p.roomy += n
+		p.withRoom += n
 	}
 }
 
@@ -223,80 +224,82 @@
 	})
 }
 
-// refresh looks again at whether the server may have new work and has room, after anything that bears on it changed.
-func (s *Scheduler) refresh(v *server) {
-	ready, hasRoom := v.isReady(), s.usable(v) > 0
+// updateReadiness recomputes whether the server may have new work and has room. It is called after every change
+// that may affect this.
+func (s *Scheduler) updateReadiness(v *server) {
+	ready, hasRoom := v.isReady(), s.usableRoom(v) > 0
 	if ready == v.ready && hasRoom == v.hasRoom {
 		return
 	}
-	gone := v.ready && !ready
+	unready := v.ready && !ready
 	for _, p := range v.pools {
-		p.count(v, -1)
+		p.adjustCounts(v, -1)
 	}
 	v.ready, v.hasRoom = ready, hasRoom
 	for _, p := range v.pools {
-		p.count(v, 1)
-		s.touch(p)
+		p.adjustCounts(v, 1)
+		s.markDirty(p)
 	}
-	if gone {
+	if unready {
 		s.dropReservations(v, func(*request) bool { return true })
 	}
 }
 
-// isReady tells whether the server may have new work. Three independent signs stop it, each at once: the directory,
-// the link, and the gate's own word. A server that leaves while one of them fails to say so is stopped by another.
-func (v *server) isReady() bool { return v.isSound() && !v.isAway() }
+// isReady reports whether the server may have new work. Any of three independent signals stops new work at once:
+// the directory, the link, and the gate's own report. If one of them fails to show that a server leaves, another
+// does.
+func (v *server) isReady() bool { return v.isHealthy() && !v.inBackoff() }
 
-// isSound tells whether nothing but its own wish keeps new work from the server.
-func (v *server) isSound() bool {
+// isHealthy reports whether the server may have new work, apart from a back-off that it requested.
+func (v *server) isHealthy() bool {
 	return v.listed && v.agent.up && v.room != nil && v.room.GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
 }
 
-// isAway tells whether the server has asked to keep away for a while. Its reservations go to other servers meanwhile.
-func (v *server) isAway() bool { return v.room.GetThrottle() == wire.Throttle_THROTTLE_BACKOFF }
+// inBackoff reports whether the server has requested back-off. Its reservations move to other servers meanwhile.
+func (v *server) inBackoff() bool { return v.room.GetThrottle() == wire.Throttle_THROTTLE_BACKOFF }
 
-// usable is how many attempts may be dispatched to the server without an Offer.
-func (s *Scheduler) usable(v *server) int {
+// usableRoom returns how many attempts may be dispatched to the server without an Offer. It may be negative.
+func (s *Scheduler) usableRoom(v *server) int {
 	if !v.isReady() {
 		return 0
 	}
 	if s.options.Policy != PolicyTargets {
 		return s.options.MaxOutstanding - v.inflight
 	}
-	return int(v.room.GetFree()) - v.unacked - v.sinceRoom
+	return int(v.room.GetFree()) - v.unacked - v.ackedSinceRoom
 }
 
-// sent counts a dispatch against the room that was advertised before it.
-func (v *server) sent(*attempt) {
+// attemptSent counts a dispatch against the room advertised before it.
+func (v *server) attemptSent(*attempt) {
 	v.inflight++
 	v.unacked++
 }
 
-// acknowledged notes that the agent knows the attempt. The room held may be from before it.
-func (v *server) acknowledged(*attempt) {
+// attemptAcknowledged records that the agent knows the attempt. The last Room may predate it.
+func (v *server) attemptAcknowledged(*attempt) {
 	v.unacked = max(v.unacked-1, 0)
-	v.sinceRoom++
+	v.ackedSinceRoom++
 }
 
-func (v *server) over(a *attempt) {
+func (v *server) attemptOver(a *attempt) {
 	v.inflight--
 	if !a.acked {
 		v.unacked = max(v.unacked-1, 0)
 	}
 }
 
-// refused notes that the gate had no room after all: none is believed until it says so again.
-func (v *server) refused() {
+// attemptRefused records that the gate had no room after all: its room counts as used up until its next report.
+func (v *server) attemptRefused() {
 	if v.room != nil {
-		v.sinceRoom = max(v.sinceRoom, int(v.room.GetFree()))
+		v.ackedSinceRoom = max(v.ackedSinceRoom, int(v.room.GetFree()))
 	}
 }
 
 func (s *Scheduler) sortedServers() []*server {
-	return sortedOf(s.servers)
+	return sortedByName(s.servers)
 }
 
-func sortedOf(servers map[string]*server) []*server {
+func sortedByName(servers map[string]*server) []*server {
 	return slices.SortedFunc(maps.Values(servers), func(a, b *server) int { return cmp.Compare(a.name, b.name) })
 }
 
--- a/sched/servers_test.go
+++ b/sched/servers_test.go
@@ -10,188 +10,186 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestServerThatLeftGetsNothingNew(t *testing.T) {
-	// Symptom: a server that leaves goes on getting work.
-	// Sequence: one of the three signs that it leaves comes; the two others go on saying that it is there.
-	// Cause: a sign that isn't looked at, or not from that moment on.
+// Guards against sending work to a server that is leaving: one of three signals shows that it leaves, while the
+// other two still show it as present. Each signal must stop new work at once.
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	rows := []struct {
 		name  string
-		leave func(w *world)
+		leave func(h *harness)
 	}{
-		{"removed from the directory", func(w *world) { w.step(Directory{}) }},
-		{"draining in the directory", func(w *world) {
-			w.records[0].Servers[0].Condition = wire.ServerCondition_SERVER_CONDITION_DRAINING
-			w.step(Directory{Agents: w.records})
+		{"removed from the directory", func(h *harness) { h.step(Directory{}) }},
+		{"draining in the directory", func(h *harness) {
+			h.records[0].Servers[0].Condition = wire.ServerCondition_SERVER_CONDITION_DRAINING
+			h.step(Directory{Agents: h.records})
 		}},
-		{"link down", func(w *world) { w.down("s1") }},
-		{"gate draining", func(w *world) { w.condition("s1", wire.ServerCondition_SERVER_CONDITION_DRAINING) }},
-		{"gate suspect", func(w *world) { w.condition("s1", wire.ServerCondition_SERVER_CONDITION_SUSPECT) }},
-		{"gate of another model", func(w *world) { w.room("s1", kindModel, "other", 4) }},
+		{"link down", func(h *harness) { h.linkDown("s1") }},
+		{"gate draining", func(h *harness) { h.reportCondition("s1", wire.ServerCondition_SERVER_CONDITION_DRAINING) }},
+		{"gate suspect", func(h *harness) { h.reportCondition("s1", wire.ServerCondition_SERVER_CONDITION_SUSPECT) }},
+		{"gate of another model", func(h *harness) { h.reportRoom("s1", kindModel, "other", 4) }},
 	}
 	for _, row := range rows {
 		t.Run(row.name+", free room", func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 4)
-			row.leave(w)
-			w.arrive("r", appeal)
-			w.pass(5 * time.Second)
-			assert.Empty(t, w.dispatches("r"))
-			assert.Empty(t, w.reserves("r"))
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 4)
+			row.leave(h)
+			h.arrive("r", appeal)
+			h.advance(5 * time.Second)
+			assert.Empty(t, h.dispatches("r"))
+			assert.Empty(t, h.reserves("r"))
 		})
 		t.Run(row.name+", reserved", func(t *testing.T) {
-			w := newWorld(t, Options{})
-			w.serve("s1", kindModel, testModel, 0)
-			w.arrive("r", appeal)
-			res := w.reserves("r")
+			h := newHarness(t, Options{})
+			h.addServer("s1", kindModel, testModel, 0)
+			h.arrive("r", appeal)
+			res := h.reserves("r")
 			require.Len(t, res, 1)
-			row.leave(w)
-			w.offer("s1", res[0].id)
-			w.pass(5 * time.Second)
-			assert.Empty(t, w.dispatches("r"))
-			assert.Len(t, w.reserves("r"), 1)
+			row.leave(h)
+			h.offer("s1", res[0].id)
+			h.advance(5 * time.Second)
+			assert.Empty(t, h.dispatches("r"))
+			assert.Len(t, h.reserves("r"), 1)
 		})
 	}
 }
 
-func (w *world) condition(server string, c wire.ServerCondition) {
-	w.t.Helper()
+func (h *harness) reportCondition(server string, c wire.ServerCondition) {
+	h.t.Helper()
 	room := readyRoom(server, kindModel, testModel, 4)
 	room.Condition = c
-	w.say(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	h.receive(server, &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 }
 
-func TestDispatchLooksAtTheServerOnceMore(t *testing.T) {
-	// Symptom: a server that leaves, or that a key's record doesn't name, gets work.
-	// Sequence: whatever leads some code to dispatch to it.
-	// Cause: the last look before the body is sent left out.
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.serve("other", kindModel, "another", 4)
-	w.serve("down", kindModel, testModel, 4)
-	w.down("down")
-	w.arrive("r", appeal)
-	w.arriveKeyed("keyed", appeal, "s1")
+// Guards against dispatching to a server that is leaving or that the key's record doesn't allow, whichever code
+// asks for it: dispatch must check the server before it sends the body.
+func TestDispatchChecksTheServerAgain(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.addServer("other", kindModel, "another", 4)
+	h.addServer("down", kindModel, testModel, 4)
+	h.linkDown("down")
+	h.arrive("r", appeal)
+	h.arriveKeyed("keyed", appeal, "s1")
 	rows := []struct{ request, server string }{{"r", "other"}, {"r", "down"}, {"keyed", "unnamed"}}
 	for _, row := range rows {
 		if row.request == "keyed" {
-			w.serve("unnamed", kindModel, testModel, 0)
+			h.addServer("unnamed", kindModel, testModel, 0)
 		}
-		w.s.dispatch(w.s.requests[row.request], w.s.servers[row.server], false)
-		assert.Empty(t, w.s.requests[row.request].attempts, row.server)
+		h.s.dispatch(h.s.requests[row.request], h.s.servers[row.server], false)
+		assert.Empty(t, h.s.requests[row.request].attempts, row.server)
 	}
 }
 
-func TestAttemptInFlightAtLeavingServerGoesOn(t *testing.T) {
-	w, d := twoServers(t, summary)
-	w.condition(d.server, wire.ServerCondition_SERVER_CONDITION_DRAINING)
-	w.step(Directory{})
-	assert.Empty(t, w.cancels("r"))
-	w.frame(d.server, d.id, 0, "a")
-	w.complete(d.server, d.id, 0, "a")
-	assert.Contains(t, w.answers, "r")
+// Guards against cancelling attempts at a server that is leaving: the server drains and is removed from the
+// directory, and its attempt must still complete.
+func TestAttemptInFlightAtLeavingServerCompletes(t *testing.T) {
+	h, d := newTwoServerHarness(t, summary)
+	h.reportCondition(d.server, wire.ServerCondition_SERVER_CONDITION_DRAINING)
+	h.step(Directory{})
+	assert.Empty(t, h.cancels("r"))
+	h.frame(d.server, d.id, 0, "a")
+	h.complete(d.server, d.id, 0, "a")
+	assert.Contains(t, h.answers, "r")
 }
 
-func TestRoomBeforeTheDirectoryCountsOnceListed(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.up("s1", 1)
-	w.room("s1", kindModel, testModel, 4)
-	w.arrive("r", summary)
-	assert.Empty(t, w.dispatches("r"))
-	w.list("s1", kindModel, testModel)
-	w.last("r", 1)
+// Guards against losing a Room report that arrives before the directory lists the server.
+func TestRoomReceivedBeforeDirectoryCountsOnceListed(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.linkUp("s1", 1)
+	h.reportRoom("s1", kindModel, testModel, 4)
+	h.arrive("r", summary)
+	assert.Empty(t, h.dispatches("r"))
+	h.listServer("s1", kindModel, testModel)
+	h.lastDispatch("r", 1)
 }
 
-func TestAdvertisedRoomIsNotGivenOutTwice(t *testing.T) {
-	// Symptom: gates refuse most dispatches.
-	// Sequence: a gate advertises two attempts; five requests arrive before its next report.
-	// Cause: own dispatches in flight not counted against the room.
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 2)
+// Guards against gates that refuse most dispatches: a gate advertises room for two attempts, and five requests
+// arrive before its next report. Own dispatches in flight must count against the room.
+func TestAdvertisedRoomIsNotUsedTwice(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 2)
 	total := 0
 	ids := []string{"a", "b", "c", "d", "e"}
 	for _, id := range ids {
-		w.arrive(id, summary)
-		total += len(w.dispatches(id))
+		h.arrive(id, summary)
+		total += len(h.dispatches(id))
 	}
 	assert.Equal(t, 2, total)
-	// The agent knows of both, but this report may be from before them.
+	// The agent knows of both, but the last report may predate them.
 	for _, id := range ids[:2] {
-		w.say("s1", started(w.last(id, 1)))
+		h.receive("s1", started(h.lastDispatch(id, 1)))
 	}
-	assert.Empty(t, w.dispatches("c"))
-	// Another one may have the slot that is free now; the gate will say.
-	w.complete("s1", w.last("a", 1).id, 0)
-	assert.Empty(t, w.dispatches("c"))
-	w.room("s1", kindModel, testModel, 1)
-	assert.Len(t, w.dispatches("c"), 1)
-	assert.Empty(t, w.dispatches("d"))
+	assert.Empty(t, h.dispatches("c"))
+	// Another entry may have the slot that is free now; the gate will report it.
+	h.complete("s1", h.lastDispatch("a", 1).id, 0)
+	assert.Empty(t, h.dispatches("c"))
+	h.reportRoom("s1", kindModel, testModel, 1)
+	assert.Len(t, h.dispatches("c"), 1)
+	assert.Empty(t, h.dispatches("d"))
 }
 
-func TestRefusedDispatchTriesElsewhereAtOnce(t *testing.T) {
-	w, d := twoServers(t, summary)
-	w.prove(d.server, d.id, wire.Proof_PROOF_NEVER_STARTED)
-	assert.Equal(t, d.other(), w.last("r", 2).server)
-	assert.Equal(t, uint64(1), w.counted(Retries, retryNeverStarted))
+// Guards against a delay after a refused dispatch while another server has room; the retry must be counted.
+func TestRefusedDispatchIsRetriedElsewhereAtOnce(t *testing.T) {
+	h, d := newTwoServerHarness(t, summary)
+	h.prove(d.server, d.id, wire.Proof_PROOF_NEVER_STARTED)
+	assert.Equal(t, d.other(), h.lastDispatch("r", 2).server)
+	assert.Equal(t, uint64(1), h.countedWithLabel(Retries, retryNeverStarted))
 }
 
+// Guards against an endless exchange of dispatches and refusals: all gates refuse although they have advertised
+// room. The request must back off.
 func TestRefusedEverywhereBacksOff(t *testing.T) {
-	// Symptom: an entry and its gates send each other dispatches and refusals without pause.
-	// Sequence: all gates refuse although they have advertised room.
-	// Cause: no back-off.
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 4)
-	w.arrive("r", appeal)
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 4)
+	h.arrive("r", appeal)
 	for range 50 {
-		d := w.dispatches("r")
-		w.prove("s1", d[len(d)-1].id, wire.Proof_PROOF_NEVER_STARTED)
-		w.room("s1", kindModel, testModel, 4)
-		w.pass(backOffMost / 4)
+		d := h.dispatches("r")
+		h.prove("s1", d[len(d)-1].id, wire.Proof_PROOF_NEVER_STARTED)
+		h.reportRoom("s1", kindModel, testModel, 4)
+		h.advance(maxBackoff / 4)
 	}
-	assert.Less(t, len(w.dispatches("r")), 30)
-	assert.Greater(t, len(w.dispatches("r")), 5)
+	assert.Less(t, len(h.dispatches("r")), 30)
+	assert.Greater(t, len(h.dispatches("r")), 5)
 }
 
+// Guards against a request that waits until its deadline at gates that have refused it: every gate refuses the
+// reservation and keeps a tombstone for its number. The request must reserve again under a new number.
 func TestRefusedReservationIsPlacedElsewhere(t *testing.T) {
-	// Symptom: a request waits until its deadline at gates that have refused it.
-	// Sequence: every gate refuses the reservation, which leaves a tombstone for its number there.
-	// Cause: the refusal isn't taken, or the same number is tried again.
-	w := newWorld(t, Options{})
-	w.serve("s1", kindModel, testModel, 0)
-	w.arrive("r", appeal)
-	first := w.reserves("r")[0]
-	w.prove("s1", first.id, wire.Proof_PROOF_NEVER_STARTED)
-	w.pass(2 * backOffMost)
-	again := w.reserves("r")
+	h := newHarness(t, Options{})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.arrive("r", appeal)
+	first := h.reserves("r")[0]
+	h.prove("s1", first.id, wire.Proof_PROOF_NEVER_STARTED)
+	h.advance(2 * maxBackoff)
+	again := h.reserves("r")
 	require.Len(t, again, 2)
 	assert.Greater(t, again[1].id.GetNumber(), first.id.GetNumber())
 }
 
-func TestReservationsAreMadeUpForAndRenewed(t *testing.T) {
-	// Symptom: a request waits at one slow gate while others are idle soon.
-	// Sequence: two of the three servers that it waits at leave, and others come.
-	// Cause: reservations placed once only.
-	w := newWorld(t, Options{})
+// Guards against a request that waits at one slow gate while others become idle: two of the three servers where it
+// has reservations leave, and others join. Lost reservations must be replaced.
+func TestLostReservationsAreReplacedAndRenewed(t *testing.T) {
+	h := newHarness(t, Options{})
 	for _, name := range []string{"s1", "s2", "s3"} {
-		w.serve(name, kindModel, testModel, 0)
+		h.addServer(name, kindModel, testModel, 0)
 	}
-	w.arrive("r", appeal)
-	require.Len(t, w.reserves("r"), 3)
-	w.down("s1")
-	w.down("s2")
-	w.serve("s4", kindModel, testModel, 0)
-	w.serve("s5", kindModel, testModel, 0)
-	w.pass(reservationRenewal)
+	h.arrive("r", appeal)
+	require.Len(t, h.reserves("r"), 3)
+	h.linkDown("s1")
+	h.linkDown("s2")
+	h.addServer("s4", kindModel, testModel, 0)
+	h.addServer("s5", kindModel, testModel, 0)
+	h.advance(reservationInterval)
 	var servers []string
-	for _, res := range w.reserves("r")[3:] {
+	for _, res := range h.reserves("r")[3:] {
 		servers = append(servers, res.server)
 	}
 	assert.ElementsMatch(t, []string{"s3", "s4", "s5"}, servers)
-	assert.Len(t, w.s.servers["s4"].waiting, 1)
+	assert.Len(t, h.s.servers["s4"].reservedBy, 1)
 }
 
-func (w *world) counted(c Counter, label string) uint64 {
+func (h *harness) countedWithLabel(c Counter, label string) uint64 {
 	n := uint64(0)
-	for _, count := range w.counts {
+	for _, count := range h.counts {
 		if count.Counter == c && count.Label == label {
 			n += count.Add
 		}
@@ -199,72 +197,78 @@
 	return n
 }
 
-func TestLongPromptGoesWhereItsPrefixIs(t *testing.T) {
-	w := newWorld(t, Options{SampledServers: 2})
+// Guards against computing a long prompt again although a server has its prefix cached, as far as known from own
+// dispatches and cache events.
+func TestLongPromptPrefersServerWithCachedPrefix(t *testing.T) {
+	h := newHarness(t, Options{SampledServers: 2})
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 	for _, name := range names {
-		w.serve(name, kindModel, testModel, 100)
+		h.addServer(name, kindModel, testModel, 100)
 	}
 	send := func(id string) string {
-		r := w.request(id, summary)
+		r := h.request(id, summary)
 		r.PromptTokens, r.Prefix = 4000, []uint64{1, 2, 3}
-		w.step(Arrive{Request: r})
-		return w.last(id, 1).server
+		h.step(Arrive{Request: r})
+		return h.lastDispatch(id, 1).server
 	}
 	first := send("r1")
 	assert.Equal(t, first, send("r2"))
 	for digest := uint64(1); digest <= 3; digest++ {
-		w.step(CacheHint{Server: first, Digest: digest, Evicted: true})
-		w.step(CacheHint{Server: "j", Digest: digest})
+		h.step(CacheHint{Server: first, Digest: digest, Evicted: true})
+		h.step(CacheHint{Server: "j", Digest: digest})
 	}
 	assert.Equal(t, "j", send("r3"))
 }
 
+// Guards against unbounded memory for prefix digests, and against list entries that remain after their eviction.
 func TestPrefixTableIsBounded(t *testing.T) {
 	p := newPrefixTable(100)
 	for i := range uint64(1000) {
 		p.add("s", i)
 	}
 	assert.Len(t, p.entries, 100)
-	assert.Equal(t, 1, p.cached("s", []uint64{999}))
-	assert.Equal(t, 0, p.cached("s", []uint64{0}))
+	assert.Equal(t, 1, p.cachedBlocks("s", []uint64{999}))
+	assert.Equal(t, 0, p.cachedBlocks("s", []uint64{0}))
 	for i := range uint64(1000) {
-		p.hint("s", i, true)
+		p.applyHint("s", i, true)
 	}
 	assert.Empty(t, p.entries)
 	assert.Nil(t, p.newest)
 	assert.Nil(t, p.oldest)
 }
 
-func TestExplainSaysWhy(t *testing.T) {
-	w := newWorld(t, Options{HistorySize: 2})
-	w.serve("s1", kindModel, testModel, 0)
-	w.list("s2", kindModel, testModel)
-	w.arrive("r", appeal)
-	e, ok := w.s.Explain("r")
+// Guards against explanations without the reasons for passing over servers, and against unbounded memory for
+// finished requests.
+func TestExplainReportsReasons(t *testing.T) {
+	h := newHarness(t, Options{HistorySize: 2})
+	h.addServer("s1", kindModel, testModel, 0)
+	h.listServer("s2", kindModel, testModel)
+	h.arrive("r", appeal)
+	e, ok := h.s.Explain("r")
 	require.True(t, ok)
 	assert.Equal(t, "reserved", e.State)
 	assert.Equal(t, []string{"s1"}, e.Reservations)
 	assert.Equal(t, []PassedOver{{Server: "s1", Reason: PassedNoRoom}, {Server: "s2", Reason: PassedLinkDown}}, e.PassedOver)
-	w.offer("s1", w.reserves("r")[0].id)
-	w.complete("s1", w.last("r", 1).id, 0)
-	e, ok = w.s.Explain("r")
+	h.offer("s1", h.reserves("r")[0].id)
+	h.complete("s1", h.lastDispatch("r", 1).id, 0)
+	e, ok = h.s.Explain("r")
 	require.True(t, ok, "finished requests are still known")
 	require.Len(t, e.Attempts, 1)
 	assert.Equal(t, "PROOF_COMPLETED", e.Attempts[0].Proof)
 	for _, id := range []string{"x", "y"} {
-		w.arrive(id, appeal)
-		w.step(CallerLeft{Request: id})
+		h.arrive(id, appeal)
+		h.step(CallerLeft{Request: id})
 	}
-	_, ok = w.s.Explain("r")
-	assert.False(t, ok, "but only so many")
-	assert.Len(t, w.s.history.byID, 2)
+	_, ok = h.s.Explain("r")
+	assert.False(t, ok, "only the last HistorySize requests are known")
+	assert.Len(t, h.s.history.byID, 2)
 }
 
+// Guards against a status that leaves out attempts at an unreachable agent.
 func TestStatus(t *testing.T) {
-	w, d := twoServers(t, summary)
-	w.down(d.server)
-	st := w.s.Status()
+	h, d := newTwoServerHarness(t, summary)
+	h.linkDown(d.server)
+	st := h.s.Status()
 	assert.Equal(t, 1, st.Dispatched)
 	assert.Equal(t, 1, st.AwaitingProof)
 	assert.Len(t, st.Servers, 2)
--- a/sched/shed.go
+++ b/sched/shed.go
@@ -2,9 +2,9 @@
 
 import "github.com/carawaypitch/carawaypitch/result"
 
-// shed holds the queue to its bound: while it is over, the worst ordered request of the lowest tier is refused. No
-// request is shed while one of a lower tier is queued. Tier 1 is shed only with fresh evidence that no lower tier is
-// served in its pool; without that the queue grows past its bound until deadlines empty it.
+// shed keeps the queue within its bound: while it is exceeded, the last request in order of the lowest tier is
+// refused. No request is shed while one of a lower tier is queued. Tier 1 is shed only with current reports that no
+// lower tier is served in its pool; without them the queue exceeds its bound until deadlines empty it.
 func (s *Scheduler) shed() {
 	for s.totalQueued() > s.options.MaxQueued {
 		r := s.victim()
@@ -12,7 +12,7 @@
 			return
 		}
 		code := result.QueueFull
-		if s.options.Policy == PolicyTargets && s.higherQueued(r.tier) {
+		if s.options.Policy == PolicyTargets && s.higherTierQueued(r.tier) {
 			code = result.ShedForHigherTier
 		}
 		s.refuse(r, result.New(code, ""))
@@ -27,7 +27,7 @@
 	return n
 }
 
-func (s *Scheduler) higherQueued(tier int) bool {
+func (s *Scheduler) higherTierQueued(tier int) bool {
 	for higher := range tier {
 		if s.queued[higher] > 0 {
 			return true
@@ -36,19 +36,20 @@
 	return false
 }
 
-// victim is the worst ordered queued request of the lowest tier over all pools.
+// victim returns the queued request of the lowest tier that is last in order over all pools, or nil.
 func (s *Scheduler) victim() *request {
 	for tier := tierCount - 1; tier >= 0; tier-- {
 		if s.queued[tier] == 0 {
 			continue
 		}
-		return s.worstOf(tier)
+		return s.worstQueued(tier)
 	}
 	return nil
 }
 
-// worstOf compares the pools' worst by deadline, then by arrival, so that the order of the map doesn't matter.
-func (s *Scheduler) worstOf(tier int) *request {
+// worstQueued compares the last requests of the pools by rank, then by arrival, so that the result doesn't depend
+// on map order.
+func (s *Scheduler) worstQueued(tier int) *request {
 	var worst *request
 	for _, p := range s.pools {
 		r := p.tiers[tier].worst(s.now)
--- a/sched/spread_test.go
+++ b/sched/spread_test.go
@@ -9,9 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func (w *world) reserving(organisation string, tier int) int {
+func (h *harness) reservedCount(organisation string, tier int) int {
 	n := 0
-	for _, r := range w.s.requests {
+	for _, r := range h.s.requests {
 		if r.Organisation == organisation && r.tier == tier && len(r.reservations) > 0 {
 			n++
 		}
@@ -19,35 +19,33 @@
 	return n
 }
 
+// Guards against unequal shares between organisations of equal demand: two organisations with long backlogs share
+// an entry. An organisation is charged at dispatch, so without a cost for reservations its tag would stay the
+// lowest, all reservations would be of one organisation, and the gates wouldn't see the other.
 func TestReservationsAreSpreadOverOrganisations(t *testing.T) {
-	// Symptom: of two organisations with the same demand the one with an entry of its own gets more.
-	// Sequence: two organisations with long backlogs share an entry; all its reservations are of the first one.
-	// Cause: an organisation is charged at the dispatch, so that reserving left its tag the lowest; the gates saw nothing
-	// of the other one.
-	w := newWorld(t, Options{Reservations: 1, ReservationsPerServer: 8})
+	h := newHarness(t, Options{Reservations: 1, ReservationsPerServer: 8})
 	for _, organisation := range []string{"first", "second"} {
 		for i := range 20 {
-			w.arriveAs(fmt.Sprint(organisation, i), organisation, appeal, 1000)
+			h.arriveAs(fmt.Sprint(organisation, i), organisation, appeal, 1000)
 		}
 	}
-	w.serve("s1", kindModel, testModel, 0)
-	require.Equal(t, 4, w.reserving("first", 2))
-	require.Equal(t, 4, w.reserving("second", 2))
+	h.addServer("s1", kindModel, testModel, 0)
+	require.Equal(t, 4, h.reservedCount("first", 2))
+	require.Equal(t, 4, h.reservedCount("second", 2))
 }
 
-func TestReservationsOfOneTierLeaveRoomForAnother(t *testing.T) {
-	// Symptom: the gates know of no work of a lower tier, or of one organisation's only, while a higher tier waits.
-	// Sequence: a higher tier fills the bound of reservations.
-	// Cause: one bound for all tiers.
-	w := newWorld(t, Options{Reservations: 1, ReservationsPerServer: 2})
-	w.serve("s1", kindModel, testModel, 0)
+// Guards against gates that don't see the demand of a lower tier while a higher tier waits: a higher tier uses up
+// its bound of reservations. The bound must be per tier.
+func TestReservationBoundIsPerTier(t *testing.T) {
+	h := newHarness(t, Options{Reservations: 1, ReservationsPerServer: 2})
+	h.addServer("s1", kindModel, testModel, 0)
 	room := readyRoom("s1", kindModel, testModel, 0)
 	room.LowestWaitingTier = 3
-	w.say("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
+	h.receive("s1", &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}})
 	for i := range 5 {
-		w.arriveAs(fmt.Sprint("summary", i), "org", summary, 10)
+		h.arriveAs(fmt.Sprint("summary", i), "org", summary, 10)
 	}
-	w.arriveAs("appeal", "org", appeal, 10)
-	require.Equal(t, 2, w.reserving("org", 1))
-	require.Equal(t, 1, w.reserving("org", 2))
+	h.arriveAs("appeal", "org", appeal, 10)
+	require.Equal(t, 2, h.reservedCount("org", 1))
+	require.Equal(t, 1, h.reservedCount("org", 2))
 }
--- a/sched/state.go
+++ b/sched/state.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// chartName is the chart that the states of a request follow, see chart/charts.
+// chartName names the state chart of a request.
 const chartName = "request"
 
 // state is a state of the chart.
@@ -64,9 +64,9 @@
 	"cancel_asked", "caller_left", "deadline", "take_over", "earlier_over",
 }
 
-// do carries out an action that the chart names. Those without code here are carried out by whoever raises the event,
-// since they need its message. False means that the name isn't known.
-func (s *Scheduler) do(r *request, action string) bool {
+// runAction runs an action that the chart names. Some actions do nothing here: the code that raises the event
+// performs them, since they need its message. It returns false for an unknown name.
+func (s *Scheduler) runAction(r *request, action string) bool {
 	switch action {
 	case "place_reservations", "decline_take", "send_body", "keep_frame", "count_late":
 	case "withdraw_reservations":
@@ -85,8 +85,8 @@
 	return true
 }
 
-// holds gives the value of a guard that the chart names. known is false for a name that has no code.
-func (s *Scheduler) holds(r *request, guard string) (value, known bool) {
+// evalGuard evaluates a guard that the chart names. known is false for an unknown name.
+func (s *Scheduler) evalGuard(r *request, guard string) (value, known bool) {
 	switch guard {
 	case "began":
 		return r.ran() != result.RanNo, true
@@ -103,7 +103,7 @@
 	}
 }
 
-// chartActions and chartGuards are the names that do and holds know.
+// chartActions and chartGuards are the names that runAction and evalGuard know.
 var (
 	chartActions = []string{
 		"place_reservations", "decline_take", "send_body", "keep_frame", "count_late", "withdraw_reservations",
@@ -117,17 +117,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := haveCode("action", table.Chart().Actions, chartActions); err != nil {
+	if err := requireImplemented("action", table.Chart().Actions, chartActions); err != nil {
 		return nil, err
 	}
-	if err := haveCode("guard", table.Chart().Guards, chartGuards); err != nil {
+	if err := requireImplemented("guard", table.Chart().Guards, chartGuards); err != nil {
 		return nil, err
 	}
 	return table, nil
 }
 
-// haveCode checks that every declared name is known here. An action without code would silently not happen.
-func haveCode(what string, declared []chart.Item, known []string) error {
+// requireImplemented checks that every declared name is implemented. An action that isn't would silently be
+// skipped.
+func requireImplemented(what string, declared []chart.Item, known []string) error {
 	for _, item := range declared {
 		if !slices.Contains(known, item.Name) {
 			return result.New(result.ChartInvalid, "chart %s: no code for %s %s", chartName, what, item.Name)
@@ -136,23 +137,23 @@
 	return nil
 }
 
-// errNotAllowed is what fire reports for an event that the chart doesn't allow; the event was counted.
+// errNotAllowed is returned by fire for an event that the chart doesn't allow; the event was counted.
 var errNotAllowed = errors.New("event not allowed in this state")
 
-// fire raises an event. Every change of a request's state goes through here, so that what the chart forbids can't
-// happen, whatever the code around does.
+// fire raises an event. Every change of a request's state goes through fire, so that a transition that the chart
+// forbids can't happen, whatever the calling code does.
 func (s *Scheduler) fire(r *request, e event) error {
 	next, err := s.table.NextGuarded(r.state, e, func(name string) bool {
-		value, _ := s.holds(r, name)
+		value, _ := s.evalGuard(r, name)
 		return value
 	})
 	if err != nil {
-		s.act(Count{Counter: ChartErrors, Code: result.ChartEventRefused, Label: s.table.EventName(e), Add: 1})
+		s.emit(Count{Counter: ChartErrors, Code: result.ChartEventRefused, Label: s.table.EventName(e), Add: 1})
 		return errNotAllowed
 	}
 	r.state = next.To
 	for _, name := range next.Actions {
-		s.do(r, name)
+		s.runAction(r, name)
 	}
 	return nil
 }
--- a/sched/status.go
+++ b/sched/status.go
@@ -11,14 +11,14 @@
 	Live          int            `json:"live"`           // requests without a final answer
 	Queued        []int          `json:"queued_by_tier"` // tier 1 first
 	Dispatched    int            `json:"dispatched"`
-	AwaitingProof int            `json:"awaiting_proof"` // attempts that may be running, of which nothing is heard
-	Lingering     int            `json:"lingering"`      // the same, of requests that have their final answer
+	AwaitingProof int            `json:"awaiting_proof"` // attempts that may be running and aren't reported on
+	Lingering     int            `json:"lingering"`      // the same, for requests that have their final answer
 	ChartErrors   uint64         `json:"chart_errors"`
 	Servers       []ServerStatus `json:"servers"`
 	Classes       []ClassStatus  `json:"classes"`
 }
 
-// ServerStatus is what this entry knows of a backend server.
+// ServerStatus is what this entry knows about a backend server.
 type ServerStatus struct {
 	Server   string        `json:"server"`
 	Agent    string        `json:"agent"`
@@ -27,11 +27,11 @@
 	Ready    bool          `json:"ready"` // may have new work
 	Usable   int           `json:"usable"`
 	Inflight int           `json:"inflight"`
-	Waiting  int           `json:"waiting"` // reservations of this entry
+	Waiting  int           `json:"waiting"` // requests of this entry with a reservation
 	RoomAge  time.Duration `json:"room_age_ns"`
 }
 
-// ClassStatus is how a class stands against its targets.
+// ClassStatus compares a class with its targets.
 type ClassStatus struct {
 	Class   string  `json:"class"`
 	Late    float64 `json:"late"` // share over the window
@@ -45,7 +45,7 @@
 	st := Status{
 		Live:        len(s.requests),
 		Queued:      slices.Clone(s.queued[:]),
-		Lingering:   len(s.lingers.items),
+		Lingering:   len(s.orphans.items),
 		ChartErrors: s.table.Refused(),
 	}
 	for _, r := range s.requests {
@@ -67,7 +67,7 @@
 func (s *Scheduler) serverStatus(v *server) ServerStatus {
 	st := ServerStatus{
 		Server: v.name, Agent: v.agent.name, Listed: v.listed, LinkUp: v.agent.up, Ready: v.ready,
-		Usable: max(s.usable(v), 0), Inflight: v.inflight, Waiting: len(v.waiting),
+		Usable: max(s.usableRoom(v), 0), Inflight: v.inflight, Waiting: len(v.reservedBy),
 	}
 	if v.room != nil {
 		st.RoomAge = s.now.Sub(v.roomAt)
--- a/sched/takeover.go
+++ b/sched/takeover.go
@@ -11,28 +11,28 @@
 
 // earlierProofs collects the proofs that the attempts of earlier owners of a key are over.
 type earlierProofs struct {
-	id      *wire.AttemptID
-	waiting []string // servers whose proof is missing
-	ran     result.Ran
-	asked   time.Time
+	id       *wire.AttemptID
+	unproved []string // servers whose proof is missing
+	ran      result.Ran
+	askedAt  time.Time
 }
 
-// takeOver asks for proof at every server that an earlier owner may have dispatched to. Until all are there, no
-// attempt is sent and no reservation placed.
+// takeOver requests proof from every server to which an earlier owner may have dispatched. Until all have replied,
+// no attempt is sent and no reservation placed.
 func (s *Scheduler) takeOver(r *request) {
 	r.earlier = &earlierProofs{
-		id:      &wire.AttemptID{Request: r.ID, Number: r.Epoch<<EpochShift - 1},
-		waiting: slices.Clone(r.EarlierServers),
-		ran:     result.RanNo,
+		id:       &wire.AttemptID{Request: r.ID, Number: r.Epoch<<EpochShift - 1},
+		unproved: slices.Clone(r.EarlierServers),
+		ran:      result.RanNo,
 	}
 	_ = s.fire(r, evTakeOver)
-	s.setWake(r)
+	s.setTimer(r)
 }
 
-// cancelEarlier sends the Cancel to every server whose proof is missing.
+// cancelEarlier sends a Cancel to every server whose proof is missing.
 func (s *Scheduler) cancelEarlier(r *request) {
-	r.earlier.asked = s.now
-	for _, name := range r.earlier.waiting {
+	r.earlier.askedAt = s.now
+	for _, name := range r.earlier.unproved {
 		s.cancelEarlierAt(r, name)
 	}
 }
@@ -49,17 +49,17 @@
 	if r.state != awaitingEarlier {
 		return time.Time{}
 	}
-	return r.earlier.asked.Add(cancelRepeat)
+	return r.earlier.askedAt.Add(cancelInterval)
 }
 
-func (s *Scheduler) repeatEarlier(r *request) {
+func (s *Scheduler) repeatEarlierCancel(r *request) {
 	s.cancelEarlier(r)
 }
 
-// askEarlier asks again what an agent that is back may answer now.
-func (s *Scheduler) askEarlier(a *agent) {
-	for _, r := range s.awaitingEarlier() {
-		for _, name := range r.earlier.waiting {
+// cancelEarlierAtAgent repeats the requests for missing proofs to an agent that reconnected.
+func (s *Scheduler) cancelEarlierAtAgent(a *agent) {
+	for _, r := range s.takenOverRequests() {
+		for _, name := range r.earlier.unproved {
 			if v := s.servers[name]; v != nil && v.agent == a {
 				s.cancelEarlierAt(r, name)
 			}
@@ -67,38 +67,38 @@
 	}
 }
 
-// earlierOver takes one server's proof for all attempts up to the number asked about.
-func (s *Scheduler) earlierOver(r *request, m *wire.Over) {
-	at := slices.Index(r.earlier.waiting, m.GetServer())
+// earlierAttemptsOver handles one server's proof for all attempts up to the requested number.
+func (s *Scheduler) earlierAttemptsOver(r *request, m *wire.Over) {
+	at := slices.Index(r.earlier.unproved, m.GetServer())
 	if at >= 0 && m.GetUnprovable() {
 		s.outcomeLost(r)
 		return
 	}
 	if at < 0 || m.GetAttempt().GetNumber() < r.earlier.id.GetNumber() || !isProof(m.GetProof()) {
-		s.countStray(strayAttempt)
+		s.countDropped(droppedAttempt)
 		return
 	}
-	r.earlier.waiting = slices.Delete(r.earlier.waiting, at, at+1)
-	r.earlier.ran = worse(r.earlier.ran, ranEarlier(m.GetProof()))
-	if len(r.earlier.waiting) > 0 {
+	r.earlier.unproved = slices.Delete(r.earlier.unproved, at, at+1)
+	r.earlier.ran = combineRan(r.earlier.ran, ranFromProof(m.GetProof()))
+	if len(r.earlier.unproved) > 0 {
 		return
 	}
-	s.earlierDone(r)
+	s.earlierAttemptsResolved(r)
 }
 
-// ranEarlier is what a proof says of the earlier attempts. An agent that may have forgotten what an incarnation
-// before it ran says CANCELLED: over, and nobody knows whether it began.
+// ranFromProof returns what a proof says about earlier attempts. An agent that may have lost track of what a
+// previous incarnation ran replies CANCELLED: over, and unknown whether it began.
 //
-// Otherwise: an entry dispatches a pass, its agent dies with the pass issued, the agent's successor is asked by the
-// next owner, has never heard of it, says so, and the pass is issued again.
-func ranEarlier(proof wire.Proof) result.Ran {
+// Otherwise, if an agent crashed while it ran a request that may not be repeated, its next incarnation would report
+// to the next owner that the request never started, and it would run again.
+func ranFromProof(proof wire.Proof) result.Ran {
 	if proof == wire.Proof_PROOF_NEVER_STARTED {
 		return result.RanNo
 	}
 	return result.RanUnknown
 }
 
-func (s *Scheduler) earlierDone(r *request) {
+func (s *Scheduler) earlierAttemptsResolved(r *request) {
 	r.err = result.New(result.OutcomeUnknown, "")
 	if s.fire(r, evEarlierOver) != nil || r.state != queued {
 		return
@@ -107,20 +107,20 @@
 	s.enqueue(r)
 }
 
-// earlierRan is what is proved of the attempts of earlier owners.
+// earlierRan returns what is proved about the attempts of earlier owners.
 func (r *request) earlierRan() result.Ran {
 	switch {
 	case r.earlier == nil:
 		return result.RanNo
-	case len(r.earlier.waiting) > 0:
-		return worse(r.earlier.ran, result.RanUnknown)
+	case len(r.earlier.unproved) > 0:
+		return combineRan(r.earlier.ran, result.RanUnknown)
 	default:
 		return r.earlier.ran
 	}
 }
 
-// awaitingEarlier returns the requests that wait for earlier proofs, in order of arrival.
-func (s *Scheduler) awaitingEarlier() []*request {
+// takenOverRequests returns the requests that wait for proofs about earlier attempts, in order of arrival.
+func (s *Scheduler) takenOverRequests() []*request {
 	var waiting []*request
 	for _, r := range s.requests {
 		if r.state == awaitingEarlier {
--- a/sched/tick_test.go
+++ b/sched/tick_test.go
@@ -9,15 +9,16 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: entries without work spend over a hundredth of a core. Sequence: nothing is asked for. Cause: a tick each 10 ms. The
-// pattern it answers is a fleet of many entries with some requests a second each; a request in hand is looked at when it is due.
-func TestTicksComeWhenSomethingIsDue(t *testing.T) {
-	w := newWorld(t, Options{Entry: "e1"})
-	require.Equal(t, MaxTickInterval, w.s.NextTick())
-	r := w.request("r1", &wire.Class{Name: "c", Tier: 2, DeadlineMs: 50, Kind: kindModel})
-	r.Deadline = w.now.Add(50 * time.Millisecond)
-	w.list("s1", kindModel, r.Target)
-	w.step(Arrive{Request: r})
-	require.LessOrEqual(t, w.s.NextTick(), 50*time.Millisecond)
-	require.GreaterOrEqual(t, w.s.NextTick(), MinTickInterval)
+// Guards against idle entries that use over a hundredth of a core: with a tick every 10 ms a fleet of many entries
+// with some requests per second each would mostly process empty ticks. A live request must still be handled when
+// its timer expires.
+func TestNextTickFollowsNextTimer(t *testing.T) {
+	h := newHarness(t, Options{Entry: "e1"})
+	require.Equal(t, MaxTickInterval, h.s.NextTick())
+	r := h.request("r1", &wire.Class{Name: "c", Tier: 2, DeadlineMs: 50, Kind: kindModel})
+	r.Deadline = h.now.Add(50 * time.Millisecond)
+	h.listServer("s1", kindModel, r.Target)
+	h.step(Arrive{Request: r})
+	require.LessOrEqual(t, h.s.NextTick(), 50*time.Millisecond)
+	require.GreaterOrEqual(t, h.s.NextTick(), MinTickInterval)
 }
--- a/sched/trace.go
+++ b/sched/trace.go
@@ -6,37 +6,41 @@
 	"github.com/carawaypitch/carawaypitch/poison"
 )
 
-// Trace says what a request went through, for the log line about its end: what was decided, and by which evidence.
+// Trace summarises what happened to a request, for the log line at its end: what was decided, and based on which
+// information.
 type Trace struct {
-	// Tier is the request's, 1 for the highest.
+	// Tier is the request's tier, 1 for the highest.
 	Tier uint32
-	// Fingerprint identifies it over its repeats.
+	// Fingerprint identifies the request across its repeats.
 	Fingerprint poison.Fingerprint
-	// Server is where its last attempt went, empty if it had none.
+	// Server is the server of the last attempt, empty without one.
 	Server string
-	// Attempts were sent; Refusals of them, or of reservations, never started.
+	// Attempts counts the attempts sent; Refusals those of them, and the reservations, that were proved never
+	// started.
 	Attempts, Refusals int
-	// SentAfter is the time from its arrival to its last attempt, 0 without one.
+	// SentAfter is the time from the arrival to the last attempt, 0 without one.
 	SentAfter time.Duration
-	// FirstEventAfter is the time from its arrival to the first event of its answer, 0 without one.
+	// FirstEventAfter is the time from the arrival to the first event of the answer, 0 without one.
 	FirstEventAfter time.Duration
-	// LongestPause is the longest time between two events of its answer as they came here, 0 with fewer than two.
+	// LongestPause is the longest time between two events of the answer as they arrived here, 0 with fewer than
+	// two.
 	LongestPause time.Duration
-	// DueAfter is the time from its arrival by which the answer or its first event was due.
+	// DueAfter is the time from the arrival until the answer or its first event was due.
 	DueAfter time.Duration
-	// Overdue says that its caller had come back after its objective.
+	// Overdue reports whether the caller had retried after its objective.
 	Overdue bool
-	// Ahead is how many queued requests of its pool go first, as of its end.
+	// Ahead is the estimated number of queued requests of the pool that go first, as of the end.
 	Ahead int
-	// ReadyServers and ServersWithRoom are how many servers of its pool may have new work, and have room for it, as of its end.
+	// ReadyServers and ServersWithRoom count the servers of the pool that may have new work, and those of them with
+	// room, as of the end.
 	ReadyServers, ServersWithRoom int
-	// RoomAge is how old the oldest word of a ready server about its room is, as of its end.
+	// RoomAge is the age of the oldest Room report of a ready server of the pool, as of the end.
 	RoomAge time.Duration
-	// PoolDispatchRate is how many requests of the pool this entry dispatches a second, as of its end.
+	// PoolDispatchRate is the rate, per second, at which this entry dispatches requests of the pool, as of the end.
 	PoolDispatchRate float64
 }
 
-// trace sums up a request that ends now.
+// trace returns the Trace of a request as of the current time.
 func (s *Scheduler) trace(r *request) Trace {
 	t := Trace{
 		Tier:        uint32(r.tier) + 1,
@@ -44,19 +48,19 @@
 
 		Attempts:        len(r.attempts),
 		Refusals:        r.refusals,
-		DueAfter:        r.due().Sub(r.Arrived),
+		DueAfter:        r.dueAt().Sub(r.Arrived),
 		Overdue:         r.Overdue,
-		Ahead:           s.aheadOf(r),
+		Ahead:           s.requestsAhead(r),
 		ReadyServers:    r.pool.ready,
-		ServersWithRoom: r.pool.roomy,
+		ServersWithRoom: r.pool.withRoom,
 		RoomAge:         s.roomAge(r.pool),
 
 		LongestPause:     r.longestPause,
-		PoolDispatchRate: r.pool.drain.value(s.now),
+		PoolDispatchRate: r.pool.dispatchRate.value(s.now),
 	}
 	if len(r.attempts) > 0 {
-		t.Server = r.record().server
-		t.SentAfter = r.record().sent.Sub(r.Arrived)
+		t.Server = r.currentRecord().server
+		t.SentAfter = r.currentRecord().sent.Sub(r.Arrived)
 	}
 	if !r.firstEventAt.IsZero() {
 		t.FirstEventAfter = r.firstEventAt.Sub(r.Arrived)
@@ -64,7 +68,7 @@
 	return t
 }
 
-// roomAge is how long ago the ready server that was silent longest spoke of its room.
+// roomAge returns the age of the oldest Room report of the pool's ready servers.
 func (s *Scheduler) roomAge(p *pool) time.Duration {
 	var oldest time.Duration
 	for _, v := range p.servers {
--- a/sched/types.go
+++ b/sched/types.go
@@ -1,5 +1,6 @@
-// Package sched decides for one entry which request goes to which backend server and when, what is refused and what
-// is tried again. It is pure: events and the time go in, actions come out.
+// Package sched decides for one entry which request goes to which backend server and when, which requests are
+// refused and which are retried. It does no I/O and reads no clock: events and the current time are its input,
+// actions its output.
 package sched
 
 import (
@@ -10,11 +11,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// EpochShift is the number of low bits of an attempt number that count attempts within an owner's epoch. An epoch is
-// an index of control's log: the 48 bits above them last for 89 years at 100,000 commands a second.
+// EpochShift is the number of low bits of an attempt number that count attempts within an owner's epoch. An epoch
+// is an index of control's log; the 48 bits above suffice for 89 years at 100,000 commands per second.
 const EpochShift = 16
 
-// Request is what a caller asked for, after its key, class and body were checked.
+// Request is a caller's request after its key, class and body were checked.
 type Request struct {
 	ID           string
 	Organisation string
@@ -25,40 +26,40 @@
 	ContentType  string
 	Body         []byte
 	BodyDigest   uint64   // xxhash64
-	PromptTokens uint32   // estimated
-	MaxTokens    uint32   // asked for by the caller, 0 for none
-	OutputTokens uint32   // expected by the caller, 0 if it doesn't say
-	Prefix       []uint64 // digests of the prompt's leading blocks, shortest first
-	Stream       bool     // events are delivered as they come
+	PromptTokens uint32   // estimated tokens of the prompt
+	MaxTokens    uint32   // bound set by the caller, 0 for none
+	OutputTokens uint32   // expected by the caller, 0 if not given
+	Prefix       []uint64 // digests of the prompt's leading blocks, shortest prefix first
+	Stream       bool     // events are delivered as they arrive
 	Arrived      time.Time
 	Deadline     time.Time
 
-	// Objective is when the answer, or the first event of a stream, is due; zero for a request whose whole answer is due
-	// at its deadline. A request is kept queued no longer than that: later it would be late anyway, and take the place of
-	// one that can still be in time.
+	// Objective is when the answer, or the first event of a stream, is due; zero for a request whose whole answer
+	// is due at its deadline. A request is queued no longer than until its objective: after that it would be late
+	// anyway, and take the slot of a request that can still be in time.
 	Objective time.Time
 
-	// Overdue says that the objective had passed when the request came: its caller was refused before and has come back. It goes after
-	// those of its class that may still be in time.
+	// Overdue reports whether the objective had already passed when the request arrived: its caller was refused
+	// before and has retried. It is ordered after the requests of its class that may still be in time.
 	Overdue bool
 
-	// EntryStopsBy is when the entry ends at the latest, zero while it isn't stopping. What would probably run longer is refused
-	// on arrival.
+	// EntryStopsBy is the latest time at which the entry process exits, zero while it isn't stopping. A request
+	// that would probably run longer is refused on arrival.
 	EntryStopsBy time.Time
 
-	// Verbatim is set for a request that goes to its backend server byte for byte. MaxAttempts then bounds the attempts
-	// that may have begun; 0 means the scheduler's own bound.
+	// Verbatim is set for a request that is passed to its backend server byte for byte. MaxAttempts then bounds the
+	// attempts that may have begun; 0 means the scheduler's default.
 	Verbatim    *Verbatim
 	MaxAttempts int
 
-	// Key and what follows are set for a keyed request, whose operation record is committed before Arrive.
+	// Key and the fields below are set for a keyed request, whose operation record is committed before Arrive.
 	Key            string
 	Epoch          uint64
-	Candidates     []string // servers that the record allows; empty: any
+	Candidates     []string // servers that the record allows; empty allows any
 	EarlierServers []string // servers whose proofs are needed first, after a takeover
 }
 
-// fingerprint identifies the request over its repeats by the same caller.
+// fingerprint identifies repeats of the request by the same caller.
 func (r *Request) fingerprint() poison.Fingerprint {
 	content := poison.Content{
 		Method: r.Method, Host: r.Target, Target: r.Path, BodyDigest: r.BodyDigest, BodySize: len(r.Body),
@@ -69,29 +70,30 @@
 	return content.Fingerprint()
 }
 
-// Verbatim is what a request needs that is passed on as its caller wrote it. Path is then its whole target.
+// Verbatim holds what is additionally needed to pass a request on unchanged. Path is then the whole request target.
 type Verbatim struct {
 	Host    string
 	Headers []*wire.Header
 }
 
-// Event is something that happened outside the scheduler.
+// Event is an input to the scheduler.
 type Event interface{ schedEvent() }
 
 type (
-	// Tick lets time pass. The entry sends one when NextTick says so.
+	// Tick reports that time has passed. The entry sends one after the delay that NextTick returns.
 	Tick struct{}
 
-	// Arrive hands a request over. Exactly one Answer or Fail follows for it.
+	// Arrive submits a request. Exactly one Answer or Fail follows for it.
 	Arrive struct{ Request *Request }
 
-	// CallerLeft says that nobody waits for the answer any more.
+	// CallerLeft reports that the caller no longer waits for the answer.
 	CallerLeft struct{ Request string }
 
-	// AgentUp says that the link pair to an agent is open.
+	// AgentUp reports that the pair of links to an agent is open.
 	AgentUp struct{ Hello *wire.AgentHello }
 
-	// AgentDown says that the link to an agent was lost or its heartbeat is overdue. Its attempts are not over.
+	// AgentDown reports that the link to an agent was lost or its heartbeat is overdue. This doesn't prove its
+	// attempts over.
 	AgentDown struct {
 		Agent       string
 		Incarnation uint64
@@ -104,37 +106,38 @@
 		Message     *wire.AgentMessage
 	}
 
-	// Directory carries the committed directory (whole).
+	// Directory carries the complete committed directory.
 	Directory struct {
 		Agents []*wire.AgentRecord
-		// Entries is how many entries there are. The allowance of retries is shared among them.
+		// Entries is the number of entries in the deployment. The retry allowance is divided among them.
 		Entries int
 	}
 
-	// Config carries the committed classes (whole).
+	// Config carries all committed classes.
 	Config struct {
 		Version uint64
 		Classes []*wire.Class
 	}
 
-	// CandidatesWidened answers a Widen action: the record now allows the candidates, or code says why not.
+	// CandidatesWidened is the reply to WidenCandidates: the record now allows the candidates, or Code says why
+	// not.
 	CandidatesWidened struct {
 		Request    string
 		Candidates []string
 		Code       result.Code
 	}
 
-	// EngineProved carries what the backend server itself said of an attempt whose agent is gone.
+	// EngineProved carries the backend server's own reply about an attempt whose agent is unreachable.
 	EngineProved struct {
 		Attempt *wire.AttemptID
 		Server  string
 		Proof   wire.Proof
 	}
 
-	// PoisonRecords carries the requests that are watched or quarantined (whole).
+	// PoisonRecords carries all committed records of requests that are watched or quarantined.
 	PoisonRecords struct{ Records []*wire.PoisonRecord }
 
-	// CacheHint carries a prefix cache event of a server, late and with gaps.
+	// CacheHint carries a prefix cache event of a server. Such events arrive late, and some are missing.
 	CacheHint struct {
 		Server  string
 		Digest  uint64
@@ -155,56 +158,57 @@
 func (PoisonRecords) schedEvent()     {}
 func (CacheHint) schedEvent()         {}
 
-// Action is something the entry has to do, in the order given.
+// Action is something that the entry has to do. Actions are carried out in the order given.
 type Action interface{ schedAction() }
 
 type (
-	// Send passes a message to an agent's link. A message that can't be sent is as good as lost. It must not be sent
-	// on a link to another incarnation of the agent: a newer incarnation is taken as proof that what was dispatched
-	// before is over, and a dispatch that reached it all the same would run beside the next attempt.
+	// Send sends a message on an agent's link. A message that can't be sent is treated as lost. It must not be sent
+	// on a link to another incarnation of the agent: a newer incarnation is taken as proof that earlier dispatches
+	// are over, so a dispatch that reached it would run concurrently with the next attempt.
 	Send struct {
 		Agent       string
 		Incarnation uint64
 		Message     *wire.EntryMessage
 	}
 
-	// Deliver passes events of the answer on, in order and each once.
+	// Deliver delivers events of the answer to the caller, in order and each once.
 	Deliver struct {
 		Request string
 		Events  [][]byte
 	}
 
-	// Answer closes a request with a whole answer, whose events were all delivered.
+	// Answer completes a request with a whole answer, all of whose events were delivered.
 	Answer struct {
 		Request string
 		End     *wire.AnswerEnd
 		Trace   Trace
 	}
 
-	// Fail closes a request with a refusal or failure.
+	// Fail ends a request with a refusal or failure.
 	Fail struct {
 		Request string
 		Err     *result.Error
 		Trace   Trace
 	}
 
-	// WidenCandidates asks control to let a keyed request go to more servers; Widened follows.
+	// WidenCandidates asks control to allow more servers for a keyed request; CandidatesWidened follows.
 	WidenCandidates struct {
 		Request    string
 		Candidates []string
 	}
 
-	// ProveAtEngine asks the backend server itself to end an attempt, because its agent is gone; EngineProved follows.
+	// ProveAtEngine asks the backend server itself to end an attempt whose agent is unreachable; EngineProved
+	// follows.
 	ProveAtEngine struct {
 		Attempt *wire.AttemptID
 		Server  string
 		Address string
 	}
 
-	// ReportCrash tells control that a server crashed while it ran a request.
+	// ReportCrash reports to control that a server crashed while it ran a request.
 	ReportCrash struct{ Note *wire.NoteCrash }
 
-	// ClearPoison has control forget records of requests that were answered since.
+	// ClearPoison asks control to delete records of requests that were answered since.
 	ClearPoison struct{ Records []*wire.PoisonRecord }
 
 	// Count adds to a counter.
@@ -228,7 +232,7 @@
 func (ClearPoison) schedAction()     {}
 func (Count) schedAction()           {}
 
-// Counter names a counter of the scheduler.
+// Counter identifies a counter of the scheduler.
 type Counter uint8
 
 // The counters of the scheduler.
--- a/sched/urgency.go
+++ b/sched/urgency.go
@@ -8,51 +8,51 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Urgency.
+// Parameters of urgency.
 const (
-	urgencyMax = 1000
-	// bandWidth is the difference of urgency below which two classes count as equally near to breaking their targets,
-	// so that shares between organisations decide.
+	maxUrgency = 1000
+	// bandWidth is the difference in urgency below which two classes count as equally near to missing their
+	// targets, so that the shares of organisations decide.
 	bandWidth = 100
-	// shareFloor stands in for a target of 0, so that one loss in so many counts as all of the target.
-	shareFloor = 0.001
-	// violationPart and slackPart weigh how much of its targets a class has used against how near its first
+	// targetFloor replaces a target of 0, so that one loss in a thousand counts as the whole target.
+	targetFloor = 0.001
+	// violationWeight and slackWeight weigh how much of its targets a class has used against how near its first
 	// request is to its deadline.
-	violationPart = 0.7
-	slackPart     = 1 - violationPart
-	// lateOverLost is how many times more lateness than loss a class must tolerate to be kept waiting past its
-	// deadline rather than be refused.
-	lateOverLost = 10
+	violationWeight = 0.7
+	slackWeight     = 1 - violationWeight
+	// minLateToLostRatio is how many times more lateness than loss a class must tolerate for its requests to be
+	// queued past their deadline rather than refused.
+	minLateToLostRatio = 10
 )
 
 // preemptNever is the value of a class's preempt field that forbids preemption.
 const preemptNever = "never"
 
-// class is what is known of a class of work.
+// class is the state of a class of requests.
 type class struct {
-	name    string
-	spec    *wire.Class
-	window  window
-	outputs *quantiles // tokens
-	service *quantiles // microseconds of a service call
-	runs    *quantiles // milliseconds of a model's run
-	base    float64    // used share of the targets, 0..1, as of baseAt
-	baseAt  time.Time
+	name         string
+	spec         *wire.Class
+	window       window
+	outputTokens *runningMedian // tokens
+	serviceTimes *runningMedian // microseconds of a service call
+	runTimes     *runningMedian // milliseconds of a model's run
+	usedShare    float64        // used share of the targets, 0..1, as of usedShareAt
+	usedShareAt  time.Time
 
-	arrivals rate
-	credit   float64 // dispatches that it is owed, see isOwed
+	arrivalRate rate
+	credit      float64 // dispatches that may be promoted, see hasCredit
 }
 
-// classFor returns what is known of a request's class. The newest version of its targets counts.
+// classFor returns the state of a request's class. The newest version of its targets applies.
 func (s *Scheduler) classFor(spec *wire.Class) *class {
 	c := s.classes[spec.GetName()]
 	if c == nil {
 		c = &class{
-			name:    spec.GetName(),
-			spec:    spec,
-			outputs: newQuantiles(),
-			service: newQuantiles(),
-			runs:    newQuantiles(),
+			name:         spec.GetName(),
+			spec:         spec,
+			outputTokens: newRunningMedian(),
+			serviceTimes: newRunningMedian(),
+			runTimes:     newRunningMedian(),
 		}
 		s.classes[c.name] = c
 	}
@@ -62,11 +62,11 @@
 	return c
 }
 
-// setClasses takes the committed classes in.
+// setClasses applies the committed classes.
 func (s *Scheduler) setClasses(specs []*wire.Class) {
 	for _, spec := range specs {
 		c := s.classFor(spec)
-		c.baseAt = time.Time{}
+		c.usedShareAt = time.Time{}
 	}
 	for name := range s.classes {
 		if !s.inUse(name, specs) {
@@ -87,24 +87,24 @@
 	return false
 }
 
-// mayBeLate tells whether the class's targets say that a late answer is better than none.
+// mayBeLate reports whether the class's targets prefer a late answer to none.
 func mayBeLate(c *wire.Class) bool {
-	return c.GetLateMax() > 0 && c.GetLateMax() >= lateOverLost*c.GetLostMax()
+	return c.GetLateMax() > 0 && c.GetLateMax() >= minLateToLostRatio*c.GetLostMax()
 }
 
-// cut is the deadline before which a request of the class is probably late even if it starts now; zero for a class that
-// doesn't wait past its deadline.
+// lateCutoff returns the deadline before which a request of the class will probably be late even if it starts now;
+// zero for a class that isn't queued past its deadline.
 //
-// Without it a class that may be late but not lost is served by deadline alone: under overload those that are late
-// already go first for ever, and none is in time.
-func (c *class) cut(now time.Time) time.Time {
+// Without it a class that tolerates lateness but no loss would be served by deadline alone: under overload requests
+// that are already late would always go first, and none would be in time.
+func (c *class) lateCutoff(now time.Time) time.Time {
 	if !mayBeLate(c.spec) {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(c.runs.value(c.predicted().Milliseconds())) * time.Millisecond)
+	return now.Add(time.Duration(c.runTimes.value(c.predictedRun().Milliseconds())) * time.Millisecond)
 }
 
-// Sliding window.
+// Parameters of the sliding window.
 const (
 	windowSlots = 12
 	slotLength  = 5 * time.Second
@@ -112,19 +112,19 @@
 
 // window counts the answers of a class over the last windowSlots*slotLength.
 type window struct {
-	slots [windowSlots]slot
-	turn  int64 // of the newest slot
+	slots      [windowSlots]slot
+	newestSlot int64 // sequence number of the newest slot
 }
 
 type slot struct{ total, late, lost float64 }
 
 func (w *window) advance(now time.Time) *slot {
-	turn := now.UnixNano() / int64(slotLength)
-	for i := max(w.turn+1, turn-windowSlots+1); i <= turn; i++ {
+	current := now.UnixNano() / int64(slotLength)
+	for i := max(w.newestSlot+1, current-windowSlots+1); i <= current; i++ {
 		w.slots[i%windowSlots] = slot{}
 	}
-	w.turn = max(w.turn, turn)
-	return &w.slots[w.turn%windowSlots]
+	w.newestSlot = max(w.newestSlot, current)
+	return &w.slots[w.newestSlot%windowSlots]
 }
 
 func (w *window) add(now time.Time, late, lost bool) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// sum adds up the window as of now.
+// sum returns the totals of the window as of now.
 func (w *window) sum(now time.Time) slot {
 	w.advance(now)
 	sum := slot{}
@@ -150,7 +150,7 @@
 	return sum
 }
 
-// shares returns the shares late and lost.
+// shares returns the shares of late and lost answers, 0 without answers.
 func (w *window) shares(now time.Time) (late, lost float64) {
 	sum := w.sum(now)
 	if sum.total == 0 {
@@ -159,54 +159,54 @@
 	return sum.late / sum.total, sum.lost / sum.total
 }
 
-// baseRefresh is how long the used share of the targets is kept before it is worked out again.
-const baseRefresh = 250 * time.Millisecond
+// usedShareInterval is how long the used share of the targets is cached.
+const usedShareInterval = 250 * time.Millisecond
 
-// used is how much of its targets the class has used, squeezed into 0..1: one half is all of them.
-func (c *class) used(now time.Time) float64 {
-	if !c.baseAt.IsZero() && now.Sub(c.baseAt) < baseRefresh {
-		return c.base
+// currentUsedShare returns how much of its targets the class has used, mapped to 0..1: one half means all of them.
+func (c *class) currentUsedShare(now time.Time) float64 {
+	if !c.usedShareAt.IsZero() && now.Sub(c.usedShareAt) < usedShareInterval {
+		return c.usedShare
 	}
 	late, lost := c.window.shares(now)
-	ratio := max(late/max(c.spec.GetLateMax(), shareFloor), lost/max(c.spec.GetLostMax(), shareFloor))
-	c.base = ratio / (1 + ratio)
-	c.baseAt = now
-	return c.base
+	ratio := max(late/max(c.spec.GetLateMax(), targetFloor), lost/max(c.spec.GetLostMax(), targetFloor))
+	c.usedShare = ratio / (1 + ratio)
+	c.usedShareAt = now
+	return c.usedShare
 }
 
-// urgency is 0..urgencyMax: how near the class is to breaking its targets, with a request due at the deadline.
+// urgency returns 0..maxUrgency: how near the class is to missing its targets, with a request due at the deadline.
 func (c *class) urgency(now, deadline time.Time) uint32 {
-	u := violationPart*c.used(now) + slackPart*c.pressure(now, deadline)
-	return uint32(urgencyMax * min(max(u, 0), 1))
+	u := violationWeight*c.currentUsedShare(now) + slackWeight*c.deadlinePressure(now, deadline)
+	return uint32(maxUrgency * min(max(u, 0), 1))
 }
 
-// pressure is 0 with the whole deadline ahead and 1 with no more time than the work takes.
-func (c *class) pressure(now, deadline time.Time) float64 {
-	whole := time.Duration(c.spec.GetDeadlineMs()) * time.Millisecond
-	if whole <= 0 {
+// deadlinePressure returns 0 with the whole allowed time left and 1 with no more time than a run takes.
+func (c *class) deadlinePressure(now, deadline time.Time) float64 {
+	allowed := time.Duration(c.spec.GetDeadlineMs()) * time.Millisecond
+	if allowed <= 0 {
 		return 0
 	}
-	slack := deadline.Sub(now) - c.predicted()
-	return min(max(1-slack.Seconds()/whole.Seconds(), 0), 1)
+	slack := deadline.Sub(now) - c.predictedRun()
+	return min(max(1-slack.Seconds()/allowed.Seconds(), 0), 1)
 }
 
-// predicted is how long a request of the class takes once it runs, by what was learnt.
-func (c *class) predicted() time.Duration {
+// predictedRun estimates the run time of a request of the class from its samples.
+func (c *class) predictedRun() time.Duration {
 	if c.spec.GetKind() == kindService {
-		return time.Duration(c.service.value(defaultService.Microseconds())) * time.Microsecond
+		return time.Duration(c.serviceTimes.value(defaultServiceTime.Microseconds())) * time.Microsecond
 	}
-	return time.Duration(float64(c.outputs.value(defaultOutput)) / defaultDecodeRate * float64(time.Second))
+	return time.Duration(float64(c.outputTokens.value(defaultOutputTokens)) / defaultDecodeRate * float64(time.Second))
 }
 
 func (s *Scheduler) urgency(r *request) uint32 {
-	return r.class.urgency(s.now, r.due())
+	return r.class.urgency(s.now, r.dueAt())
 }
 
-// band groups urgencies that count as equal.
-func band(urgency uint32) int {
+// urgencyBand returns the band of an urgency. Urgencies in one band count as equal.
+func urgencyBand(urgency uint32) int {
 	return int(urgency) / bandWidth
 }
 
-func fade(windows float64) float64 {
+func decay(windows float64) float64 {
 	return math.Exp(-max(windows, 0))
 }
--- a/sched/waiting.go
+++ b/sched/waiting.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TargetQueue is what waits for one model or service.
+// TargetQueue summarises the queue for one model or service.
 type TargetQueue struct {
 	Kind       string
 	Target     string
 	Queued     [tierCount]int // tier 1 first
-	OldestWait time.Duration  // since the arrival of the one that has waited longest
+	OldestWait time.Duration  // since the earliest arrival among the queued requests
 }
 
-// TargetQueues returns what waits for each target as of the last Step, sorted by kind and target. A target for which
-// nothing waits isn't listed. It looks at every live request.
+// TargetQueues returns the queues of all targets as of the last Step, sorted by kind and target. A target without
+// queued requests is omitted. The cost is linear in the number of live requests.
 func (s *Scheduler) TargetQueues() []TargetQueue {
 	byPool := make(map[poolKey]*TargetQueue)
 	for _, r := range s.requests {
