--- a/sched/waiting_test.go
+++ b/sched/waiting_test.go
@@ -7,18 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWaitingCountsByTargetAndTier(t *testing.T) {
-	w := newWorld(t, Options{})
-	w.list("s1", kindService, testService)
-	w.list("m1", kindModel, testModel)
-	require.Empty(t, w.s.TargetQueues())
-	w.arrive("check", gateCheck)
-	w.pass(time.Second)
-	w.arrive("text", summary)
-	w.arrive("more", appeal)
-	w.pass(500 * time.Millisecond)
+// Guards against queue reports that mix targets or tiers, or that lose the longest wait.
+func TestTargetQueuesCountByTargetAndTier(t *testing.T) {
+	h := newHarness(t, Options{})
+	h.listServer("s1", kindService, testService)
+	h.listServer("m1", kindModel, testModel)
+	require.Empty(t, h.s.TargetQueues())
+	h.arrive("check", gateCheck)
+	h.advance(time.Second)
+	h.arrive("text", summary)
+	h.arrive("more", appeal)
+	h.advance(500 * time.Millisecond)
 	require.Equal(t, []TargetQueue{
 		{Kind: kindModel, Target: testModel, Queued: [tierCount]int{0, 1, 1}, OldestWait: 500 * time.Millisecond},
 		{Kind: kindService, Target: testService, Queued: [tierCount]int{1, 0, 0}, OldestWait: 1500 * time.Millisecond},
-	}, w.s.TargetQueues())
+	}, h.s.TargetQueues())
 }
--- a/sched/wake.go
+++ b/sched/wake.go
@@ -6,37 +6,37 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// wakeHeap is a binary heap of requests by wakeAt, then by arrival. Each request is in it at most once.
-type wakeHeap struct{ items []*request }
+// timerHeap is a binary heap of requests by timerAt, then by arrival. Each request is in it at most once.
+type timerHeap struct{ items []*request }
 
-func (h *wakeHeap) less(i, j int) bool {
+func (h *timerHeap) less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if !a.wakeAt.Equal(b.wakeAt) {
-		return a.wakeAt.Before(b.wakeAt)
+	if !a.timerAt.Equal(b.timerAt) {
+		return a.timerAt.Before(b.timerAt)
 	}
 	return a.sequence < b.sequence
 }
 
-func (h *wakeHeap) swap(i, j int) {
+func (h *timerHeap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].wakeIndex = i
-	h.items[j].wakeIndex = j
+	h.items[i].timerIndex = i
+	h.items[j].timerIndex = j
 }
 
-func (h *wakeHeap) set(r *request, at time.Time) {
-	if r.wakeIndex >= 0 && r.wakeAt.Equal(at) {
+func (h *timerHeap) set(r *request, at time.Time) {
+	if r.timerIndex >= 0 && r.timerAt.Equal(at) {
 		return
 	}
-	r.wakeAt = at
-	if r.wakeIndex < 0 {
-		r.wakeIndex = len(h.items)
+	r.timerAt = at
+	if r.timerIndex < 0 {
+		r.timerIndex = len(h.items)
 		h.items = append(h.items, r)
 	}
-	h.fix(r.wakeIndex)
+	h.fix(r.timerIndex)
 }
 
-func (h *wakeHeap) remove(r *request) {
-	i := r.wakeIndex
+func (h *timerHeap) remove(r *request) {
+	i := r.timerIndex
 	if i < 0 {
 		return
 	}
@@ -44,13 +44,13 @@
 	h.swap(i, n)
 	h.items[n] = nil
 	h.items = h.items[:n]
-	r.wakeIndex = -1
+	r.timerIndex = -1
 	if i < n {
 		h.fix(i)
 	}
 }
 
-func (h *wakeHeap) fix(i int) {
+func (h *timerHeap) fix(i int) {
 	for i > 0 && h.less(i, (i-1)/2) {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
@@ -71,80 +71,80 @@
 	}
 }
 
-// due returns a request whose time has come, or nil.
-func (h *wakeHeap) due(now time.Time) *request {
-	if len(h.items) == 0 || now.Before(h.items[0].wakeAt) {
+// due returns a request whose timer has expired, or nil.
+func (h *timerHeap) due(now time.Time) *request {
+	if len(h.items) == 0 || now.Before(h.items[0].timerAt) {
 		return nil
 	}
 	return h.items[0]
 }
 
-// NextTick is how long after the last event the next Tick is due, if no other event comes before.
+// NextTick returns the delay after which the next Tick is due, if no other event comes before.
 //
-// With one each TickInterval an entry at rest was woken 100 times a second, for a step that found nothing to do: over 1% of a
-// core, and a seventh of what an entry with 16 requests a second spends on a machine with 0.144 of one.
+// A Tick every MinTickInterval would wake an idle entry 100 times per second for a Step without effect: over 1% of
+// a core, and a seventh of the CPU time of an entry with 16 requests per second on a machine with 0.144 of a core.
 func (s *Scheduler) NextTick() time.Duration {
 	if len(s.dirty) > 0 {
 		return MinTickInterval
 	}
-	if len(s.wakes.items) == 0 {
+	if len(s.timers.items) == 0 {
 		return MaxTickInterval
 	}
-	return min(max(s.wakes.items[0].wakeAt.Sub(s.now), MinTickInterval), MaxTickInterval)
+	return min(max(s.timers.items[0].timerAt.Sub(s.now), MinTickInterval), MaxTickInterval)
 }
 
-// wakeDue looks at every request whose time has come, each at most once for an event: what else is due for it waits
-// for the next tick.
-func (s *Scheduler) wakeDue() {
-	for r := s.wakes.due(s.now); r != nil; r = s.wakes.due(s.now) {
-		s.wakes.remove(r)
-		s.wake(r)
-		s.setWake(r)
-		if r.wakeIndex >= 0 && !s.now.Before(r.wakeAt) {
-			s.wakes.set(r, s.now.Add(MinTickInterval))
+// runTimers handles every request whose timer has expired, each at most once per event: further timers of it wait
+// for the next Tick.
+func (s *Scheduler) runTimers() {
+	for r := s.timers.due(s.now); r != nil; r = s.timers.due(s.now) {
+		s.timers.remove(r)
+		s.timerFired(r)
+		s.setTimer(r)
+		if r.timerIndex >= 0 && !s.now.Before(r.timerAt) {
+			s.timers.set(r, s.now.Add(MinTickInterval))
 		}
 	}
-	s.lingers.expire(s.now)
+	s.orphans.expire(s.now)
 }
 
-// wake does what is due for one request.
-func (s *Scheduler) wake(r *request) {
-	if !s.now.Before(r.limit()) {
+// timerFired performs the action that is due for one request.
+func (s *Scheduler) timerFired(r *request) {
+	if !s.now.Before(r.expiresAt()) {
 		s.deadlinePassed(r)
 		return
 	}
 	if r.attempt != nil {
-		s.wakeAttempt(r)
+		s.attemptTimerFired(r)
 		return
 	}
-	s.wakeQueued(r)
+	s.queuedTimerFired(r)
 }
 
-func (s *Scheduler) wakeQueued(r *request) {
+func (s *Scheduler) queuedTimerFired(r *request) {
 	switch {
 	case r.state == awaitingEarlier:
-		s.repeatEarlier(r)
-	case r.lane == nil:
-		s.push(r)
-	case s.isDue(r.widen.before):
-		r.widen.before = time.Time{}
-		s.touch(r.pool)
+		s.repeatEarlierCancel(r)
+	case r.queue == nil:
+		s.addToQueue(r)
+	case s.isDue(r.widen.notBefore):
+		r.widen.notBefore = time.Time{}
+		s.markDirty(r.pool)
 	case s.isDue(r.reservationDue()):
 		s.renewReservations(r)
 	}
 }
 
-func (s *Scheduler) wakeAttempt(r *request) {
+func (s *Scheduler) attemptTimerFired(r *request) {
 	a := r.attempt
 	switch {
 	case s.isDue(a.gapDue()):
-		s.gapPassed(r)
-	case s.isDue(a.quietDue(r)):
-		s.askCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
+		s.gapExpired(r)
+	case s.isDue(a.silenceDue(r)):
+		s.requestCancel(r, wire.CancelCause_CANCEL_CAUSE_RETRY)
 	case s.isDue(a.cancelDue()):
 		s.sendCancel(r)
-	case s.isDue(s.proveDue(a)):
-		s.askEngine(r)
+	case s.isDue(s.engineProofDue(a)):
+		s.requestEngineProof(r)
 	}
 }
 
@@ -152,21 +152,21 @@
 	return !at.IsZero() && !s.now.Before(at)
 }
 
-// setWake sets when the request is looked at next.
-func (s *Scheduler) setWake(r *request) {
+// setTimer sets when the request needs attention next.
+func (s *Scheduler) setTimer(r *request) {
 	if s.requests[r.ID] != r {
 		return
 	}
-	at := r.limit()
+	at := r.expiresAt()
 	if a := r.attempt; a != nil {
-		at = earliest(at, a.gapDue(), a.quietDue(r), a.cancelDue(), s.proveDue(a))
+		at = earliest(at, a.gapDue(), a.silenceDue(r), a.cancelDue(), s.engineProofDue(a))
 	} else {
-		at = earliest(at, r.backOffDue(s.now), r.widen.before, r.reservationDue(), r.earlierDue())
+		at = earliest(at, r.backoffDue(s.now), r.widen.notBefore, r.reservationDue(), r.earlierDue())
 	}
-	s.wakes.set(r, at)
+	s.timers.set(r, at)
 }
 
-// earliest returns the earliest of the times that are set.
+// earliest returns the earliest of the times, ignoring zero values among others.
 func earliest(first time.Time, others ...time.Time) time.Time {
 	for _, at := range others {
 		if !at.IsZero() && at.Before(first) {
@@ -176,63 +176,64 @@
 	return first
 }
 
-func (r *request) backOffDue(now time.Time) time.Time {
+func (r *request) backoffDue(now time.Time) time.Time {
 	if now.Before(r.notBefore) {
 		return r.notBefore
 	}
 	return time.Time{}
 }
 
-// gapDue is when a missing part of the answer counts as lost.
+// gapDue returns when a missing part of the answer counts as lost, zero if none is missing.
 func (a *attempt) gapDue() time.Time {
 	if a.gapSince.IsZero() || a.broken {
 		return time.Time{}
 	}
-	return a.gapSince.Add(gapBound)
+	return a.gapSince.Add(gapTimeout)
 }
 
-// quietDue is when an attempt of which the agent has said nothing is asked after by a Cancel. Where a Cancel could
-// destroy something, the outcome of work that may not be repeated or a prompt already computed, half of the time that
-// is left is waited.
-func (a *attempt) quietDue(r *request) time.Time {
+// silenceDue returns when a Cancel is sent for an attempt that its agent hasn't reported on, zero if none is due.
+// If a Cancel could destroy something, the outcome of a request that may not be repeated or a computed prompt, it
+// is at least half of the time left.
+func (a *attempt) silenceDue(r *request) time.Time {
 	if a.acked || a.cancelAsked || !a.downSince.IsZero() {
 		return time.Time{}
 	}
-	bound := max(min(quietBound, r.Deadline.Sub(r.Arrived)/quietShare), quietLeast)
+	bound := max(min(silenceTimeout, r.Deadline.Sub(r.Arrived)/silenceDivisor), minSilence)
 	if !r.Class.GetRepeatable() || a.started {
-		bound = max(bound, r.Deadline.Sub(a.quietSince)/2)
+		bound = max(bound, r.Deadline.Sub(a.silentSince)/2)
 	}
-	return a.quietSince.Add(bound)
+	return a.silentSince.Add(bound)
 }
 
-// cancelDue is when a Cancel without an answer is repeated.
+// cancelDue returns when an unanswered Cancel is repeated, zero if none is due.
 func (a *attempt) cancelDue() time.Time {
 	if !a.cancelAsked || !a.downSince.IsZero() {
 		return time.Time{}
 	}
-	return a.cancelledAt.Add(cancelRepeat)
+	return a.cancelSentAt.Add(cancelInterval)
 }
 
-// proveDue is when the engine itself is asked, because the agent stays away. Not before the agent's lease has
-// certainly run out: until then an agent that is only cut off from this entry could still start the attempt after the
-// engine said that it doesn't know it. Work that may not be repeated is left alone: asking the engine ends it, and
-// no answer of the engine would let it run again.
-func (s *Scheduler) proveDue(a *attempt) time.Time {
+// engineProofDue returns when the engine itself is asked because the agent is unreachable, zero if it isn't. This
+// is not before the agent's lease has certainly expired: until then an agent that is only partitioned from this
+// entry could start the attempt after the engine replied that it doesn't know it. For a request that may not be
+// repeated the engine is not asked: that would end the attempt, and no reply of the engine would allow it to run
+// again.
+func (s *Scheduler) engineProofDue(a *attempt) time.Time {
 	if a.downSince.IsZero() || a.address == "" || !a.request.Class.GetRepeatable() {
 		return time.Time{}
 	}
-	if a.provedAt.IsZero() {
+	if a.engineAskedAt.IsZero() {
 		return a.downSince.Add(leaseMargin * s.options.LeaseDuration)
 	}
-	return a.provedAt.Add(proveRepeat)
+	return a.engineAskedAt.Add(engineProofInterval)
 }
 
-// leaseMargin is how many lease durations after the link was lost the lease has certainly run out. The agent counts
-// from the last heartbeat that it received, which may have been on the way for a while.
+// leaseMargin is the number of lease durations after the loss of the link after which the lease has certainly
+// expired. The agent counts from the last heartbeat that it received, which may have been delayed.
 const leaseMargin = 2
 
-func (s *Scheduler) askEngine(r *request) {
+func (s *Scheduler) requestEngineProof(r *request) {
 	a := r.attempt
-	a.provedAt = s.now
-	s.act(ProveAtEngine{Attempt: a.id, Server: a.server.name, Address: a.address})
+	a.engineAskedAt = s.now
+	s.emit(ProveAtEngine{Attempt: a.id, Server: a.server.name, Address: a.address})
 }
--- a/sched/widen.go
+++ b/sched/widen.go
@@ -7,19 +7,19 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// widenRetry is how long after control could not widen a record it is asked again.
-const widenRetry = 500 * time.Millisecond
+// widenRetryDelay is the delay before control is asked again after it could not widen a record.
+const widenRetryDelay = 500 * time.Millisecond
 
-// widenState is where the widening of a keyed request's record stands.
+// widenState is the state of a request to widen the operation record.
 type widenState struct {
-	asked  bool // Widened hasn't come
-	before time.Time
+	asked     bool // CandidatesWidened hasn't arrived
+	notBefore time.Time
 }
 
-// widenIfGone asks control to let a keyed request go to more servers once none of those that its record allows may
-// have it. That they are only busy is no reason: each more is one more whose proof a takeover has to wait for.
-func (s *Scheduler) widenIfGone(r *request) {
-	if len(r.Candidates) == 0 || r.widen.asked || s.now.Before(r.widen.before) || s.anyCandidate(r) {
+// widenIfUnavailable asks control to allow more servers for a keyed request once no server that its record allows
+// can take it. Busy servers are no reason: a takeover has to wait for a proof from each additional server.
+func (s *Scheduler) widenIfUnavailable(r *request) {
+	if len(r.Candidates) == 0 || r.widen.asked || s.now.Before(r.widen.notBefore) || s.anyCandidateSuits(r) {
 		return
 	}
 	more := s.moreCandidates(r)
@@ -27,10 +27,10 @@
 		return
 	}
 	r.widen.asked = true
-	s.act(WidenCandidates{Request: r.ID, Candidates: append(slices.Clone(r.Candidates), more...)})
+	s.emit(WidenCandidates{Request: r.ID, Candidates: append(slices.Clone(r.Candidates), more...)})
 }
 
-func (s *Scheduler) anyCandidate(r *request) bool {
+func (s *Scheduler) anyCandidateSuits(r *request) bool {
 	return slices.ContainsFunc(r.Candidates, func(name string) bool {
 		v := s.servers[name]
 		return v != nil && r.pool.has(v) && s.canReserve(r, v)
@@ -43,14 +43,14 @@
 	var more []string
 	for _, name := range s.Candidates(&in) {
 		v := s.servers[name]
-		if v.ready && !slices.Contains(r.Candidates, name) && !slices.Contains(r.avoid, name) {
+		if v.ready && !slices.Contains(r.Candidates, name) && !slices.Contains(r.avoided, name) {
 			more = append(more, name)
 		}
 	}
 	return more
 }
 
-// widened takes control's answer.
+// widened handles control's reply.
 func (s *Scheduler) widened(e CandidatesWidened) {
 	r := s.requests[e.Request]
 	if r == nil || !r.widen.asked {
@@ -64,19 +64,19 @@
 				r.Candidates = append(slices.Clip(r.Candidates), name)
 			}
 		}
-	case controlBusy(e.Code):
-		r.widen.before = s.now.Add(s.jitter(widenRetry))
+	case isRetryable(e.Code):
+		r.widen.notBefore = s.now.Add(s.jitter(widenRetryDelay))
 	case r.state == queued || r.state == reserved:
-		// The record is another owner's, or closed: nothing may be dispatched under it any more.
+		// The record belongs to another owner or is closed: nothing may be dispatched under it.
 		s.refuse(r, result.New(e.Code, ""))
 		return
 	}
-	s.touch(r.pool)
-	s.setWake(r)
+	s.markDirty(r.pool)
+	s.setTimer(r)
 }
 
-// controlBusy tells whether control may well widen the record when asked again.
-func controlBusy(c result.Code) bool {
+// isRetryable reports whether control may widen the record when asked again.
+func isRetryable(c result.Code) bool {
 	switch c {
 	case result.ControlUnavailable, result.NotLeader, result.ProposalUnknown, result.ProposalQueueFull, result.CutOffFromControl:
 		return true
