--- a/control/announcements.go
+++ b/control/announcements.go
@@ -9,8 +9,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Announce takes what a backend server says of itself, with each of its heartbeats. Only news is committed. A nil error
-// means that the directory has it. Errors are those of settle, and result.RingFull where too many wait.
+// Announce records an announcement of a backend server, which the server sends with each of its heartbeats. It is
+// committed only if it differs from the one on record, or if several runs claim the server's name. An announcement of a
+// run that has ended is acknowledged and ignored. A nil error means that the directory reflects the announcement.
+// Errors are those of commitIdempotent, and result.RingFull if too many announcements are pending.
 func (c *Control) Announce(ctx context.Context, in *wire.Announcement) error {
 	var held *wire.Announcement
 	var ended, contested bool
@@ -21,7 +23,7 @@
 	if ended || !contested && isKnown(held, in) {
 		return nil
 	}
-	err := c.announcer.commit(ctx, in)
+	err := c.announcements.commit(ctx, in)
 	log := c.log.WithField("server", run).
 		WithField("address", in.GetAddress()).
 		WithField("pool", in.GetPool()).
@@ -35,8 +37,8 @@
 	return nil
 }
 
-// isKnown tells whether an announcement brings nothing new: it is late, or differs from the one held by its sequence
-// only.
+// isKnown reports whether an announcement adds nothing to the one on record: its sequence number is not higher, or it
+// differs in the sequence number only. A nil held means that none is on record.
 func isKnown(held, in *wire.Announcement) bool {
 	if held == nil {
 		return false
@@ -44,20 +46,20 @@
 	if in.GetSequence() <= held.GetSequence() {
 		return true
 	}
-	same := proto.CloneOf(in)
-	same.Sequence = held.GetSequence()
-	return proto.Equal(held, same)
+	normalized := proto.CloneOf(in)
+	normalized.Sequence = held.GetSequence()
+	return proto.Equal(held, normalized)
 }
 
-// EndServer ends a run of a backend server for good, or the one that is held, if the end names none. Errors are those of
-// settle.
+// EndServer ends a run of a backend server for good. If run has no start time, it ends the run on record. Errors are
+// those of commitIdempotent.
 func (c *Control) EndServer(ctx context.Context, run wire.Run) error {
 	ended := false
 	c.machine.read(func(s *state.State) { ended = s.HasEnded(run.String()) })
 	if ended {
 		return nil
 	}
-	err := c.settle(ctx, &wire.Command{Kind: &wire.Command_EndServer{
+	err := c.commitIdempotent(ctx, &wire.Command{Kind: &wire.Command_EndServer{
 		EndServer: &wire.EndServer{Server: run.ID, StartedUnixMs: run.StartedMS},
 	}})
 	if err != nil {
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -20,8 +20,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// onLoopback starts control instances over TCP with their logs on disk, and returns their link addresses.
-func onLoopback(b *testing.B, size int) []string {
+// startOnLoopback starts control instances over TCP with their logs on disk, and returns their link addresses.
+func startOnLoopback(b *testing.B, size int) []string {
 	addresses := freeAddresses(b, size)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, size)
@@ -61,33 +61,33 @@
 	return out
 }
 
-// BenchmarkBegin measures the record of a keyed request, from an entry's proposal to the answer, by the number of
-// requests at a time. Syncs are those of one disk that all replicas share here.
+// BenchmarkBegin measures how long it takes to record a keyed request, from an entry's proposal to the answer, by the
+// number of concurrent requests. All replicas sync to the same disk here.
 func BenchmarkBegin(b *testing.B) {
 	for _, size := range []int{1, 3} {
 		for _, callers := range []int{1, 64} {
 			b.Run(fmt.Sprintf("replicas=%d/callers=%d", size, callers), func(b *testing.B) {
 				s := session.New(session.Config{
 					Instance: "entry-1", Role: wire.Role_ROLE_ENTRY, Incarnation: 1,
-					Controls: onLoopback(b, size), Network: network.TCP{},
+					Controls: startOnLoopback(b, size), Network: network.TCP{},
 				})
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				go func() { _ = s.Run(ctx) }()
 				require.Eventually(b, func() bool { return s.Ready() == nil }, time.Minute, 10*time.Millisecond)
-				begin(b, s, 0)
+				beginOperation(b, s, 0)
 				var next atomic.Int64
 				b.ResetTimer()
 				if callers == 1 {
 					for i := range b.N {
-						begin(b, s, int64(i)+1)
+						beginOperation(b, s, int64(i)+1)
 					}
 					return
 				}
 				b.SetParallelism(max(1, callers/runtime.GOMAXPROCS(0)))
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
-						begin(b, s, next.Add(1))
+						beginOperation(b, s, next.Add(1))
 					}
 				})
 			})
@@ -95,7 +95,7 @@
 	}
 }
 
-func begin(b *testing.B, s *session.Session, i int64) {
+func beginOperation(b *testing.B, s *session.Session, i int64) {
 	res, err := s.Propose(context.Background(), &wire.Command{Kind: &wire.Command_BeginOperation{BeginOperation: &wire.BeginOperation{
 		Organisation: "union", Key: fmt.Sprint("key-", i), Digest: make([]byte, 32), Entry: "entry-1", EntryIncarnation: 1,
 		Request: fmt.Sprint("request-", i), Candidates: []string{"server-1"}, Class: "pass-issue",
--- a/control/class.go
+++ b/control/class.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// classJSON is a class as operators see it.
+// classJSON is a class in the operators' interface.
 type classJSON struct {
 	Name       string  `json:"name"`
 	Tier       uint32  `json:"tier"`
@@ -25,7 +25,7 @@
 	Version    uint64  `json:"version"`
 }
 
-func jsonOf(c *wire.Class) classJSON {
+func toClassJSON(c *wire.Class) classJSON {
 	return classJSON{
 		Name:       c.GetName(),
 		Tier:       c.GetTier(),
@@ -39,14 +39,15 @@
 	}
 }
 
-// classFields are the fields that an operator may set. A version may stand in the body, as a class that was read has
-// one; If-Match is what counts.
+// classFields are the fields that the body of a class may contain. The version is accepted, because a class that was
+// read contains it, but it is ignored: only If-Match is compared.
 var classFields = []string{
 	"name", "tier", "deadline_ms", "late_max", "lost_max", "repeatable", "kind", "preempt", "version",
 }
 
-// decodeClass reads the body of a class with the name of its path. A field that isn't an operator's is refused by
-// name: were it ignored, an operator who set a weight or a server would believe that it counts.
+// decodeClass decodes the body of a class; name is the one in the request path. A field that operators may not set is
+// refused by its name: if it were ignored, an operator who set a weight or a server would believe that it has an
+// effect.
 func decodeClass(name string, data []byte) (*wire.Class, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil || fields == nil {
@@ -59,7 +60,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&in); err != nil {
-		return nil, result.Wrap(err, result.InvalidClass, "%s", fieldProblem(err))
+		return nil, result.Wrap(err, result.InvalidClass, "%s", describeFieldError(err))
 	}
 	if in.Name != name {
 		return nil, result.New(result.InvalidClass, "name: the path says %q, the body %q", name, in.Name)
@@ -86,15 +87,15 @@
 	return unknown
 }
 
-// fieldProblem names the field of a decoding error.
-func fieldProblem(err error) string {
-	if wrong, ok := err.(*json.UnmarshalTypeError); ok {
-		return wrong.Field + ": want " + wrong.Type.String() + ", got " + wrong.Value
+// describeFieldError names the field that caused a decoding error.
+func describeFieldError(err error) string {
+	if typeErr, ok := err.(*json.UnmarshalTypeError); ok {
+		return typeErr.Field + ": want " + typeErr.Type.String() + ", got " + typeErr.Value
 	}
 	return "a field has the wrong form"
 }
 
-func classOfSettings(c settings.Class) *wire.Class {
+func classFromSettings(c settings.Class) *wire.Class {
 	preempt := c.Preempt
 	if preempt == "" {
 		preempt = settings.PreemptAllowed
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -25,17 +25,17 @@
 
 const operatorKey = "operator-key-of-the-tests"
 
-// cluster is a number of control instances on an in-memory network, to be used in a synctest bubble. Instance i has
-// the host 10.0.0.i.
+// cluster holds control instances on an in-memory network, for use in a synctest bubble. Instance i has the host
+// 10.0.0.i.
 type cluster struct {
-	t       *testing.T
-	net     *memory.Network
-	classes []settings.Class
-	nodes   []*node
-	ctx     context.Context
+	t         *testing.T
+	net       *memory.Network
+	classes   []settings.Class
+	instances []*instance
+	ctx       context.Context
 }
 
-type node struct {
+type instance struct {
 	settings settings.Control
 	host     string
 	fs       *journaltest.FS
@@ -47,12 +47,12 @@
 func newCluster(t *testing.T, size int, classes ...settings.Class) *cluster {
 	c := &cluster{t: t, net: memory.New(), classes: classes, ctx: t.Context()}
 	for i := 1; i <= size; i++ {
-		c.nodes = append(c.nodes, c.newNode(i, size))
+		c.instances = append(c.instances, c.newInstance(i, size))
 	}
 	return c
 }
 
-func (c *cluster) newNode(i, size int) *node {
+func (c *cluster) newInstance(i, size int) *instance {
 	host := fmt.Sprintf("10.0.0.%d", i)
 	s := settings.DefaultControl()
 	s.Instance = "control-" + strconv.Itoa(i)
@@ -73,14 +73,14 @@
 			Address:  fmt.Sprintf("10.0.0.%d:7000", j),
 		})
 	}
-	return &node{settings: s, host: host, fs: journaltest.New()}
+	return &instance{settings: s, host: host, fs: journaltest.New()}
 }
 
-// start runs an instance on its disk.
-func (c *cluster) start(n *node) { c.startOn(n, n.fs) }
+// start runs an instance on its own disk.
+func (c *cluster) start(n *instance) { c.startOn(n, n.fs) }
 
 // startOn runs an instance on a file system.
-func (c *cluster) startOn(n *node, fs journal.FS) {
+func (c *cluster) startOn(n *instance, fs journal.FS) {
 	var err error
 	n.control, err = control.New(n.settings, control.Options{Network: c.net.Host(n.host), FS: fs, Seed: 1})
 	require.NoError(c.t, err)
@@ -91,32 +91,32 @@
 }
 
 func (c *cluster) startAll() {
-	for _, n := range c.nodes {
+	for _, n := range c.instances {
 		c.start(n)
 	}
 }
 
-// stop ends an instance in order.
-func (c *cluster) stop(n *node) {
+// stop shuts an instance down in order.
+func (c *cluster) stop(n *instance) {
 	n.cancel()
 	require.NoError(c.t, <-n.done)
 	n.control = nil
 }
 
 func (c *cluster) stopAll() {
-	for _, n := range c.nodes {
+	for _, n := range c.instances {
 		if n.control != nil {
 			c.stop(n)
 		}
 	}
 }
 
-// leader waits until exactly one running instance leads and all of them are ready.
-func (c *cluster) leader() *node {
-	var leader *node
+// leader waits until a running instance leads and is ready, and returns it.
+func (c *cluster) leader() *instance {
+	var leader *instance
 	require.Eventually(c.t, func() bool {
 		leader = nil
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n.control == nil || n.control.Ready() != nil {
 				continue
 			}
@@ -129,27 +129,27 @@
 	return leader
 }
 
-func (c *cluster) follower() *node {
+func (c *cluster) follower() *instance {
 	leader := c.leader()
-	for _, n := range c.nodes {
+	for _, n := range c.instances {
 		if n != leader && n.control != nil {
 			return n
 		}
 	}
-	c.t.Fatal("no follower")
+	c.t.Fatal("no running follower")
 	return nil
 }
 
 // links returns the link addresses of all instances.
 func (c *cluster) links() []string {
 	var out []string
-	for _, n := range c.nodes {
+	for _, n := range c.instances {
 		out = append(out, n.settings.Listen.Links)
 	}
 	return out
 }
 
-// client starts a session of an entry or agent, and returns it with its stop.
+// client starts a session of an entry or agent, and returns it with a function that stops it.
 func (c *cluster) client(name, host string, role wire.Role, incarnation uint64) (*session.Session, func()) {
 	return c.run(session.Config{
 		Instance:    name,
@@ -177,7 +177,7 @@
 	require.Eventually(c.t, ok, time.Minute, 20*time.Millisecond, what)
 }
 
-// answer is what an operator got.
+// answer is the HTTP response to an operator.
 type answer struct {
 	status int
 	header http.Header
@@ -188,7 +188,7 @@
 	require.NoError(t, json.Unmarshal(a.body, into), string(a.body))
 }
 
-// code returns the result code of a refusal, 0 for none.
+// code returns the result code of a refusal, or 0 if there is none.
 func (a answer) code(t *testing.T) int {
 	var body struct {
 		Error struct {
@@ -199,8 +199,8 @@
 	return body.Error.Code
 }
 
-// call makes an operator's call from a host of its own. A failed connection gives status 0.
-func (c *cluster) call(n *node, method, path, body string, headers map[string]string) answer {
+// call makes an operator's call from a separate host. The status is 0 if the connection failed.
+func (c *cluster) call(n *instance, method, path, body string, headers map[string]string) answer {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return c.net.Host("10.0.9.1").Dial(ctx, address)
 	}}
@@ -223,11 +223,11 @@
 	return answer{response.StatusCode, response.Header, data}
 }
 
-func (c *cluster) get(n *node, path string) answer {
+func (c *cluster) get(n *instance, path string) answer {
 	return c.call(n, http.MethodGet, path, "", nil)
 }
 
-func (c *cluster) put(n *node, name, body string, version uint64, change string) answer {
+func (c *cluster) put(n *instance, name, body string, version uint64, change string) answer {
 	return c.call(n, http.MethodPut, "/v1/classes/"+name, body, changeHeaders(version, change))
 }
 
@@ -281,7 +281,7 @@
 	ConfigVersion uint64 `json:"config_version"`
 }
 
-func (c *cluster) status(n *node) statusAnswer {
+func (c *cluster) status(n *instance) statusAnswer {
 	var out statusAnswer
 	a := c.get(n, "/v1/status")
 	if a.status == http.StatusOK {
@@ -290,11 +290,11 @@
 	return out
 }
 
-// classBody is the body of a valid class.
+// classBody returns the body of a valid class.
 func classBody(deadlineMS int) string {
 	return fmt.Sprintf(`{"tier": 1, "deadline_ms": %d, "late_max": 0.01, "lost_max": 0, "repeatable": true, "kind": "service", "preempt": "never"}`, deadlineMS)
 }
 
-func gateCheck() settings.Class {
+func gateCheckClass() settings.Class {
 	return settings.Class{Name: "gate-check", Tier: 1, DeadlineMS: 800, LateMax: 0.01, Repeatable: true, Kind: "service"}
 }
--- a/control/control.go
+++ b/control/control.go
@@ -24,65 +24,65 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Options are what settings can't hold. All fields may be left zero.
+// Options holds what settings cannot express. The zero value is usable.
 type Options struct {
-	// Network opens and accepts connections; the default is network.TCP.
+	// Network opens and accepts connections; nil means network.TCP.
 	Network network.Network
-	// Log takes events; the default drops them.
+	// Log receives events; nil discards them.
 	Log log.Interface
-	// FS holds the data folder; the default is the machine's own.
+	// FS is the file system of the data folder; nil means that of the operating system.
 	FS journal.FS
-	// Metrics takes the daemon's metrics; the default is a new set.
+	// Metrics receives the daemon's metrics; nil means a new set.
 	Metrics *metrics.Set
-	// Operators makes the handler of the operators' listener; the default is the product's own interface.
+	// Operators returns the handler of the operators' listener; nil means the interface that this package implements.
 	Operators func(*Control) http.Handler
-	// Seed of the election timeouts; the default is random.
+	// Seed seeds the randomised election timeouts; zero means a random seed.
 	Seed uint64
 }
 
-// Control is a control instance. New makes one.
+// Control is a control instance, created by New.
 type Control struct {
 	settings settings.Control
 	options  Options
 	log      log.Interface
 
-	replica   *replica.Replica
-	machine   *machine
-	peers     *peers
-	reads     *reads
-	sessions  *sessions
-	reports   *reports
-	usage     *quota.Ledger
-	usageFile *usageFile
-	foreign   foreignMessages
-	leader    *leader
-	announcer *announcer
-	keys      *settings.Keyring
-	counters  counters
+	replica         *replica.Replica
+	machine         *stateMachine
+	peers           *peers
+	reads           *readConfirmer
+	sessions        *sessions
+	reports         *reports
+	usage           *quota.Ledger
+	usageFile       *usageFile
+	foreignMessages foreignMessages
+	leader          *leader
+	announcements   *announcementBatcher
+	keys            *settings.Keyring
+	counters        counters
 
 	linkListener, operatorsListener net.Listener
 	linkTLS, dialTLS                *tls.Config
 	http                            *http.Server
 
 	stopping  atomic.Bool
-	proposals slots // under way
+	proposals semaphore // in progress
 }
 
-// New opens the data folder and the listeners. Run or Close must follow. Errors are those of the journal, of the
-// listeners and of the settings' digests and TLS files.
+// New opens the data folder and the listeners. The caller must call Run or Close afterwards. It returns errors of the
+// journal and of the listeners, and errors about key digests and TLS files in the settings.
 func New(s settings.Control, options Options) (*Control, error) {
 	c := &Control{settings: s, options: options.withDefaults()}
 	c.log = c.options.Log
-	c.machine = newMachine()
-	c.proposals = newSlots(maxProposals)
+	c.machine = newStateMachine()
+	c.proposals = newSemaphore(maxProposals)
 	c.peers = newPeers(c)
-	c.reads = newReads(c)
+	c.reads = newReadConfirmer(c)
 	c.sessions = newSessions(c)
 	c.reports = newReports()
 	c.usage = quota.NewLedger(c.capOf, c.heldByOthers)
 	c.usageFile = newUsageFile(s, c.options.FS)
 	c.leader = newLeader(c)
-	c.announcer = newAnnouncer(c)
+	c.announcements = newAnnouncementBatcher(c)
 	if err := c.open(); err != nil {
 		c.Close()
 		return nil, err
@@ -95,7 +95,7 @@
 	return c, nil
 }
 
-// readHeaderTimeout bounds how long an operator's connection may take to send a request's header.
+// readHeaderTimeout is the time that an operator's connection has to send a request header.
 const readHeaderTimeout = 10 * time.Second
 
 func (o Options) withDefaults() Options {
@@ -157,7 +157,7 @@
 	return listener, nil
 }
 
-// Close releases what New opened, for a control instance that was never run.
+// Close releases what New opened. It is for a control instance on which Run was never called.
 func (c *Control) Close() error {
 	var errs []error
 	for _, listener := range []net.Listener{c.linkListener, c.operatorsListener} {
@@ -177,10 +177,11 @@
 // OperatorsAddr returns the address of the operators' HTTP listener.
 func (c *Control) OperatorsAddr() string { return c.operatorsListener.Addr().String() }
 
-// Metrics returns the daemon's metrics.
+// Metrics returns the set that holds the daemon's metrics.
 func (c *Control) Metrics() *metrics.Set { return c.options.Metrics }
 
-// advertise returns the link address that others dial.
+// advertise returns the link address that other processes dial: the configured one, or the listener's own if the
+// configured address has port 0 or cannot be split.
 func (c *Control) advertise() string {
 	_, port, err := net.SplitHostPort(c.settings.Advertise)
 	if err != nil || port == "0" {
@@ -189,13 +190,13 @@
 	return c.settings.Advertise
 }
 
-// Run serves until ctx ends, then stops in order and returns nil. Any other end is an error, such as a damaged
-// journal.
+// Run serves until ctx ends, then shuts down in order and returns nil. Any other end returns an error, such as a
+// damaged journal.
 func (c *Control) Run(ctx context.Context) error {
 	var g run.Group
-	add := func(duty func(context.Context) error) {
+	add := func(actor func(context.Context) error) {
 		ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-		g.Add(func() error { return duty(ctx) }, func(error) { cancel() })
+		g.Add(func() error { return actor(ctx) }, func(error) { cancel() })
 	}
 	add(c.runReplica)
 	add(c.serveLinks)
@@ -203,12 +204,12 @@
 	add(c.reads.run)
 	add(c.sessions.runPushes)
 	add(c.leader.run)
-	add(c.announcer.run)
+	add(c.announcements.run)
 	add(c.runUsageFile)
 	add(c.runReleases)
 	add(c.serveOperators)
-	stop, cancel := context.WithCancel(ctx)
-	g.Add(func() error { return c.stop(stop, ctx) }, func(error) { cancel() })
+	stopCtx, cancel := context.WithCancel(ctx)
+	g.Add(func() error { return c.stop(stopCtx, ctx) }, func(error) { cancel() })
 	c.log.WithField("instance", c.settings.Instance).
 		WithField("operators", c.OperatorsAddr()).
 		WithField("links", c.LinkAddr()).
@@ -221,31 +222,32 @@
 	return err
 }
 
-// errStopped is the end of the stop's duty, when ctx of Run has ended.
+// errStopped is returned by the shutdown actor once the context of Run has ended and the shutdown is complete.
 var errStopped = errors.New("control: stopped")
 
-// transferTimeout bounds the hand-over of leadership at the stop.
+// transferTimeout bounds the transfer of leadership during a shutdown.
 const transferTimeout = 2 * time.Second
 
-// stop waits for the end of wanted, then makes the daemon not ready, hands leadership over, and lets calls in flight
-// end, as long as the drain time lasts. Its return lets all other duties end.
-func (c *Control) stop(ctx, wanted context.Context) error {
+// stop waits until runCtx ends, then makes the daemon report not ready, transfers leadership, and waits at most the
+// drain time for calls in flight. When it returns, all other actors are stopped.
+func (c *Control) stop(ctx, runCtx context.Context) error {
 	<-ctx.Done()
-	if wanted.Err() == nil {
-		return ctx.Err() // another duty failed
+	if runCtx.Err() == nil {
+		return ctx.Err() // another actor failed
 	}
 	c.stopping.Store(true)
 	c.log.Info("control_stopping")
 	drain, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.settings.Timing.Drain)
 	defer cancel()
-	c.handOver(drain)
+	c.transferLeadership(drain)
 	_ = c.http.Shutdown(drain)
 	c.proposals.drain(drain)
 	return errStopped
 }
 
-// handOver spares the others an election timeout.
-func (c *Control) handOver(ctx context.Context) {
+// transferLeadership hands leadership to another voter, so that the group does not have to wait for an election
+// timeout.
+func (c *Control) transferLeadership(ctx context.Context) {
 	if !c.isLeader() || len(c.replica.Status().Members) < 2 {
 		return
 	}
@@ -263,11 +265,11 @@
 		}
 		return wire.DRPCRegisterReplicaLink(mux, c.peers)
 	}
-	return link.ServeAndTell(ctx, c.linkListener, c.linkTLS, register, c.peerRefused)
+	return link.ServeAndTell(ctx, c.linkListener, c.linkTLS, register, c.recordRefusedPeer)
 }
 
-// peerRefused notes a process without a certificate of the deployment.
-func (c *Control) peerRefused(peer net.Addr, err error) {
+// recordRefusedPeer counts and logs a connection from a process without a certificate of this deployment.
+func (c *Control) recordRefusedPeer(peer net.Addr, err error) {
 	c.counters.peersRefused.Inc()
 	c.log.WithField("peer", peer.String()).WithError(err).Warn("link_peer_refused")
 }
@@ -277,7 +279,7 @@
 	defer stop()
 	err := c.http.Serve(c.operatorsListener)
 	if errors.Is(err, http.ErrServerClosed) {
-		// Shutdown began; the stop's duty says when it is over.
+		// Shutdown has begun; the shutdown actor decides when it is complete.
 		<-ctx.Done()
 		return nil
 	}
--- a/control/counters.go
+++ b/control/counters.go
@@ -9,12 +9,12 @@
 	"github.com/carawaypitch/carawaypitch/state"
 )
 
-// counters are the metrics of a control instance.
+// counters holds the metrics of a control instance.
 type counters struct {
-	set          *metrics.Set
-	slowSessions *metrics.Counter
-	removed      *metrics.Counter
-	peersRefused *metrics.Counter // without a certificate of the deployment
+	set              *metrics.Set
+	slowSessions     *metrics.Counter
+	instancesRemoved *metrics.Counter
+	peersRefused     *metrics.Counter // connections without a certificate of this deployment
 }
 
 func newCounters(c *Control) counters {
@@ -22,35 +22,35 @@
 	gauge := func(name string, value func() float64) { set.GetOrCreateGauge("carawaypitch_"+name, value) }
 	gauge("config_version", func() float64 { v, _ := c.versions(); return float64(v) })
 	gauge("directory_version", func() float64 { _, v := c.versions(); return float64(v) })
-	gauge("leading", func() float64 { return boolean(c.isLeader()) })
+	gauge("leading", func() float64 { return boolToFloat(c.isLeader()) })
 	gauge("term", func() float64 { return float64(c.replica.Status().Term) })
-	gauge("operations", func() float64 { return float64(c.counts().Operations) })
-	gauge("operation_answer_bytes", func() float64 { return float64(c.counts().AnswerBytes) })
-	gauge("expired_keys", func() float64 { return float64(c.counts().ExpiredKeys) })
+	gauge("operations", func() float64 { return float64(c.stateCounts().Operations) })
+	gauge("operation_answer_bytes", func() float64 { return float64(c.stateCounts().AnswerBytes) })
+	gauge("expired_keys", func() float64 { return float64(c.stateCounts().ExpiredKeys) })
 	gauge("sessions", func() float64 { return float64(len(c.sessions.list())) })
 	gauge("replica_syncs_total", func() float64 { return float64(c.replica.Status().Counters.Syncs) })
 	gauge("replica_synced_bytes_total", func() float64 { return float64(c.replica.Status().Counters.SyncedBytes) })
 	return counters{
-		set:          set,
-		slowSessions: set.GetOrCreateCounter("carawaypitch_sessions_ended_total{reason=\"slow\"}"),
-		peersRefused: set.GetOrCreateCounter("carawaypitch_link_peers_refused_total"),
-		removed:      set.GetOrCreateCounter("carawaypitch_instances_removed_total"),
+		set:              set,
+		slowSessions:     set.GetOrCreateCounter("carawaypitch_sessions_ended_total{reason=\"slow\"}"),
+		peersRefused:     set.GetOrCreateCounter("carawaypitch_link_peers_refused_total"),
+		instancesRemoved: set.GetOrCreateCounter("carawaypitch_instances_removed_total"),
 	}
 }
 
-func boolean(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (c *Control) counts() (counts state.Counts) {
+func (c *Control) stateCounts() (counts state.Counts) {
 	c.machine.read(func(s *state.State) { counts = s.Counts() })
 	return counts
 }
 
-func (c *counters) reads(confirmed bool) *metrics.Counter {
+func (c *counters) readRounds(confirmed bool) *metrics.Counter {
 	return c.set.GetOrCreateCounter(fmt.Sprintf("carawaypitch_read_rounds_total{confirmed=%q}", fmt.Sprint(confirmed)))
 }
 
@@ -62,7 +62,7 @@
 	return c.set.GetOrCreateCounter(fmt.Sprintf("carawaypitch_orders_ended_total{code=\"%d\"}", code))
 }
 
-// refused counts a refusal towards an operator, in the form that callers' refusals have.
+// refused counts a refusal to an operator under the same metric as refusals to callers.
 func (c *counters) refused(code result.Code) *metrics.Counter {
 	return c.set.GetOrCreateCounter(fmt.Sprintf("carawaypitch_refusals_total{code=\"%d\",tier=\"\"}", code))
 }
--- a/control/desired.go
+++ b/control/desired.go
@@ -9,9 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// PutDesired puts a desired state in force. A nil error means that it, or one with a higher version, is committed and
-// can't be lost. Errors have code result.InvalidDesiredState, or result.ControlUnavailable when it isn't known within
-// ctx whether the desired state was committed: sending it again does no harm.
+// PutDesired puts a desired state in force. A nil error means that this state, or one with a higher version, is
+// committed and cannot be lost. Errors have code result.InvalidDesiredState, or result.ControlUnavailable if ctx ended
+// before it was known whether the desired state was committed. It is safe to send it again.
 func (c *Control) PutDesired(ctx context.Context, desired *wire.DesiredState) error {
 	if problem := state.CheckDesired(desired); problem != "" {
 		return result.New(result.InvalidDesiredState, "%s", problem)
@@ -21,7 +21,7 @@
 	}
 	log := c.log.WithField("version", desired.GetVersion()).WithField("routes", len(desired.GetRoutes()))
 	cmd := &wire.Command{Kind: &wire.Command_PutDesiredState{PutDesiredState: &wire.PutDesiredState{Desired: desired}}}
-	if err := c.settle(ctx, cmd); err != nil {
+	if err := c.commitIdempotent(ctx, cmd); err != nil {
 		log.WithError(err).Warn("desired_state_not_committed")
 		return err
 	}
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Desired returns the desired state in force, nil if there is none yet, once a quorum has confirmed that no later one
-// was acknowledged before the call. Errors have code result.ControlUnavailable.
+// Desired returns the desired state in force, or nil if there is none yet. A quorum has confirmed that no later one was
+// acknowledged before the call. Errors have code result.ControlUnavailable.
 func (c *Control) Desired(ctx context.Context) (*wire.DesiredState, error) {
 	if err := c.reads.wait(ctx); err != nil {
 		return nil, err
@@ -43,23 +43,23 @@
 	return desired
 }
 
-// settle has a command committed that does no harm when it is committed twice, so it goes on after a lost outcome.
-// Errors are refusals by the state, result.EntryTooLarge, or result.ControlUnavailable at the end of ctx.
-func (c *Control) settle(ctx context.Context, cmd *wire.Command) error {
-	_, err := c.settleResult(ctx, cmd)
+// commitIdempotent commits a command that has the same effect if it is committed twice, so it retries after an unknown
+// outcome. Errors are refusals by the state, result.EntryTooLarge, or result.ControlUnavailable when ctx ends.
+func (c *Control) commitIdempotent(ctx context.Context, cmd *wire.Command) error {
+	_, err := c.commitIdempotentResult(ctx, cmd)
 	return err
 }
 
-// settleResult is settle, and returns what came of the command.
-func (c *Control) settleResult(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
+// commitIdempotentResult is commitIdempotent, and returns the result of the command as well.
+func (c *Control) commitIdempotentResult(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
 	for {
-		res, err := c.changeOnce(ctx, cmd)
+		res, err := c.proposeOrForward(ctx, cmd)
 		switch {
 		case err == nil:
 			return res, resultError(res)
 		case result.Is(err, result.EntryTooLarge):
 			return nil, err
-		case !pause.For(ctx, retryPause):
+		case !pause.For(ctx, retryInterval):
 			return nil, result.Wrap(err, result.ControlUnavailable, "the change may or may not have been committed: send it again")
 		}
 	}
--- a/control/follow_test.go
+++ b/control/directory_follow_test.go
@@ -12,31 +12,30 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: a process goes on sending work to a server that left seconds ago, with two of three links to control sound. Sequence: the
-// instance that it follows is cut off from it, or from the other instances, or falls behind; then a server says that it leaves.
-// Cause: news of the directory come over one link alone. The others tell the version that there is, and the process turns to one of
-// them: within two seconds, the least that the users give such an order.
-func TestNewsComeThoughTheFollowedInstanceIsAway(t *testing.T) {
+// Guards against a process that keeps sending requests to a server that is leaving, because the one control instance
+// that sends it directory updates is cut off, behind or down. The other instances' answers name a newer version. The
+// process must turn to one of them within two seconds, the time in which users expect such a notice to be followed.
+func TestDirectoryUpdatesSurviveFailureOfFollowedInstance(t *testing.T) {
 	const within = 2 * time.Second
-	cuts := map[string]func(*cluster, *node){
-		"cut off from the process": func(c *cluster, n *node) { c.net.Cut(n.host, "10.0.1.1") },
-		"cut off from the others": func(c *cluster, n *node) {
-			for _, other := range c.nodes {
+	faults := map[string]func(*cluster, *instance){
+		"cut off from the client": func(c *cluster, n *instance) { c.net.Cut(n.host, "10.0.1.1") },
+		"cut off from the other instances": func(c *cluster, n *instance) {
+			for _, other := range c.instances {
 				if other != n {
 					c.net.Cut(n.host, other.host)
 				}
 			}
 		},
-		"hears the others late": func(c *cluster, n *node) {
-			for _, other := range c.nodes {
+		"receives late from the other instances": func(c *cluster, n *instance) {
+			for _, other := range c.instances {
 				if other != n {
 					c.net.Delay(other.host, n.host, 5*time.Second)
 				}
 			}
 		},
-		"killed": func(c *cluster, n *node) { c.stop(n) },
+		"stopped": func(c *cluster, n *instance) { c.stop(n) },
 	}
-	for name, cut := range cuts {
+	for name, inject := range faults {
 		for _, role := range []wire.Role{wire.Role_ROLE_ENTRY, wire.Role_ROLE_AGENT} {
 			t.Run(fmt.Sprint(name, "/", role), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -50,18 +49,18 @@
 						Controls: c.links(), Network: c.net.Host("10.0.1.1"), SilenceBound: time.Hour,
 					})
 					defer stop()
-					c.eventually("ready", func() bool { return s.Ready() == nil })
+					c.eventually("the client is ready", func() bool { return s.Ready() == nil })
 					time.Sleep(5 * time.Second)
 					leader := c.leader()
 					server := &wire.Announcement{Server: "s", Pool: "m", Address: "10.0.3.1:8000", Slots: 5, Sequence: 1}
 					require.NoError(t, leader.control.Announce(t.Context(), server))
-					c.eventually("known", func() bool { return s.View().Announcements["s"] != nil })
+					c.eventually("the client knows the server", func() bool { return s.View().Announcements["s"] != nil })
 
-					cut(c, followed)
+					inject(c, followed)
 					leaving := &wire.Announcement{Server: "s", Pool: "m", Address: "10.0.3.1:8000", Slots: 5, Sequence: 2, Draining: true}
 					require.NoError(t, leader.control.Announce(t.Context(), leaving))
 					began := time.Now()
-					c.eventually("known to leave", func() bool { return s.View().Announcements["s"].GetDraining() })
+					c.eventually("the client knows that the server is draining", func() bool { return s.View().Announcements["s"].GetDraining() })
 					require.LessOrEqual(t, time.Since(began), within, "simulated time")
 				})
 			})
@@ -69,9 +68,9 @@
 	}
 }
 
-// Symptom: an agent serves a run of its server that has ended. Sequence: it follows one instance, which is lost; its server starts again
-// meanwhile; the agent follows another instance. Cause: ends that only the first instance knew to be of its server.
-func TestServerThatLeftWhileNobodyWasFollowedIsForgotten(t *testing.T) {
+// Guards against an agent that keeps a run of its server that ended while the agent had no link. The server restarts
+// meanwhile; the instance that the agent follows next does not know which runs the agent still has.
+func TestServerEndedDuringPartitionIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
 		c.startAll()
@@ -82,7 +81,7 @@
 			Controls: c.links(), Network: c.net.Host("10.0.1.1"), SilenceBound: time.Hour,
 		})
 		defer stop()
-		c.eventually("ready", func() bool { return s.Ready() == nil })
+		c.eventually("the client is ready", func() bool { return s.Ready() == nil })
 		leader := c.leader()
 		announce := func(server string, sequence uint64) {
 			require.NoError(t, leader.control.Announce(t.Context(), &wire.Announcement{
@@ -90,16 +89,16 @@
 			}))
 		}
 		announce("first", 1)
-		c.eventually("known", func() bool { return s.View().Announcements["first"] != nil })
-		for _, n := range c.nodes {
+		c.eventually("the client knows the server", func() bool { return s.View().Announcements["first"] != nil })
+		for _, n := range c.instances {
 			c.net.Cut(n.host, "10.0.1.1")
 		}
 		time.Sleep(10 * time.Second)
 		announce("second", 1)
-		for _, n := range c.nodes[1:] {
+		for _, n := range c.instances[1:] {
 			c.net.Heal(n.host, "10.0.1.1")
 		}
-		c.eventually("the second start is known", func() bool { return s.View().Announcements["second"] != nil })
+		c.eventually("the client knows the second run", func() bool { return s.View().Announcements["second"] != nil })
 		require.NotContains(t, s.View().Announcements, "first")
 	})
 }
--- a/control/disk.go
+++ b/control/disk.go
@@ -10,15 +10,15 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// diskRetry is how often an instance whose disk refuses writes tries again.
-const diskRetry = 500 * time.Millisecond
+// diskRetryInterval is the pause before an instance whose disk refuses writes is started again.
+const diskRetryInterval = 500 * time.Millisecond
 
-// RunWithDiskRetry runs the control instance that open makes until ctx ends, and begins it anew while its disk refuses writes.
+// RunWithDiskRetry runs the control instance that open returns until ctx ends, and opens it again while its disk
+// refuses writes. It returns nil when ctx ends. Errors are those of open and Run, except result.DiskFull.
 //
-// An instance that can't write must not count for a quorum, so it ends, and another one leads within an election
-// timeout. But a full disk is often emptied by others: a process that exits for good would cost the group a member,
-// and one that is restarted in a loop by its platform looks broken. Errors are those of open and Run, but for
-// result.DiskFull.
+// An instance that cannot write must not count towards a quorum, so it ends, and another one leads within an election
+// timeout. A full disk is often emptied by others, though. A process that exits for good would cost the group a member,
+// and one that its platform restarts in a loop looks broken.
 func RunWithDiskRetry(ctx context.Context, open func() (*Control, error), logger log.Interface) error {
 	for {
 		c, err := open()
@@ -28,8 +28,8 @@
 		if !result.Is(err, result.DiskFull) {
 			return err
 		}
-		logger.WithError(err).WithField("again_in", diskRetry).Warn("disk_refuses_writes")
-		if !pause.For(ctx, diskRetry) {
+		logger.WithError(err).WithField("again_in", diskRetryInterval).Warn("disk_refuses_writes")
+		if !pause.For(ctx, diskRetryInterval) {
 			return nil
 		}
 	}
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -16,10 +16,9 @@
 	"github.com/carawaypitch/carawaypitch/control"
 )
 
-// Symptom: the process of a control instance ends again and again, and its group has one member less. Sequence: its disk
-// is full for some seconds. Cause: a disk that refuses writes taken for one that is broken for good. Meanwhile it must
-// not lead: the others go on without it, and it holds what they took once there is room.
-func TestFullDiskEndsNothing(t *testing.T) {
+// Guards against a process that exits while its disk is full, which costs its group a member. While the disk refuses
+// writes the others must go on without the instance; once there is space it must catch up with what they committed.
+func TestInstanceSurvivesFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
 		c.startAll()
@@ -34,7 +33,7 @@
 			}
 			return nil
 		})
-		silent := &log.Logger{Handler: discard.Default, Level: log.ErrorLevel}
+		discardLogger := &log.Logger{Handler: discard.Default, Level: log.ErrorLevel}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
@@ -44,27 +43,27 @@
 					latest.Store(opened)
 				}
 				return opened, err
-			}, silent)
+			}, discardLogger)
 		}()
-		c.eventually("it is there", func() bool { return latest.Load() != nil && latest.Load().Ready() == nil })
+		c.eventually("the instance is ready", func() bool { return latest.Load() != nil && latest.Load().Ready() == nil })
 		isFull.Store(true)
-		other := c.nodes[0]
+		other := c.instances[0]
 		if other == full {
-			other = c.nodes[1]
+			other = c.instances[1]
 		}
 		for version := range uint64(5) {
-			c.eventually("the others take a change", func() bool {
+			c.eventually("the others commit a change", func() bool {
 				return other.control.PutDesired(t.Context(), testDesired(version+1)) == nil
 			})
 		}
 		time.Sleep(5 * time.Second)
 		select {
 		case err := <-done:
-			require.Fail(t, "it ended", "%v", err)
+			require.Fail(t, "the instance ended", "%v", err)
 		default:
 		}
 		isFull.Store(false)
-		c.eventually("it has all of them", func() bool {
+		c.eventually("the instance has all changes", func() bool {
 			// An instance that has ended answers no read.
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -76,9 +75,10 @@
 	})
 }
 
-func TestOtherErrorsEndTheInstance(t *testing.T) {
-	silent := &log.Logger{Handler: discard.Default, Level: log.ErrorLevel}
+// Guards against a retry loop on errors other than a full disk.
+func TestOtherErrorsAreNotRetried(t *testing.T) {
+	discardLogger := &log.Logger{Handler: discard.Default, Level: log.ErrorLevel}
 	broken := errors.New("broken")
-	err := control.RunWithDiskRetry(t.Context(), func() (*control.Control, error) { return nil, broken }, silent)
+	err := control.RunWithDiskRetry(t.Context(), func() (*control.Control, error) { return nil, broken }, discardLogger)
 	require.ErrorIs(t, err, broken)
 }
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -17,19 +17,22 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// The fleet of these tests: 300 machines in three zones before 3,000 backend servers, a tenth of which have an agent.
+// The simulated deployment has 300 machines in three zones, with 3,000 backend servers, of which one in twenty has an
+// agent.
 const (
-	wideZones   = 3
-	wideEntries = 150
-	wideAgents  = 150
-	wideServers = 3000
-	// wideBytes is what a process may spend on control, in bytes a second: the users' bound for each daemon.
-	wideBytes = 3 * 1024
+	fanoutZones   = 3
+	fanoutEntries = 150
+	fanoutAgents  = 150
+	fanoutServers = 3000
+	// maxBytesPerProcess bounds the control traffic of a process, in bytes a second. The users require it of each
+	// daemon.
+	maxBytesPerProcess = 3 * 1024
 )
 
-func wideZone(i int) string { return fmt.Sprint("zone-", i%wideZones) }
+func fanoutZone(i int) string { return fmt.Sprint("zone-", i%fanoutZones) }
 
-// meteredNetwork counts the bytes, in both directions, of connections from one process to control instances of other zones.
+// meteredNetwork counts the bytes, in both directions, of connections from one process to control instances in other
+// zones.
 type meteredNetwork struct {
 	network.Network
 	zone   string
@@ -62,38 +65,40 @@
 	return n, err
 }
 
-// wideFleet is a fleet whose processes count what they exchange with other zones.
-type wideFleet struct {
+// zonedFleet is a fleet that counts the bytes that its processes exchange with other zones.
+type zonedFleet struct {
 	*fleet
 	bytes atomic.Int64
 }
 
-func newWideFleet(t *testing.T) *wideFleet {
-	f := &wideFleet{fleet: newFleetInZones(t, wideZones)}
+func newZonedFleet(t *testing.T) *zonedFleet {
+	f := &zonedFleet{fleet: newFleetInZones(t, fanoutZones)}
 	zoneOf := make(map[string]string)
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		zoneOf[n.settings.Listen.Links] = n.settings.AvailabilityZone
 	}
-	f.dress = func(c *session.Config) {
-		c.Zone = wideZone(len(f.sessions))
+	f.configure = func(c *session.Config) {
+		c.Zone = fanoutZone(len(f.sessions))
 		c.Network = meteredNetwork{c.Network, c.Zone, zoneOf, &f.bytes}
 		if c.Role == wire.Role_ROLE_AGENT {
-			c.ServerAddress = wideAddress(len(f.sessions) - wideEntries)
+			c.ServerAddress = serverAddress(len(f.sessions) - fanoutEntries)
 		}
 	}
 	return f
 }
 
-func wideAddress(server int) string { return fmt.Sprintf("10.3.%d.%d:8000", server/200, server%200+1) }
+func serverAddress(server int) string {
+	return fmt.Sprintf("10.3.%d.%d:8000", server/200, server%200+1)
+}
 
-// announceAll has all servers announce themselves within a second, each to an instance of its own zone.
-func (f *wideFleet) announceAll(ctx context.Context) {
+// announceAll announces all servers within a second, each to an instance in its own zone.
+func (f *zonedFleet) announceAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i := range wideServers {
+	for i := range fanoutServers {
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * time.Second / wideServers)
-			err := f.nodes[i%len(f.nodes)].control.Announce(ctx, &wire.Announcement{
-				Server: fmt.Sprint("server-", i), Pool: "m", Address: wideAddress(i), AvailabilityZone: wideZone(i), Slots: 5, Sequence: 1,
+			time.Sleep(time.Duration(i) * time.Second / fanoutServers)
+			err := f.instances[i%len(f.instances)].control.Announce(ctx, &wire.Announcement{
+				Server: fmt.Sprint("server-", i), Pool: "m", Address: serverAddress(i), AvailabilityZone: fanoutZone(i), Slots: 5, Sequence: 1,
 			})
 			require.NoError(f.t, err)
 		})
@@ -101,46 +106,46 @@
 	wg.Wait()
 }
 
-// knowsServers tells whether each entry knows all servers, and each agent the one at its address.
-func (f *wideFleet) knowsServers() bool {
+// knowsServers reports whether each entry knows all servers, and each agent the one at its address.
+func (f *zonedFleet) knowsServers() bool {
 	for name, s := range f.sessions {
 		announcements := s.View().Announcements
 		var number int
 		if _, err := fmt.Sscanf(name, "agent-%d", &number); err != nil {
-			if len(announcements) != wideServers {
+			if len(announcements) != fanoutServers {
 				return false
 			}
 			continue
 		}
-		if announcements[fmt.Sprint("server-", number)].GetAddress() != wideAddress(number) {
+		if announcements[fmt.Sprint("server-", number)].GetAddress() != serverAddress(number) {
 			return false
 		}
 	}
 	return true
 }
 
-// Symptom: in a fleet of 300 machines control's busiest instance sends 3 MB a second, most of it into other availability zones, and
-// requests are refused while processes work on news of each other. Sequence: 3,000 servers announce themselves within a second.
-// Cause: each announcement was sent to each process by each control instance that it has a link to, wherever that is, though
-// an agent needs the one of its own server only.
-func TestNewsOfServersCrossesZonesOnce(t *testing.T) {
+// Guards against sending each announcement to every process over every link in any zone, although an agent needs only
+// that of its own server. When 3,000 servers announce themselves within a second to 300 machines, the busiest control
+// instance then sends 3 MB a second, mostly into other zones, and requests are refused while processes handle the
+// updates.
+func TestAnnouncementsCrossZonesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newWideFleet(t)
+		f := newZonedFleet(t)
 		defer f.stopAll()
 		f.leader()
-		for i := range wideEntries {
+		for i := range fanoutEntries {
 			f.join(wire.Role_ROLE_ENTRY, i)
 		}
-		for i := range wideAgents {
+		for i := range fanoutAgents {
 			f.join(wire.Role_ROLE_AGENT, i)
 		}
-		f.eventually("all are ready", f.allReady)
+		f.eventually("all processes are ready", f.allReady)
 		began, before := time.Now(), f.bytes.Load()
 		f.announceAll(t.Context())
-		f.eventually("all know the servers", f.knowsServers)
-		require.Less(t, time.Since(began), 3*time.Second, "simulated time until a new server is used")
+		f.eventually("all processes know the servers", f.knowsServers)
+		require.Less(t, time.Since(began), 3*time.Second, "simulated time until all processes know the new servers")
 		time.Sleep(10*time.Second - time.Since(began))
 		perProcess := float64(f.bytes.Load()-before) / time.Since(began).Seconds() / float64(len(f.sessions))
-		require.Less(t, perProcess, float64(wideBytes), "bytes a second of a process between zones")
+		require.Less(t, perProcess, float64(maxBytesPerProcess), "bytes a second between zones, per process")
 	})
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// The fleet of these tests: control on some of the machines, five of them with a disk.
+// The simulated deployment runs control on some machines, five of them with a disk.
 const (
 	fleetDisks    = 5
 	fleetControls = 15
@@ -25,30 +25,30 @@
 // fleet is a cluster with the sessions of hundreds of processes.
 type fleet struct {
 	*cluster
-	sessions map[string]*session.Session
-	stops    []func()
-	dress    func(*session.Config) // changes the configuration of a process before it starts
+	sessions  map[string]*session.Session
+	stops     []func()
+	configure func(*session.Config) // changes the configuration of a process before it starts
 }
 
 // newFleet starts control: five instances with a disk, and ten without.
 func newFleet(t *testing.T) *fleet { return newFleetInZones(t, fleetControls) }
 
-// newFleetInZones is newFleet with the control instances in so many zones in turn.
+// newFleetInZones is newFleet with the control instances spread over the given number of zones.
 func newFleetInZones(t *testing.T, zones int) *fleet {
 	c := newCluster(t, fleetDisks)
 	for i := fleetDisks + 1; i <= fleetControls; i++ {
-		n := c.addNode(i, 1, 2, 3)
+		n := c.addInstance(i, 1, 2, 3)
 		n.settings.Ephemeral = true
 	}
-	for i, n := range c.nodes {
+	for i, n := range c.instances {
 		n.settings.Voters = fleetDisks
 		n.settings.AvailabilityZone = fmt.Sprint("zone-", i%zones)
 	}
 	c.startAll()
-	return &fleet{cluster: c, sessions: make(map[string]*session.Session), dress: func(*session.Config) {}}
+	return &fleet{cluster: c, sessions: make(map[string]*session.Session), configure: func(*session.Config) {}}
 }
 
-// join starts a process whose settings name three control instances. Its incarnation is counted from one.
+// join starts a process whose settings name three control instances. Its incarnation is 1.
 func (f *fleet) join(role wire.Role, number int) {
 	kind, host := "entry", fmt.Sprintf("10.1.%d.%d", number/200, number%200+1)
 	if role == wire.Role_ROLE_AGENT {
@@ -59,7 +59,7 @@
 		Instance: name, Role: role, Incarnation: 1, Zone: fmt.Sprint("zone-", number%5), LinkAddress: host + ":7100",
 		Controls: f.links()[:3], Network: f.net.Host(host), SilenceBound: time.Hour, PollInterval: time.Second,
 	}
-	f.dress(&config)
+	f.configure(&config)
 	s, stop := f.run(config)
 	if role == wire.Role_ROLE_AGENT {
 		s.SetServers([]*wire.ServerRecord{{Server: fmt.Sprint("server-", number), Kind: "model", Models: []string{"m"}}})
@@ -75,7 +75,7 @@
 	f.cluster.stopAll()
 }
 
-// allReady tells whether all processes are ready.
+// allReady reports whether all processes are ready.
 func (f *fleet) allReady() bool {
 	for _, s := range f.sessions {
 		if s.Ready() != nil {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// converged tells whether all processes are ready and know so many entries, and each entry so many agents. An agent has no use for
-// others: it knows itself.
+// converged reports whether all processes are ready and know the given number of entries, and each entry the given
+// number of agents. An agent knows only itself.
 func (f *fleet) converged(entries, agents int) bool {
 	for name, s := range f.sessions {
 		view, known := s.View(), agents
@@ -100,17 +100,17 @@
 	return true
 }
 
-// Symptom: hundreds of processes that start together spend all their time on news of each other, and serve late. Sequence: 105
-// entries and 180 agents start within a second; later 100 more within a second, as when machines are added. Cause: each change
-// of the directory sent by each of 15 control instances to each process. Here all of it comes in at most three times, and all
-// processes know each other within the time that the platform gives a machine to catch up.
-func TestFleetOfHundredsStartsAtOnce(t *testing.T) {
+// Guards against sending each change of the directory from each of 15 control instances to each process. When 105
+// entries and 180 agents start within a second, and later 100 more, they would spend their time on updates and serve
+// late. They must know each other within the time that the platform gives a machine to catch up, over at most three
+// links each.
+func TestHundredsOfProcessesStartTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stopAll()
 		f.leader()
 		const catchUp = 6 * time.Second
-		joined := func(entries, agents, fromEntries, fromAgents int) {
+		joinAndConverge := func(entries, agents, fromEntries, fromAgents int) {
 			for i := fromEntries; i < entries; i++ {
 				f.join(wire.Role_ROLE_ENTRY, i)
 				time.Sleep(time.Second / fleetEntries / 3)
@@ -120,14 +120,14 @@
 				time.Sleep(time.Second / fleetAgents / 3)
 			}
 			began := time.Now()
-			f.eventually("all know each other", func() bool { return f.converged(entries, agents) })
+			f.eventually("all processes know each other", func() bool { return f.converged(entries, agents) })
 			require.Less(t, time.Since(began), catchUp, "simulated time")
 		}
-		joined(fleetEntries, fleetAgents, 0, 0)
-		joined(fleetEntries+64, fleetAgents+36, fleetEntries, fleetAgents)
+		joinAndConverge(fleetEntries, fleetAgents, 0, 0)
+		joinAndConverge(fleetEntries+64, fleetAgents+36, fleetEntries, fleetAgents)
 		time.Sleep(5 * time.Second)
 		total := 0
-		for _, n := range f.nodes {
+		for _, n := range f.instances {
 			status := f.status(n)
 			for _, list := range [][]instanceAnswer{status.Entries, status.Agents} {
 				for _, one := range list {
@@ -137,7 +137,7 @@
 				}
 			}
 		}
-		require.LessOrEqual(t, total, 3*len(f.sessions), "links of all processes")
+		require.LessOrEqual(t, total, 3*len(f.sessions), "open links of all processes")
 	})
 }
 
@@ -150,19 +150,19 @@
 	for i := range fleetAgents {
 		f.join(wire.Role_ROLE_AGENT, i)
 	}
-	f.eventually("all know each other", func() bool { return f.converged(fleetEntries, fleetAgents) })
+	f.eventually("all processes know each other", func() bool { return f.converged(fleetEntries, fleetAgents) })
 }
 
-// Symptom: hundreds of machines send a request on that crashes servers, long after some of them knew. Sequence: three agents
-// report a crash each, at a fleet of 105 entries and 180 agents; then control loses its leader, and an entry joins. Cause: what
-// is known spread slower than requests come back, or lost with the leader.
-func TestQuarantineBindsAFleetOfHundreds(t *testing.T) {
+// Guards against a quarantine that spreads more slowly than a request that crashes servers is retried, or that is lost
+// with the leader. Three agents report a crash each in a fleet of 105 entries and 180 agents; then control loses its
+// leader and an entry joins.
+func TestQuarantineReachesHundredsOfProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stopAll()
 		f.joinAll()
 		key := poison.Key{Organisation: "union", Fingerprint: 7}
-		binds := func() bool {
+		quarantined := func() bool {
 			for _, s := range f.sessions {
 				if poison.StandingOf(s.View().Poison[key.String()]) != poison.Quarantined {
 					return false
@@ -180,11 +180,11 @@
 			require.NoError(t, err)
 		}
 		began := time.Now()
-		f.eventually("all know it", binds)
-		require.Less(t, time.Since(began), time.Second, "simulated time, from the third crash on")
+		f.eventually("all processes know it", quarantined)
+		require.Less(t, time.Since(began), time.Second, "simulated time since the third crash")
 
 		shown := f.status(f.leader()).Poison
-		require.Len(t, shown, 1, "operators see it")
+		require.Len(t, shown, 1, "status shows it to operators")
 		require.Equal(t, "quarantined", shown[0].Standing)
 		require.Equal(t, key.Fingerprint.String(), shown[0].Fingerprint)
 		require.Len(t, shown[0].Servers, poison.QuarantinedAt)
@@ -192,13 +192,14 @@
 
 		f.stop(f.leader())
 		f.join(wire.Role_ROLE_ENTRY, fleetEntries)
-		f.eventually("the new one is ready", func() bool { return f.converged(fleetEntries+1, fleetAgents) })
-		require.True(t, binds())
+		f.eventually("the new entry is ready", func() bool { return f.converged(fleetEntries+1, fleetAgents) })
+		require.True(t, quarantined())
 	})
 }
 
-// What one of hundreds of senders hears of a server must reach all others within a second, and outlast the leader.
-func TestAdviceOfAServerReachesAFleetOfHundreds(t *testing.T) {
+// Guards against advice of a server that reaches only the process that got it. It must reach all others within a second
+// and survive the loss of the leader.
+func TestServerAdviceReachesHundredsOfProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stopAll()
@@ -219,15 +220,15 @@
 		}})
 		require.NoError(t, err)
 		began := time.Now()
-		f.eventually("all know it", known)
+		f.eventually("all processes know it", known)
 		require.Less(t, time.Since(began), time.Second, "simulated time")
 		shown := f.status(f.leader()).Advice
-		require.Len(t, shown, 1, "operators see it")
+		require.Len(t, shown, 1, "status shows it to operators")
 		require.Equal(t, "server-1", shown[0].Server)
 
 		f.stop(f.leader())
 		f.join(wire.Role_ROLE_ENTRY, fleetEntries)
-		f.eventually("the new one is ready", func() bool { return f.converged(fleetEntries+1, fleetAgents) })
+		f.eventually("the new entry is ready", func() bool { return f.converged(fleetEntries+1, fleetAgents) })
 		require.True(t, known())
 	})
 }
--- a/control/http.go
+++ b/control/http.go
@@ -23,10 +23,10 @@
 // maxOperatorBody bounds the body of an operator's call, in bytes.
 const maxOperatorBody = 64 << 10
 
-// operatorKey is where the operator's name is kept while a call is handled.
-const operatorKey = "operator"
+// operatorContextKey is the key of the operator's name in the echo context of a call.
+const operatorContextKey = "operator"
 
-// routes returns the operators' and the platform's HTTP interface.
+// routes returns the HTTP interface for operators and for the platform.
 func (c *Control) routes() http.Handler {
 	e := process.NewRouter(process.Process{Ready: c.Ready, WriteMetrics: c.options.Metrics.WritePrometheus}, c.writeError)
 	e.GET("/v1/classes", c.getClasses, c.authenticate)
@@ -40,7 +40,7 @@
 	return e
 }
 
-// authenticate lets only operators through.
+// authenticate passes only calls with a valid operator key.
 func (c *Control) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(call echo.Context) error {
 		key, isBearer := process.BearerKey(call.Request())
@@ -48,40 +48,40 @@
 		if !isBearer || !known {
 			return result.New(result.OperatorKeyWrong, "")
 		}
-		call.Set(operatorKey, operator)
+		call.Set(operatorContextKey, operator)
 		return next(call)
 	}
 }
 
 func operatorOf(call echo.Context) string {
-	name, _ := call.Get(operatorKey).(string)
+	name, _ := call.Get(operatorContextKey).(string)
 	return name
 }
 
-// confirm waits for a quorum to confirm that the state here is no older than the call.
-func (c *Control) confirm(call echo.Context) error {
+// awaitQuorum waits until a quorum confirms that the state at this instance is at least as new as the call.
+func (c *Control) awaitQuorum(call echo.Context) error {
 	return c.reads.wait(call.Request().Context())
 }
 
-// errorBody is the JSON form of a refusal. Version is that in force, with result.VersionConflict.
+// errorBody is the JSON form of a refusal. Version is the version in force, set only with result.VersionConflict.
 type errorBody struct {
 	Error   json.RawMessage `json:"error"`
 	Version *uint64         `json:"version,omitempty"`
 }
 
-// conflict is a refusal that names the version in force.
-type conflict struct {
+// versionConflict is a refusal that names the version in force.
+type versionConflict struct {
 	refusal *result.Error
 	version uint64
 }
 
 // Error implements error.
-func (c conflict) Error() string { return c.refusal.Error() }
+func (c versionConflict) Error() string { return c.refusal.Error() }
 
-// Unwrap returns the refusal itself.
-func (c conflict) Unwrap() error { return c.refusal }
+// Unwrap returns the refusal without the version.
+func (c versionConflict) Unwrap() error { return c.refusal }
 
-// writeError writes any error of a handler.
+// writeError writes the response to a call whose handler returned an error.
 func (c *Control) writeError(err error, call echo.Context) {
 	if call.Response().Committed {
 		return
@@ -91,9 +91,9 @@
 	var body errorBody
 	encoded, _ := json.Marshal(failure)
 	_ = json.Unmarshal(encoded, &body)
-	var with conflict
-	if errors.As(err, &with) {
-		body.Version = &with.version
+	var conflict versionConflict
+	if errors.As(err, &conflict) {
+		body.Version = &conflict.version
 	}
 	if failure.RetryAfter > 0 {
 		seconds := (failure.RetryAfter + time.Second - 1) / time.Second
@@ -116,5 +116,5 @@
 	if version == 0 {
 		version = res.GetVersion()
 	}
-	return conflict{failure, version}
+	return versionConflict{failure, version}
 }
--- a/control/http_advice.go
+++ b/control/http_advice.go
@@ -2,7 +2,7 @@
 
 import "github.com/carawaypitch/carawaypitch/wire"
 
-// adviceJSON is what a backend server asks of its senders.
+// adviceJSON is what a backend server asks of all processes that send it requests.
 type adviceJSON struct {
 	Server      string  `json:"server"`
 	RateLimited bool    `json:"rate_limited"`
--- a/control/http_change.go
+++ b/control/http_change.go
@@ -15,10 +15,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// readChange reads the headers of a change. The digest covers the whole request: the path, the version and what is
-// asked for, whose form the caller passes. A body that differs only in spaces or in the order of its fields is the
-// same request.
-func readChange(call echo.Context, what proto.Message) (*wire.OperatorChange, error) {
+// readChange reads the headers of a change. The digest covers the whole request: the method, the path, the version and
+// message, which is the decoded body. A body that differs only in white space or in the order of its fields is
+// therefore the same request.
+func readChange(call echo.Context, message proto.Message) (*wire.OperatorChange, error) {
 	version, err := readIfMatch(call)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 	if len(id) > maxChangeID {
 		return nil, result.New(result.BadHeader, "Change-Id is longer than %d bytes", maxChangeID)
 	}
-	digest, err := digestOf(call, version, what)
+	digest, err := requestDigest(call, version, message)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 // maxChangeID bounds a Change-Id, in bytes.
 const maxChangeID = 200
 
-// readIfMatch accepts a version as a plain number, or as an entity tag.
+// readIfMatch accepts a version as a plain number or as an entity tag.
 func readIfMatch(call echo.Context) (uint64, error) {
 	text := strings.TrimSpace(call.Request().Header.Get(headerIfMatch))
 	if text == "" {
@@ -53,8 +53,8 @@
 	return version, nil
 }
 
-func digestOf(call echo.Context, version uint64, what proto.Message) ([]byte, error) {
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(what)
+func requestDigest(call echo.Context, version uint64, message proto.Message) ([]byte, error) {
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		return nil, result.Wrap(err, result.Internal, "")
 	}
@@ -65,7 +65,7 @@
 	return h.Sum(nil), nil
 }
 
-// readBody reads a whole body within the bound.
+// readBody reads a whole body of at most maxOperatorBody bytes.
 func readBody(call echo.Context) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(call.Response(), call.Request().Body, maxOperatorBody))
 	if err != nil {
--- a/control/http_classes.go
+++ b/control/http_classes.go
@@ -18,14 +18,14 @@
 
 // getClasses serves GET /v1/classes.
 func (c *Control) getClasses(call echo.Context) error {
-	if err := c.confirm(call); err != nil {
+	if err := c.awaitQuorum(call); err != nil {
 		return err
 	}
 	out := classesJSON{Classes: []classJSON{}}
 	c.machine.read(func(s *state.State) {
 		out.Version = s.ConfigVersion()
 		for _, class := range s.Classes() {
-			out.Classes = append(out.Classes, jsonOf(class))
+			out.Classes = append(out.Classes, toClassJSON(class))
 		}
 	})
 	setETag(call, out.Version)
@@ -34,7 +34,7 @@
 
 // getClass serves GET /v1/classes/{name}.
 func (c *Control) getClass(call echo.Context) error {
-	if err := c.confirm(call); err != nil {
+	if err := c.awaitQuorum(call); err != nil {
 		return err
 	}
 	var class *wire.Class
@@ -43,10 +43,10 @@
 		return result.New(result.UnknownClass, "")
 	}
 	setETag(call, class.GetVersion())
-	return call.JSON(http.StatusOK, jsonOf(class))
+	return call.JSON(http.StatusOK, toClassJSON(class))
 }
 
-// putClass serves PUT /v1/classes/{name}. A new class has If-Match 0.
+// putClass serves PUT /v1/classes/{name}. If-Match 0 creates a class.
 func (c *Control) putClass(call echo.Context) error {
 	data, err := readBody(call)
 	if err != nil {
@@ -61,12 +61,12 @@
 		return err
 	}
 	cmd := &wire.Command{Kind: &wire.Command_PutClass{PutClass: &wire.PutClass{Change: change, Class: class}}}
-	res, err := c.changeOf(call, cmd)
+	res, err := c.commitOperatorChange(call, cmd)
 	if err != nil {
 		return err
 	}
 	setETag(call, res.GetClass().GetVersion())
-	return call.JSON(http.StatusOK, jsonOf(res.GetClass()))
+	return call.JSON(http.StatusOK, toClassJSON(res.GetClass()))
 }
 
 // deletedJSON is the answer of DELETE /v1/classes/{name}. Version is that of the configuration without the class.
@@ -88,7 +88,7 @@
 		return err
 	}
 	cmd := &wire.Command{Kind: &wire.Command_DeleteClass{DeleteClass: &wire.DeleteClass{Change: change, Name: name}}}
-	res, err := c.changeOf(call, cmd)
+	res, err := c.commitOperatorChange(call, cmd)
 	if err != nil {
 		return err
 	}
@@ -96,10 +96,10 @@
 	return call.JSON(http.StatusOK, deletedJSON{Name: name, Version: res.GetVersion()})
 }
 
-// changeOf has an operator's change committed, and logs it. The answer leaves only after that, so an accepted change
-// can't be lost.
-func (c *Control) changeOf(call echo.Context, cmd *wire.Command) (*wire.CommandResult, error) {
-	res, err := c.change(call.Request().Context(), cmd)
+// commitOperatorChange commits an operator's change and logs it. The answer is sent only after the commit, so an
+// accepted change cannot be lost.
+func (c *Control) commitOperatorChange(call echo.Context, cmd *wire.Command) (*wire.CommandResult, error) {
+	res, err := c.commitChange(call.Request().Context(), cmd)
 	if err == nil {
 		err = resultError(res)
 	}
--- a/control/http_drain.go
+++ b/control/http_drain.go
@@ -14,18 +14,18 @@
 	Condition string `json:"condition"`
 }
 
-// drainServer serves POST /v1/servers/{name}/drain. A second call changes nothing, so Change-Id may be left out.
+// drainServer serves POST /v1/servers/{name}/drain. The call is idempotent, so Change-Id is optional.
 func (c *Control) drainServer(call echo.Context) error {
 	server := call.Param("name")
 	change := &wire.OperatorChange{Operator: operatorOf(call), ChangeId: call.Request().Header.Get(headerChangeID)}
 	cmd := &wire.DrainServer{Server: server}
-	digest, err := digestOf(call, 0, cmd)
+	digest, err := requestDigest(call, 0, cmd)
 	if err != nil {
 		return err
 	}
 	change.Digest = digest
 	cmd.Change = change
-	if _, err := c.changeOf(call, &wire.Command{Kind: &wire.Command_DrainServer{DrainServer: cmd}}); err != nil {
+	if _, err := c.commitOperatorChange(call, &wire.Command{Kind: &wire.Command_DrainServer{DrainServer: cmd}}); err != nil {
 		return err
 	}
 	return call.JSON(http.StatusOK, drainJSON{
--- a/control/http_organisations.go
+++ b/control/http_organisations.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// organisationsJSON is the answer of GET /v1/organisations. It holds no keys and no digests.
+// organisationsJSON is the answer of GET /v1/organisations. It contains no keys and no digests.
 type organisationsJSON struct {
 	Organisations []organisationJSON `json:"organisations"`
 }
--- a/control/http_poison.go
+++ b/control/http_poison.go
@@ -12,8 +12,8 @@
 	Organisation string   `json:"organisation"`
 	Fingerprint  string   `json:"fingerprint"`
 	Standing     string   `json:"standing"` // "watched" or "quarantined"
-	Servers      []string `json:"servers"`  // that crashed
-	LeftMS       int64    `json:"left_ms"`  // until it steps down
+	Servers      []string `json:"servers"`  // those that crashed
+	LeftMS       int64    `json:"left_ms"`  // until its standing is lowered
 }
 
 func poisonStatus(records []*wire.PoisonRecord, now time.Time) []poisonJSON {
--- a/control/http_servers.go
+++ b/control/http_servers.go
@@ -46,7 +46,7 @@
 
 // getServers serves GET /v1/servers.
 func (c *Control) getServers(call echo.Context) error {
-	if err := c.confirm(call); err != nil {
+	if err := c.awaitQuorum(call); err != nil {
 		return err
 	}
 	out := serversJSON{Servers: []serverJSON{}}
@@ -88,12 +88,12 @@
 	return out
 }
 
-// conditionName returns such as "draining".
+// conditionName returns the outward name of a condition, such as "draining".
 func conditionName(c wire.ServerCondition) string {
 	return strings.ToLower(strings.TrimPrefix(c.String(), "SERVER_CONDITION_"))
 }
 
-// orderName returns such as "load".
+// orderName returns the outward name of an order's kind, such as "load".
 func orderName(k wire.OrderKind) string {
 	return strings.ToLower(strings.TrimPrefix(k.String(), "ORDER_KIND_"))
 }
--- a/control/http_status.go
+++ b/control/http_status.go
@@ -15,7 +15,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// statusJSON is the answer of GET /v1/status. Confirmed is false when no quorum confirmed it; it then tells what this
+// statusJSON is the answer of GET /v1/status. If Confirmed is false, no quorum has confirmed it, and it shows what this
 // instance knows.
 type statusJSON struct {
 	Instance         string         `json:"instance"`
@@ -34,14 +34,14 @@
 	Agents           []instanceJSON `json:"agents"`
 	Operations       operationsJSON `json:"operations"`
 	Orders           int            `json:"orders"`
-	// WindowMS is how far back the counts of the classes reach, and EntriesHeard how many entries they cover.
+	// WindowMS is the period that the counts of the classes cover, and EntriesHeard the number of entries included.
 	WindowMS     int64             `json:"window_ms"`
 	EntriesHeard int               `json:"entries_heard"`
 	Classes      []classStatusJSON `json:"classes"`
 	Targets      []targetJSON      `json:"targets"`
-	// Poison are the requests under which servers crashed twice or more.
+	// Poison lists the requests under which servers crashed twice or more.
 	Poison []poisonJSON `json:"poison"`
-	// Advice is what backend servers ask of their senders.
+	// Advice lists what backend servers ask of all processes that send them requests.
 	Advice []adviceJSON `json:"advice"`
 }
 
@@ -52,8 +52,8 @@
 	Voter    bool   `json:"voter"`
 }
 
-// instanceJSON is an instance and what it last said. A change is in force everywhere once all of them have its
-// version. An instance that is registered but wasn't heard by this control instance has version 0.
+// instanceJSON is an instance and what it last reported. A change is in force everywhere once all instances have its
+// version. An instance that is registered but has not contacted this control instance has version 0.
 type instanceJSON struct {
 	Instance         string `json:"instance"`
 	AvailabilityZone string `json:"availability_zone,omitempty"`
@@ -69,7 +69,8 @@
 	ExpiredKeys int `json:"expired_keys"`
 }
 
-// statusReadTimeout bounds the wait for a quorum: without one, operators need the status all the more.
+// statusReadTimeout bounds the wait for a quorum. It is short because operators need the status most when there is no
+// quorum.
 const statusReadTimeout = 500 * time.Millisecond
 
 // getStatus serves GET /v1/status.
@@ -116,11 +117,11 @@
 	}
 	out.Entries = c.sessions.instances(wire.Role_ROLE_ENTRY, registered)
 	out.Controls = c.controlInstances(r, out.ConfigVersion)
-	reported := c.reports.sum(time.Now())
+	summary := c.reports.summarize(time.Now())
 	out.WindowMS = reportWindow.Milliseconds()
-	out.EntriesHeard = reported.entries
-	out.Classes = classesStatus(classes, reported)
-	out.Targets = targetsStatus(agents, reported)
+	out.EntriesHeard = summary.entries
+	out.Classes = classesStatus(classes, summary)
+	out.Targets = targetsStatus(agents, summary)
 	out.Poison = poisonStatus(records, time.Now())
 	return out
 }
@@ -148,13 +149,13 @@
 			continue
 		}
 		info := known[p.Instance]
-		silent := since(info.heard)
+		silent := elapsed(info.lastContact)
 		out = append(out, instanceJSON{
 			Instance:      p.Instance,
 			Registered:    isMember(r, p.Instance),
 			Connected:     silent < peerSilence,
 			ConfigVersion: info.status.GetConfigVersion(),
-			SilentMS:      silentMS(info.heard),
+			SilentMS:      silentMS(info.lastContact),
 		})
 	}
 	return out
@@ -164,35 +165,35 @@
 	return slices.ContainsFunc(r.Members, func(m replica.Member) bool { return quorum.ID(m.ID).Instance() == instance })
 }
 
-// neverHeard is the silent_ms of an instance that was never heard.
-const neverHeard = -1
+// neverSeenMS is the silent_ms of an instance that has never been in contact.
+const neverSeenMS = -1
 
 func silentMS(heard time.Time) int64 {
 	if heard.IsZero() {
-		return neverHeard
+		return neverSeenMS
 	}
-	return since(heard).Milliseconds()
+	return elapsed(heard).Milliseconds()
 }
 
-// instances lists the clients of a role: those registered, and those with a session, sorted by name.
+// instances lists the clients of a role by name: those that are registered, and those with a session.
 func (s *sessions) instances(role wire.Role, registered map[string]bool) []instanceJSON {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byName := make(map[string]instanceJSON)
 	for name := range registered {
-		byName[name] = instanceJSON{Instance: name, Registered: true, SilentMS: neverHeard}
+		byName[name] = instanceJSON{Instance: name, Registered: true, SilentMS: neverSeenMS}
 	}
-	for key, seen := range s.seen {
-		if key.role != role || !registered[key.instance] && seen.session == nil {
+	for key, known := range s.clients {
+		if key.role != role || !registered[key.instance] && known.session == nil {
 			continue
 		}
 		byName[key.instance] = instanceJSON{
 			Instance:         key.instance,
-			AvailabilityZone: seen.zone,
+			AvailabilityZone: known.zone,
 			Registered:       registered[key.instance],
-			Connected:        seen.session != nil,
-			ConfigVersion:    seen.config,
-			SilentMS:         silentMS(seen.heard),
+			Connected:        known.session != nil,
+			ConfigVersion:    known.config,
+			SilentMS:         silentMS(known.lastContact),
 		}
 	}
 	out := []instanceJSON{}
--- a/control/rules_test.go
+++ b/control/internal_test.go
@@ -20,9 +20,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: an operator or an entry is told that nothing was committed, though it was.
-// Sequence: a proposal ends without a clear answer, such as at the stop of the replica.
-// Cause: taking the refusal inside an unknown outcome for a refusal of the proposal.
+// Guards against treating an unknown outcome as a refusal because a refusal is wrapped in it, as when the replica
+// stops. The sender would be told that nothing was committed although it may have been.
 func TestProposalErrors(t *testing.T) {
 	cases := []struct {
 		err  error
@@ -48,24 +47,22 @@
 	}
 }
 
-// Symptom: a read is answered with what was replaced.
-// Sequence: a leader's reply to one round comes so late that the next round runs.
-// Cause: taking any reply for one to the present round.
+// Guards against a late reply to an earlier round that confirms the current one. A read would then be answered with
+// replaced data.
 func TestLateReadReply(t *testing.T) {
-	r := newReads(&Control{})
-	first, _ := r.begin()
-	second, replies := r.begin()
-	r.reply(&wire.ReadReply{Round: first, Confirmed: true})
+	r := newReadConfirmer(&Control{})
+	first, _ := r.startRound()
+	second, replies := r.startRound()
+	r.handleReply(&wire.ReadReply{Round: first, Confirmed: true})
 	require.Empty(t, replies)
-	r.reply(&wire.ReadReply{Round: second, Confirmed: true})
-	r.reply(&wire.ReadReply{Round: second, Confirmed: true})
+	r.handleReply(&wire.ReadReply{Round: second, Confirmed: true})
+	r.handleReply(&wire.ReadReply{Round: second, Confirmed: true})
 	require.Len(t, replies, 1)
 }
 
-// Symptom: all entries and agents are removed at once, though all are alive.
-// Sequence: the platform stops the leader's process for a minute, without a new election; it goes on.
-// Cause: silence that the leader itself caused.
-func TestPausedLeaderRemovesNobody(t *testing.T) {
+// Guards against a leader that removes all clients when its process resumes after it was suspended for a minute without
+// an election: the silence was its own.
+func TestPausedLeaderRemovesNoClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(settings.Control{
 			Instance: "a", DataDir: "/data", Timing: settings.DefaultControl().Timing,
@@ -78,21 +75,20 @@
 		}}})
 		bound := c.settings.Timing.ServerExpire
 		l := c.leader
-		l.since, l.lastRound = time.Now(), time.Now()
-		time.Sleep(bound + time.Minute) // the duty didn't run
-		l.notePause()
-		require.Empty(t, l.ends(bound))
+		l.silenceStart, l.lastRound = time.Now(), time.Now()
+		time.Sleep(bound + time.Minute) // the loop did not run
+		l.detectPause()
+		require.Empty(t, l.removalCommands(bound))
 		for range 2 * int(bound/leaderInterval) {
 			time.Sleep(leaderInterval)
-			l.notePause()
+			l.detectPause()
 		}
-		require.Len(t, l.ends(bound), 1, "silent while the leader listened")
+		require.Len(t, l.removalCommands(bound), 1, "silent while the leader was running")
 	})
 }
 
-// Symptom: an accepted change is lost when an instance fails right after a repair.
-// Sequence: an instance comes with an empty disk under a new identity.
-// Cause: a vote for a replica that doesn't hold the log, or taking the earlier replica away before.
+// Guards against the loss of an accepted change when an instance fails right after a repair. A replica with an empty
+// disk must hold the log before it votes, and before the earlier replica is removed.
 func TestMemberSteps(t *testing.T) {
 	hello := &wire.ReplicaHello{Instance: "b", Replica: "b/new", LinkAddress: "10.0.0.2:1"}
 	voter := func(id quorum.ID) replica.Member { return replica.Member{ID: id, Voter: true} }
@@ -105,36 +101,36 @@
 		progress []quorum.Progress
 		want     *memberStep
 	}{
-		{"never said hello", nil, []replica.Member{voter("a/1")}, nil, nil},
+		{"no hello received", nil, []replica.Member{voter("a/1")}, nil, nil},
 		{"identity of another instance", &wire.ReplicaHello{Instance: "b", Replica: "a/1"}, []replica.Member{voter("a/1")}, nil, nil},
 		{"new disk", hello, []replica.Member{voter("a/1"), voter("b/old")}, nil, &memberStep{quorum.AddLearner, "b/new", "10.0.0.2:1"}},
 		{"behind", hello, []replica.Member{voter("a/1"), voter("b/old"), learner}, []quorum.Progress{{ID: "b/new", Active: true, Match: 8}}, nil},
 		{"silent", hello, []replica.Member{voter("a/1"), voter("b/old"), learner}, []quorum.Progress{{ID: "b/new", Match: 9}}, nil},
 		{"caught up", hello, []replica.Member{voter("a/1"), voter("b/old"), learner}, caughtUp, &memberStep{change: quorum.Remove, id: "b/old"}},
-		{"earlier one gone", hello, []replica.Member{voter("a/1"), learner}, caughtUp, &memberStep{change: quorum.Promote, id: "b/new"}},
+		{"earlier replica removed", hello, []replica.Member{voter("a/1"), learner}, caughtUp, &memberStep{change: quorum.Promote, id: "b/new"}},
 		{"done", hello, []replica.Member{voter("a/1"), voter("b/new")}, caughtUp, nil},
 	}
 	now := time.Unix(1_700_000_000, 0)
 	for _, test := range cases {
 		view := memberView{
 			status: replica.Status{Commit: 9, Members: test.members, Progress: test.progress},
-			known:  map[string]peerInfo{"b": {hello: test.hello, heard: now}},
-			self:   "a/1", wanted: 2, since: now, now: now,
+			known:  map[string]peerInfo{"b": {hello: test.hello, lastContact: now}},
+			self:   "a/1", wanted: 2, silenceStart: now, now: now,
 		}
 		require.Equal(t, test.want, view.next(), test.name)
 	}
 }
 
-// Symptom: the group is lost with the second instance that is replaced. Sequence: a voter goes for good; an empty one comes
-// at another address, which no settings name; later another voter goes. Cause: members taken from the settings alone.
-func TestReplacementTakesTheVoteOfASilentVoter(t *testing.T) {
+// Guards against a group that takes its members from the settings alone and is lost with the second replaced instance.
+// A voter fails for good, and a replacement with an empty disk comes at an address that no settings name.
+func TestReplacementIsPromotedInPlaceOfSilentVoter(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	voters := []replica.Member{{ID: "a/1", Voter: true}, {ID: "b/1", Voter: true}, {ID: "c/1", Voter: true}}
 	learner := append(slices.Clone(voters), replica.Member{ID: "d/1"})
-	heard := func(id string, ago time.Duration) peerInfo {
+	contact := func(id string, ago time.Duration) peerInfo {
 		instance, _, _ := strings.Cut(id, "/")
 		hello := &wire.ReplicaHello{Instance: instance, Replica: id, LinkAddress: instance + ":1"}
-		return peerInfo{hello: hello, heard: now.Add(-ago)}
+		return peerInfo{hello: hello, lastContact: now.Add(-ago)}
 	}
 	active := func(ids ...quorum.ID) []quorum.Progress {
 		var list []quorum.Progress
@@ -144,50 +140,50 @@
 		return list
 	}
 	cases := map[string]struct {
-		members  []replica.Member
-		progress []quorum.Progress
-		silent   time.Duration // of voter c
-		fresh    time.Duration // since the newcomer was heard
-		leads    time.Duration
-		want     *memberStep
+		members    []replica.Member
+		progress   []quorum.Progress
+		silence    time.Duration // silence of voter c
+		contactAge time.Duration // time since the last contact with the replacement
+		leaderFor  time.Duration
+		want       *memberStep
 	}{
-		"newcomer becomes a learner":       {voters, active("b/1", "c/1"), 0, 0, time.Minute, &memberStep{quorum.AddLearner, "d/1", "d:1"}},
-		"one heard long ago doesn't":       {voters, active("b/1", "c/1"), 0, memberHeard + 1, time.Minute, nil},
-		"all voters are there":             {learner, active("b/1", "c/1", "d/1"), 0, 0, time.Minute, nil},
-		"a voter is silent for a moment":   {learner, active("b/1", "d/1"), voterSilent, 0, time.Minute, nil},
-		"a voter is silent":                {learner, active("b/1", "d/1"), voterSilent + 1, 0, time.Minute, &memberStep{change: quorum.Remove, id: "c/1"}},
-		"the learner isn't caught up":      {learner, active("b/1"), voterSilent + 1, 0, time.Minute, nil},
-		"the leader has only just begun":   {learner, active("b/1", "d/1"), time.Hour, 0, voterSilent, nil},
-		"the silent voter's vote is given": {append(slices.Clone(voters[:2]), learner[3]), active("b/1", "d/1"), time.Hour, 0, time.Minute, &memberStep{change: quorum.Promote, id: "d/1"}},
+		"a recent contact becomes a learner": {voters, active("b/1", "c/1"), 0, 0, time.Minute, &memberStep{quorum.AddLearner, "d/1", "d:1"}},
+		"an old contact is not added":        {voters, active("b/1", "c/1"), 0, joinContactAge + 1, time.Minute, nil},
+		"all voters are active":              {learner, active("b/1", "c/1", "d/1"), 0, 0, time.Minute, nil},
+		"a voter is silent up to the bound":  {learner, active("b/1", "d/1"), voterSilence, 0, time.Minute, nil},
+		"a voter is silent for longer":       {learner, active("b/1", "d/1"), voterSilence + 1, 0, time.Minute, &memberStep{change: quorum.Remove, id: "c/1"}},
+		"the learner isn't caught up":        {learner, active("b/1"), voterSilence + 1, 0, time.Minute, nil},
+		"the leader has just been elected":   {learner, active("b/1", "d/1"), time.Hour, 0, voterSilence, nil},
+		"the learner is promoted":            {append(slices.Clone(voters[:2]), learner[3]), active("b/1", "d/1"), time.Hour, 0, time.Minute, &memberStep{change: quorum.Promote, id: "d/1"}},
 	}
 	for name, test := range cases {
 		view := memberView{
 			status: replica.Status{Commit: 9, Members: test.members, Progress: test.progress},
-			known:  map[string]peerInfo{"b": heard("b/1", 0), "c": heard("c/1", test.silent), "d": heard("d/1", test.fresh)},
-			self:   "a/1", wanted: 3, since: now.Add(-test.leads), now: now,
+			known:  map[string]peerInfo{"b": contact("b/1", 0), "c": contact("c/1", test.silence), "d": contact("d/1", test.contactAge)},
+			self:   "a/1", wanted: 3, silenceStart: now.Add(-test.leaderFor), now: now,
 		}
-		if test.silent > memberHeard {
-			delete(view.known, "c") // else its hello would have it added again
+		if test.silence > joinContactAge {
+			delete(view.known, "c") // its hello would have it added again
 		}
 		require.Equal(t, test.want, view.next(), name)
 	}
 }
 
+// Guards against learners of replaced instances that stay in the group, and against one that is removed too early.
 func TestSilentLearnerIsRemoved(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	view := memberView{
 		status: replica.Status{Commit: 9, Members: []replica.Member{{ID: "a/1", Voter: true}, {ID: "b/1"}}},
-		self:   "a/1", wanted: 1, since: now.Add(-learnerSilent), now: now,
+		self:   "a/1", wanted: 1, silenceStart: now.Add(-learnerSilence), now: now,
 	}
 	require.Nil(t, view.next())
 	view.now = now.Add(1)
 	require.Equal(t, &memberStep{change: quorum.Remove, id: "b/1"}, view.next())
 }
 
-// Symptom: a class changes without an operator.
-// Sequence: an entry or agent, or who took its place, proposes what isn't its business.
-// Cause: a session that proposes whatever comes.
-func TestWhoMayProposeWhat(t *testing.T) {
+// Guards against sessions that propose commands which are not theirs to propose, such as changes of classes without an
+// operator.
+func TestCommandPermissions(t *testing.T) {
 	entry := &wire.ClientHello{Instance: "x", Role: wire.Role_ROLE_ENTRY, Incarnation: 2}
 	agent := &wire.ClientHello{Instance: "x", Role: wire.Role_ROLE_AGENT, Incarnation: 2}
 	endEntry := func(name string, incarnation uint64) *wire.Command {
--- a/control/leader.go
+++ b/control/leader.go
@@ -11,56 +11,56 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Timing of the leader's duty.
+// Timing and capacities of the leader's loop.
 const (
 	leaderInterval = time.Second
-	// leaderPause is the gap between two rounds from which on the process itself was stopped, such as by its
-	// platform. It then has heard nobody, whoever was alive.
-	leaderPause    = 3 * time.Second
-	expiryInterval = 10 * time.Second
-	expiryBatches  = 16
-	orderInterval  = 2 * time.Second
-	orderResults   = 256
-	placements     = 16
+	// pauseThreshold is the gap between two rounds above which the process itself is taken to have been suspended, for
+	// example by its platform. It received no messages meanwhile, even from processes that are alive.
+	pauseThreshold   = 3 * time.Second
+	expiryInterval   = 10 * time.Second
+	expiryBatches    = 16
+	orderInterval    = 2 * time.Second
+	orderResultRing  = 256
+	pendingOrderRing = 16
 )
 
-// leader does what only the leader does.
+// leader runs the work that only the leader does.
 type leader struct {
-	control    *Control
-	signal     chan struct{}
-	results    *ring.Ring[*wire.OrderResult]
-	placements *ring.Ring[placement]
-
-	// The fields below belong to the duty's goroutine.
-	term      uint64    // in which fence was raised here; 0 while this instance doesn't lead
-	fence     uint64    // of this instance's leadership
-	since     time.Time // from when on silence counts
-	lastRound time.Time
-	expired   time.Time
-	// leftRecords is how many records there were before the last expiry.
-	leftRecords int
-	ordered     time.Time
+	control       *Control
+	wakeups       chan struct{}
+	results       *ring.Ring[*wire.OrderResult]
+	pendingOrders *ring.Ring[pendingOrder]
+
+	// The fields below are accessed only by the goroutine of run.
+	term         uint64    // term in which this instance raised the fence; 0 while it is not the leader
+	fence        uint64    // fence number of this instance's leadership
+	silenceStart time.Time // earliest time from which silence of clients is counted
+	lastRound    time.Time
+	lastExpiry   time.Time
+	// recordsAtLastExpiry is the number of records before the last expiry.
+	recordsAtLastExpiry int
+	lastResend          time.Time
 }
 
 func newLeader(c *Control) *leader {
 	return &leader{
 		control: c,
-		signal:  make(chan struct{}, 1),
-		results: ring.New[*wire.OrderResult]("order_results", orderResults),
+		wakeups: make(chan struct{}, 1),
+		results: ring.New[*wire.OrderResult]("order_results", orderResultRing),
 
-		placements: ring.New[placement]("placements", placements),
+		pendingOrders: ring.New[pendingOrder]("placements", pendingOrderRing),
 	}
 }
 
-// wake lets the duty look at once.
+// wake makes run start a round at once.
 func (l *leader) wake() {
 	select {
-	case l.signal <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// run is the leader's duty.
+// run is the leader's loop. It runs on all instances, and does nothing on those that are not the leader.
 func (l *leader) run(ctx context.Context) error {
 	ticker := time.NewTicker(leaderInterval)
 	defer ticker.Stop()
@@ -70,28 +70,29 @@
 			return nil
 		case <-ticker.C:
 			l.round(ctx)
-		case <-l.signal:
+		case <-l.wakeups:
 			l.round(ctx)
 		case r := <-l.results.C():
-			l.endOrder(ctx, r)
-		case p := <-l.placements.C():
+			l.applyResult(ctx, r)
+		case p := <-l.pendingOrders.C():
 			l.place(ctx, p)
 		}
 	}
 }
 
-// round does what is due. Each step proposes; the first that fails ends the round, and the next one goes on.
+// round runs all steps that are due. Each step proposes commands; the first that fails ends the round, and the next
+// round runs all steps again.
 func (l *leader) round(ctx context.Context) {
 	status := l.control.replica.Status()
 	if status.Role != quorum.RoleLeader || l.control.stopping.Load() {
 		l.term = 0
 		return
 	}
-	if l.term != status.Term && !l.begin(ctx, status.Term) {
+	if l.term != status.Term && !l.startTerm(ctx, status.Term) {
 		return
 	}
-	l.notePause()
-	for _, step := range []func(context.Context) error{l.members, l.silent, l.expire, l.expirePoison, l.resend} {
+	l.detectPause()
+	for _, step := range []func(context.Context) error{l.adjustMembers, l.removeSilent, l.expireOperations, l.expirePoison, l.resendOrders} {
 		if err := step(ctx); err != nil {
 			l.control.log.WithError(err).Warn("leader_step_failed")
 			return
@@ -99,9 +100,9 @@
 	}
 }
 
-// begin raises the fence before anything else, so that what an earlier leader still sends is refused, and sets the
-// first classes of a new group.
-func (l *leader) begin(ctx context.Context, term uint64) bool {
+// startTerm raises the fence before anything else, so that commands that an earlier leader still sends are refused. It
+// then creates the initial classes of a new group. It reports whether both succeeded.
+func (l *leader) startTerm(ctx context.Context, term uint64) bool {
 	fence, err := l.propose(ctx, &wire.Command{Kind: &wire.Command_RaiseFence{RaiseFence: &wire.RaiseFence{
 		Leader: l.control.settings.Instance,
 	}}})
@@ -109,17 +110,17 @@
 		l.control.log.WithError(err).Warn("fence_not_raised")
 		return false
 	}
-	if err := l.initialize(ctx); err != nil {
+	if err := l.initializeClasses(ctx); err != nil {
 		l.control.log.WithError(err).Error("initial_classes_failed")
 		return false
 	}
 	now := time.Now()
-	l.term, l.fence, l.since, l.lastRound = term, fence, now, now
-	l.expired, l.ordered = time.Time{}, time.Time{}
+	l.term, l.fence, l.silenceStart, l.lastRound = term, fence, now, now
+	l.lastExpiry, l.lastResend = time.Time{}, time.Time{}
 	return true
 }
 
-// propose has a command committed, and returns its index. A refusal by the state is an error.
+// propose commits a command and returns its log index. A refusal by the state is an error.
 func (l *leader) propose(ctx context.Context, cmd *wire.Command) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -130,45 +131,46 @@
 	return index, err
 }
 
-func (l *leader) initialize(ctx context.Context) error {
+func (l *leader) initializeClasses(ctx context.Context) error {
 	config, _ := l.control.versions()
 	if config != 0 || len(l.control.settings.InitialClasses) == 0 {
 		return nil
 	}
 	init := &wire.InitializeClasses{}
 	for _, class := range l.control.settings.InitialClasses {
-		init.Classes = append(init.Classes, classOfSettings(class))
+		init.Classes = append(init.Classes, classFromSettings(class))
 	}
 	_, err := l.propose(ctx, &wire.Command{Kind: &wire.Command_InitializeClasses{InitializeClasses: init}})
 	return err
 }
 
-// notePause starts the count of silence again after this process itself was stopped. Otherwise it would take everybody
-// for dead the moment it goes on, and end all of them.
-func (l *leader) notePause() {
+// detectPause restarts the measurement of silence after this process was suspended. Otherwise it would take all clients
+// for failed when it resumes, and remove all of them.
+func (l *leader) detectPause() {
 	now := time.Now()
-	if now.Sub(l.lastRound) > leaderPause {
+	if now.Sub(l.lastRound) > pauseThreshold {
 		l.control.log.WithField("gap", now.Sub(l.lastRound)).Warn("leader_was_paused")
-		l.since = now
+		l.silenceStart = now
 	}
 	l.lastRound = now
 }
 
-// silent ends entries and removes agents that this leader has heard nothing of for the bound. Silence counts from the
-// begin of the leadership at the earliest: before, their polls may have gone elsewhere.
-func (l *leader) silent(ctx context.Context) error {
+// removeSilent ends entries and removes agents from which this leader has received nothing for longer than
+// timing.server_expire. Silence counts from the start of the leadership at the earliest, since earlier polls may have
+// gone to other instances.
+func (l *leader) removeSilent(ctx context.Context) error {
 	bound := l.control.settings.Timing.ServerExpire
-	l.control.sessions.forget(2 * bound)
-	for _, cmd := range l.ends(bound) {
+	l.control.sessions.evictIdle(2 * bound)
+	for _, cmd := range l.removalCommands(bound) {
 		if _, err := l.propose(ctx, cmd); err != nil {
 			return err
 		}
-		l.control.counters.removed.Inc()
+		l.control.counters.instancesRemoved.Inc()
 	}
 	return nil
 }
 
-func (l *leader) ends(bound time.Duration) []*wire.Command {
+func (l *leader) removalCommands(bound time.Duration) []*wire.Command {
 	var agents []*wire.AgentRecord
 	var entries []*wire.EntryRecord
 	l.control.machine.read(func(s *state.State) { agents, entries = s.Agents(), s.Entries() })
@@ -191,16 +193,16 @@
 }
 
 func (l *leader) isSilent(role wire.Role, instance string, incarnation uint64, bound time.Duration) bool {
-	heard := l.control.sessions.lastHeard(role, instance, incarnation)
-	if heard.Before(l.since) {
-		heard = l.since
+	heard := l.control.sessions.lastContact(role, instance, incarnation)
+	if heard.Before(l.silenceStart) {
+		heard = l.silenceStart
 	}
 	return time.Since(heard) > bound
 }
 
-// expire forgets old records of keyed requests, and younger ones when there are many. One round ends a bounded number
-// of batches, so that the duty's other steps come to their turn.
-func (l *leader) expire(ctx context.Context) error {
+// expireOperations removes old records of keyed requests, and younger ones if there are too many. One round commits a
+// bounded number of batches, so that the other steps are not delayed.
+func (l *leader) expireOperations(ctx context.Context) error {
 	for range expiryBatches {
 		before, due := l.expiryDue()
 		if !due {
@@ -217,7 +219,7 @@
 	return nil
 }
 
-// expirePoison steps down what is known of requests under which servers have crashed.
+// expirePoison lowers the standing of requests under which servers have crashed, once it is due.
 func (l *leader) expirePoison(ctx context.Context) error {
 	due := false
 	l.control.machine.read(func(s *state.State) { due = s.IsPoisonDue(uint64(time.Now().UnixMilli())) })
@@ -228,8 +230,9 @@
 	return err
 }
 
-// expiryDue returns the time before which records should expire, and whether there are such records. Records that may
-// not expire yet stay due; they are looked at again after the interval only.
+// expiryDue returns the time before which records should expire, and reports whether there are such records. Records
+// that may not expire yet remain due; if the number of records has not changed, they are looked at again only after
+// expiryInterval.
 func (l *leader) expiryDue() (before uint64, due bool) {
 	before = uint64(time.Now().Add(-l.control.settings.Timing.KeyRecords).UnixMilli())
 	var counts state.Counts
@@ -240,9 +243,9 @@
 	if counts.OldestUnixMS == 0 || counts.OldestUnixMS >= before {
 		return before, false
 	}
-	if counts.Operations == l.leftRecords && time.Since(l.expired) < expiryInterval {
+	if counts.Operations == l.recordsAtLastExpiry && time.Since(l.lastExpiry) < expiryInterval {
 		return before, false
 	}
-	l.leftRecords, l.expired = counts.Operations, time.Now()
+	l.recordsAtLastExpiry, l.lastExpiry = counts.Operations, time.Now()
 	return before, true
 }
--- a/control/linearizable_test.go
+++ b/control/linearizable_test.go
@@ -16,14 +16,14 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// classInput is one call on one class: a read, or a put if change isn't empty.
+// classInput is one call on one class: a read if change is empty, otherwise a put.
 type classInput struct {
 	change     string
 	ifMatch    uint64
 	deadlineMS int
 }
 
-// classOutput is what the caller learnt. Unknown means that a put may or may not have happened.
+// classOutput is what the caller observed. unknown means that a put may or may not have been applied.
 type classOutput struct {
 	unknown    bool
 	accepted   bool
@@ -31,14 +31,14 @@
 	deadlineMS int
 }
 
-// classState is the class as the model has it, with the change ids that were answered.
+// classState is the state of the class in the model.
 type classState struct {
 	version    uint64
 	deadlineMS int
 }
 
-// classModel says that a put with the version in force wins and gives a higher one, any other put loses, and a read
-// gives what is in force. Versions are log indexes, which the model takes from the answers.
+// classModel states that a put with the version in force succeeds and returns a higher one, that any other put fails,
+// and that a read returns what is in force. Versions are log indexes, which the model takes from the answers.
 var classModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{classState{version: firstVersion, deadlineMS: 800}} },
 	Step: func(state, input, output any) []any {
@@ -52,7 +52,7 @@
 		case out.unknown && in.ifMatch != s.version:
 			return []any{s}
 		case out.unknown:
-			// Applied with some higher version, or not. Only reads and later puts tell which version.
+			// Applied with some higher version, or not applied. Only reads and later puts show which version.
 			next := []any{s}
 			for v := s.version + 1; v <= s.version+maxVersionGap; v++ {
 				next = append(next, classState{v, in.deadlineMS})
@@ -75,15 +75,15 @@
 	},
 }
 
-// firstVersion is replaced by the test by the version of the initial class.
+// firstVersion is the version of the initial class. The test sets it.
 var firstVersion uint64
 
-// maxVersionGap bounds how many log entries may lie between two changes of the class in these histories.
+// maxVersionGap bounds the number of log entries between two changes of the class in these histories.
 const maxVersionGap = 400
 
-// Symptom: two operators with the same version are both told that they won, or a read shows an older class.
-// Sequence: operators race with equal versions at all instances while the leader is cut off, killed and healed.
-// Cause: a compare that isn't part of the replicated command, or a read from a leader that was replaced.
+// Guards against two operators who both succeed with the same version, and against reads of an older class. They come
+// about if the comparison of versions is not part of the replicated command, or if a leader that was replaced still
+// answers reads. Operators race at all instances while instances are cut off in turn.
 func TestConcurrentPutsAreLinearizable(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -93,7 +93,7 @@
 }
 
 func raceOperators(t *testing.T, seed uint64) {
-	c := newCluster(t, 3, gateCheck())
+	c := newCluster(t, 3, gateCheckClass())
 	c.startAll()
 	defer c.stopAll()
 	var class classAnswer
@@ -110,7 +110,7 @@
 			random := rand.New(rand.NewPCG(seed, uint64(operator)))
 			seen := class.Version
 			for i := range calls {
-				n := c.nodes[random.IntN(len(c.nodes))]
+				n := c.instances[random.IntN(len(c.instances))]
 				in := classInput{}
 				if random.IntN(3) > 0 {
 					in = classInput{change: fmt.Sprintf("%d-%d", operator, i), ifMatch: seen, deadlineMS: 1000 + operator*100 + i}
@@ -119,7 +119,7 @@
 				out := callClass(c, n, in)
 				op := porcupine.Operation{ClientId: operator, Input: in, Output: out, Call: int64(began), Return: int64(time.Since(start))}
 				if out.unknown && in.change != "" {
-					op.Return = int64(24 * time.Hour) // it may happen at any time after
+					op.Return = int64(24 * time.Hour) // may be applied at any later time
 				}
 				mu.Lock()
 				history = append(history, op)
@@ -135,7 +135,7 @@
 	faults := make(chan struct{})
 	go func() {
 		defer close(faults)
-		disturb(ctx, c, rand.New(rand.NewPCG(seed, 99)))
+		injectPartitions(ctx, c, rand.New(rand.NewPCG(seed, 99)))
 	}()
 	wg.Wait()
 	stop()
@@ -146,12 +146,12 @@
 			accepted++
 		}
 	}
-	require.NotZero(t, accepted, "a history without a change shows nothing")
+	require.NotZero(t, accepted, "no change was accepted, so the history checks nothing")
 	require.True(t, porcupine.CheckOperations(classModel.ToModel(), history), "%v", history)
 }
 
-// callClass makes a call. An operator who loses the answer sends the change again once, with the same id.
-func callClass(c *cluster, n *node, in classInput) classOutput {
+// callClass makes a call. If the answer is lost, it sends the change once more with the same id.
+func callClass(c *cluster, n *instance, in classInput) classOutput {
 	if in.change == "" {
 		a := c.get(n, "/v1/classes/gate-check")
 		if a.status != http.StatusOK {
@@ -181,19 +181,19 @@
 	return classOutput{accepted: true, version: class.Version, deadlineMS: class.DeadlineMS}
 }
 
-// disturb cuts one instance after another off from its peers, for a while each.
-func disturb(ctx context.Context, c *cluster, random *rand.Rand) {
+// injectPartitions cuts one instance after another off from its peers, each for a while.
+func injectPartitions(ctx context.Context, c *cluster, random *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
-		victim := c.nodes[random.IntN(len(c.nodes))]
-		for _, n := range c.nodes {
-			if n != victim {
-				c.net.Cut(victim.host, n.host)
+		isolated := c.instances[random.IntN(len(c.instances))]
+		for _, n := range c.instances {
+			if n != isolated {
+				c.net.Cut(isolated.host, n.host)
 			}
 		}
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
-		for _, n := range c.nodes {
-			c.net.Heal(victim.host, n.host)
+		for _, n := range c.instances {
+			c.net.Heal(isolated.host, n.host)
 		}
 	}
 }
--- a/control/members.go
+++ b/control/members.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// memberHeard is how long ago an instance must have been heard at the latest to become a member.
-	memberHeard = 3 * time.Second
-	// voterSilent is the silence after which a voter gives its vote to a learner that holds the log. The group is to bear
-	// the loss of another voter a few seconds after a replacement has started, so it is short; a voter that comes back
-	// becomes a learner, and takes the next vote that is free.
-	voterSilent = 2500 * time.Millisecond
-	// learnerSilent is the silence after which a learner is removed.
-	learnerSilent = 30 * time.Second
-	// maxMembers bounds the group.
+	// joinContactAge is how recently an instance must have been in contact to be added to the group.
+	joinContactAge = 3 * time.Second
+	// voterSilence is the silence after which a voter is removed so that a caught-up learner can be promoted in its
+	// place. It is short because the group must survive the loss of another voter a few seconds after a replacement has
+	// started. A voter that returns becomes a learner, and is promoted when another vote is free.
+	voterSilence = 2500 * time.Millisecond
+	// learnerSilence is the silence after which a learner is removed.
+	learnerSilence = 30 * time.Second
+	// maxMembers bounds the number of voters and learners.
 	maxMembers = 16
 )
 
-// members takes one step towards a group with the wanted number of voters, of all instances that said hello. An instance
-// that came with another disk is added as a learner; once it holds the log, its earlier replica is removed, and then it
-// gets a vote. A learner also gets the vote of a voter that stays away.
+// adjustMembers takes one step towards a group with the wanted number of voters, chosen among all instances that have
+// sent a hello. An instance that returns with a new disk is added as a learner. Once that learner is caught up, the
+// instance's earlier replica is removed and the learner is promoted. A learner also replaces a voter that stays silent.
 //
-// The earlier replica's disk is gone, so it can't vote again; but the new one must hold the log before it counts.
-// Otherwise the loss of another instance right after the repair could leave a majority without what was committed.
-func (l *leader) members(ctx context.Context) error {
+// The disk of the earlier replica is gone, so it cannot vote again, but the new one must hold the log before it counts
+// towards a majority. Otherwise the loss of another instance right after the repair could leave a majority that lacks
+// committed entries.
+func (l *leader) adjustMembers(ctx context.Context) error {
 	step := memberView{
-		status: l.control.replica.Status(),
-		known:  l.control.peers.all(),
-		self:   l.control.replica.ID(),
-		wanted: l.control.wantedVoters(),
-		since:  l.since,
-		now:    time.Now(),
+		status:       l.control.replica.Status(),
+		known:        l.control.peers.all(),
+		self:         l.control.replica.ID(),
+		wanted:       l.control.wantedVoters(),
+		silenceStart: l.silenceStart,
+		now:          time.Now(),
 	}.next()
 	if step == nil {
 		return nil
@@ -46,7 +47,7 @@
 	return l.changeMember(ctx, step)
 }
 
-// wantedVoters is how many members should vote.
+// wantedVoters returns how many members should vote: the setting, or the number of replicas in the settings if it is 0.
 func (c *Control) wantedVoters() int {
 	if c.settings.Voters > 0 {
 		return c.settings.Voters
@@ -54,35 +55,35 @@
 	return len(c.settings.Replicas)
 }
 
-// memberStep is what is to be done for one instance.
+// memberStep is one membership change.
 type memberStep struct {
 	change  quorum.ChangeKind
 	id      quorum.ID
 	address string
 }
 
-// memberView is the group as its leader sees it.
+// memberView is the group as seen by its leader.
 type memberView struct {
-	status replica.Status
-	known  map[string]peerInfo // by instance
-	self   quorum.ID
-	wanted int       // voters
-	since  time.Time // from when on silence counts at the earliest: before it nobody spoke to this leader
-	now    time.Time
+	status       replica.Status
+	known        map[string]peerInfo // by instance
+	self         quorum.ID
+	wanted       int       // number of voters
+	silenceStart time.Time // earliest time from which silence counts; before it members did not report to this leader
+	now          time.Time
 }
 
-// next returns the next step towards the wanted group, or nil.
+// next returns the next step towards the wanted group, or nil if there is none.
 func (v memberView) next() *memberStep {
 	for _, name := range slices.Sorted(maps.Keys(v.known)) {
 		if step := v.stepFor(v.known[name]); step != nil {
 			return step
 		}
 	}
-	return v.silentLearner()
+	return v.removeSilentLearner()
 }
 
-// stepFor returns the next step for the replica that said hello, or nil. Nothing is taken from the earlier replica
-// before the new one holds the log.
+// stepFor returns the next step for the replica that sent the hello, or nil. The instance's earlier voter is not
+// removed before the new replica is caught up.
 func (v memberView) stepFor(info peerInfo) *memberStep {
 	id := quorum.ID(info.hello.GetReplica())
 	if id == quorum.NoID || id.Instance() != info.hello.GetInstance() {
@@ -90,11 +91,11 @@
 	}
 	i := slices.IndexFunc(v.status.Members, func(m replica.Member) bool { return m.ID == id })
 	if i < 0 {
-		if v.now.Sub(info.heard) > memberHeard {
+		if v.now.Sub(info.lastContact) > joinContactAge {
 			return nil
 		}
 		if len(v.status.Members) >= maxMembers {
-			return v.makeRoom(info)
+			return v.evictEphemeralLearner(info)
 		}
 		return &memberStep{quorum.AddLearner, id, info.hello.GetLinkAddress()}
 	}
@@ -116,12 +117,13 @@
 	return nil
 }
 
-// makeRoom removes a learner without a disk from a full group for an instance with one.
+// evictEphemeralLearner returns the removal of a learner without a disk from a full group, to make room for an instance
+// with a disk. It returns nil if there is no such learner, or if the instance that wants to join has no disk either.
 //
-// A large deployment has a control instance on some machines without a disk in each zone, and gets more of them with each machine
-// that is added. With the group full of them a machine that replaces a lost voter could not join, and the next loss would
-// leave no majority. One that is removed serves nobody any more; its callers know of others.
-func (v memberView) makeRoom(info peerInfo) *memberStep {
+// A large deployment runs control instances on machines without a disk in each zone, and more of them with each machine
+// that is added. If they filled the group, a machine that replaces a lost voter could not join, and the next loss would
+// leave no majority. An evicted instance stops serving; its clients know other instances.
+func (v memberView) evictEphemeralLearner(info peerInfo) *memberStep {
 	if info.hello.GetEphemeral() {
 		return nil
 	}
@@ -143,56 +145,59 @@
 	return n
 }
 
-// silentVoter returns a voter that hasn't been heard for voterSilent, or NoID.
+// silentVoter returns a voter that has been silent for longer than voterSilence, or NoID.
 func (v memberView) silentVoter() quorum.ID {
 	for _, m := range v.status.Members {
-		if m.Voter && v.silence(m.ID) > voterSilent {
+		if m.Voter && v.silence(m.ID) > voterSilence {
 			return m.ID
 		}
 	}
 	return quorum.NoID
 }
 
-// silentLearner returns the removal of a learner that stays away: an instance that was replaced, or an earlier disk.
-func (v memberView) silentLearner() *memberStep {
+// removeSilentLearner returns the removal of a learner that has been silent for longer than learnerSilence, or nil.
+// Such a learner belongs to an instance that was replaced, or to an earlier disk.
+func (v memberView) removeSilentLearner() *memberStep {
 	for _, m := range v.status.Members {
-		if !m.Voter && v.silence(m.ID) > learnerSilent {
+		if !m.Voter && v.silence(m.ID) > learnerSilence {
 			return &memberStep{change: quorum.Remove, id: m.ID}
 		}
 	}
 	return nil
 }
 
-// silence is how long a member hasn't been heard, 0 for one that is active or this replica itself.
+// silence returns the time since the last contact with a member. It is 0 for an active member and for this replica
+// itself.
 func (v memberView) silence(id quorum.ID) time.Duration {
 	if id == v.self || isActive(v.status, id) {
 		return 0
 	}
-	heard := v.since
-	if info := v.known[id.Instance()]; info.heard.After(heard) {
-		heard = info.heard
+	lastContact := v.silenceStart
+	if info := v.known[id.Instance()]; info.lastContact.After(lastContact) {
+		lastContact = info.lastContact
 	}
-	return v.now.Sub(heard)
+	return v.now.Sub(lastContact)
 }
 
-// isCaughtUp tells whether a replica holds all that is committed.
+// isCaughtUp reports whether a replica is active and holds all committed entries.
 func isCaughtUp(status replica.Status, id quorum.ID) bool {
 	return slices.ContainsFunc(status.Progress, func(p quorum.Progress) bool {
 		return p.ID == id && p.Active && p.Match >= status.Commit
 	})
 }
 
-// isActive tells whether the leader hears a replica.
+// isActive reports whether the leader receives messages from a replica.
 func isActive(status replica.Status, id quorum.ID) bool {
 	return slices.ContainsFunc(status.Progress, func(p quorum.Progress) bool { return p.ID == id && p.Active })
 }
 
-// earlierVoter returns the voter that the instance had with its earlier disk, or NoID.
+// earlierVoter returns the voter that the instance of id had with its earlier disk, or NoID.
 func earlierVoter(status replica.Status, id quorum.ID) quorum.ID {
 	return earlierReplica(status, id, true)
 }
 
-// earlierReplica returns a replica, voter or learner, that the instance had with an earlier disk, or NoID.
+// earlierReplica returns the replica that the instance of id had with an earlier disk, or NoID. With voter it looks for
+// a voter, else for a learner.
 func earlierReplica(status replica.Status, id quorum.ID, voter bool) quorum.ID {
 	for _, m := range status.Members {
 		if m.Voter == voter && m.ID != id && m.ID.Instance() == id.Instance() {
@@ -202,16 +207,18 @@
 	return quorum.NoID
 }
 
-// earlierLearner returns a learner that the instance had with an earlier disk, or NoID. That disk is gone, and the replica
-// never voted, so nothing is lost with it.
+// earlierLearner returns a learner that the instance of id had with an earlier disk, or NoID. That disk is gone and the
+// replica never voted, so removing it loses nothing.
 //
-// An instance that loses its disk with each restart leaves one behind each time. It is not silent, since its instance is
-// heard; some restarts would fill the group, and no replacement of a voter could join any more.
+// An instance that loses its disk at each restart leaves one such learner behind each time. The learner does not count
+// as silent, since its instance is still in contact. A few restarts would fill the group, and no replacement of a voter
+// could join.
 func earlierLearner(status replica.Status, id quorum.ID) quorum.ID {
 	return earlierReplica(status, id, false)
 }
 
-// changeMember makes a change. One that must wait for another, or for the learner, is no error: the next round sees.
+// changeMember makes a membership change. A change that has to wait for another one, or for the learner to catch up, is
+// not an error: a later round retries it.
 func (l *leader) changeMember(ctx context.Context, step *memberStep) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -240,7 +247,7 @@
 	quorum.Remove:     "removed",
 }
 
-// memberAddresses are the link addresses of the group's members.
+// memberAddresses returns the link addresses of the group's members.
 func (c *Control) memberAddresses() []string {
 	var addresses []string
 	for _, m := range c.replica.Status().Members {
@@ -249,7 +256,7 @@
 	return addresses
 }
 
-// zonesOf returns the availability zones of control instances by their link addresses, "" where it isn't known.
+// zonesOf returns the availability zones of control instances by their link addresses, with "" for an unknown one.
 func (c *Control) zonesOf(addresses []string) []string {
 	if len(addresses) == 0 {
 		return nil
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -11,9 +11,11 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-func TestOperatorsOfOneInstance(t *testing.T) {
+// Guards against a change that is applied twice when it is sent again, and against a change with an old version that
+// overwrites a newer one.
+func TestClassChangesOnSingleInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		n := c.leader()
@@ -34,7 +36,7 @@
 		require.Greater(t, class.Version, list.Version)
 
 		again := c.put(n, "gate-check", classBody(500), list.Version, "one")
-		require.Equal(t, a.body, again.body, "a resent change gets the first answer")
+		require.Equal(t, a.body, again.body, "a change sent again gets the first answer")
 
 		lost := c.put(n, "gate-check", classBody(600), list.Version, "two")
 		require.Equal(t, http.StatusConflict, lost.status)
@@ -51,6 +53,7 @@
 	})
 }
 
+// Guards against invalid calls that are accepted, or refused without naming what is wrong.
 func TestRefusedCalls(t *testing.T) {
 	good := classBody(500)
 	headers := func(version, change string) map[string]string {
@@ -67,7 +70,7 @@
 		name, method, path, body string
 		headers                  map[string]string
 		code                     result.Code
-		names                    string // in the message
+		mentions                 string // expected in the message
 	}{
 		{"no key", "GET", "/v1/classes", "", map[string]string{"Authorization": ""}, result.OperatorKeyWrong, ""},
 		{"wrong key", "GET", "/v1/classes", "", map[string]string{"Authorization": "Bearer x"}, result.OperatorKeyWrong, ""},
@@ -98,15 +101,16 @@
 			a := c.call(n, test.method, test.path, test.body, test.headers)
 			require.Equal(t, int(test.code), a.code(t), "%s: %s", test.name, a.body)
 			require.Equal(t, test.code.Info().Status, a.status, test.name)
-			require.Contains(t, string(a.body), test.names, test.name)
+			require.Contains(t, string(a.body), test.mentions, test.name)
 		}
-		require.Zero(t, c.status(n).ConfigVersion, "no refused call changed anything")
+		require.Zero(t, c.status(n).ConfigVersion, "a refused call changed the configuration")
 	})
 }
 
-func TestPlatform(t *testing.T) {
+// The probes and metrics of the platform must be served without an operator key.
+func TestPlatformEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		n := c.leader()
 		open := map[string]string{"Authorization": ""}
@@ -118,12 +122,11 @@
 	})
 }
 
-// Symptom: operators see their classes gone, or an old version, after a restart.
-// Sequence: hundreds of changes; the process ends; it starts again on its disk.
-// Cause: a change that was answered but not on disk, or a version that begins anew.
+// Guards against changes that were answered before they were on disk, and against versions that start again from the
+// beginning. The process restarts on its disk after hundreds of changes.
 func TestRestartAfterManyChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		n := c.leader()
 		var class classAnswer
@@ -142,11 +145,11 @@
 		c.get(n, "/v1/classes/gate-check").decode(t, &after)
 		require.Equal(t, class, after)
 		again := c.put(n, "gate-check", classBody(100), first, "change-"+time.Duration(0).String())
-		require.Equal(t, http.StatusOK, again.status, "a change id is known after a restart")
+		require.Equal(t, http.StatusOK, again.status, "a change id is remembered over a restart")
 		again.decode(t, &after)
 		require.Equal(t, 100, after.DeadlineMS)
 		c.get(n, "/v1/classes/gate-check").decode(t, &after)
-		require.Equal(t, class, after, "and is not applied again")
+		require.Equal(t, class, after, "the change is not applied again")
 		c.stopAll()
 	})
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -11,18 +11,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// placement is an order to be placed by the leader's duty.
-type placement struct {
+// pendingOrder is an order that the leader's loop has yet to commit.
+type pendingOrder struct {
 	order *wire.Order
 	done  chan error
 }
 
-// PlaceOrder has an order committed by the leader's duty, which sends it to the agent and closes it by its result. It
-// returns once the order is committed. Errors have code result.NotLeader at another instance, result.ServerBusy or
-// another code of the state, or that of a failed proposal.
+// PlaceOrder hands an order to the leader's loop, which commits it, sends it to the agent, and closes it when the agent
+// reports its result. It returns once the order is committed. Errors have code result.NotLeader at another instance,
+// result.ServerBusy or another code of the state, or that of a failed proposal.
 func (c *Control) PlaceOrder(ctx context.Context, order *wire.Order) error {
-	p := placement{order: proto.CloneOf(order), done: make(chan error, 1)}
-	if !c.leader.placements.TryPush(p) {
+	p := pendingOrder{order: proto.CloneOf(order), done: make(chan error, 1)}
+	if !c.leader.pendingOrders.TryPush(p) {
 		return result.New(result.ProposalQueueFull, "").WithRan(result.RanNo)
 	}
 	select {
@@ -33,8 +33,8 @@
 	}
 }
 
-// place commits an order with this leader's fence, and only then sends it.
-func (l *leader) place(ctx context.Context, p placement) {
+// place commits an order with this leader's fence number. The order is sent only after that.
+func (l *leader) place(ctx context.Context, p pendingOrder) {
 	if l.term == 0 {
 		p.done <- result.New(result.NotLeader, "").WithRan(result.RanNo)
 		return
@@ -47,12 +47,13 @@
 	p.done <- err
 }
 
-// resend sends the open orders again: one may have been lost with a session, or with the leader that placed it.
-func (l *leader) resend(ctx context.Context) error {
-	if time.Since(l.ordered) < orderInterval {
+// resendOrders sends the open orders again, since one may have been lost with a session or with the leader that placed
+// it. It closes orders whose server is no longer registered.
+func (l *leader) resendOrders(ctx context.Context) error {
+	if time.Since(l.lastResend) < orderInterval {
 		return nil
 	}
-	l.ordered = time.Now()
+	l.lastResend = time.Now()
 	for _, o := range l.sendOrders() {
 		if err := l.closeOrder(ctx, o.GetId(), result.OrderExpired); err != nil {
 			return err
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// sendOrders sends the open orders to their agents. It returns those whose server has left.
-func (l *leader) sendOrders() (left []*wire.Order) {
+// sendOrders sends the open orders to their agents. It returns those whose server is no longer registered.
+func (l *leader) sendOrders() (orphaned []*wire.Order) {
 	agents := make(map[string]string)
 	var orders []*wire.Order
 	l.control.machine.read(func(s *state.State) {
@@ -74,24 +75,25 @@
 	for _, o := range orders {
 		agent := agents[o.GetServer()]
 		if agent == "" {
-			left = append(left, o)
+			orphaned = append(orphaned, o)
 			continue
 		}
-		if one := l.control.sessions.of(agent); one != nil {
-			one.order(o)
+		if sess := l.control.sessions.agentSession(agent); sess != nil {
+			sess.sendOrder(o)
 		}
 	}
-	return left
+	return orphaned
 }
 
-// orderEnded takes the result of an order from an agent. The agent sends it again while the order is open.
-func (l *leader) orderEnded(r *wire.OrderResult) {
+// enqueueResult passes an agent's result of an order to the leader's loop. It drops the result if the ring is full: the
+// agent sends it again while the order is open.
+func (l *leader) enqueueResult(r *wire.OrderResult) {
 	l.results.TryPush(r)
 }
 
-// endOrder closes an order by its agent's result. A refusal of an old fence closes nothing: the order goes on under
-// the new one.
-func (l *leader) endOrder(ctx context.Context, r *wire.OrderResult) {
+// applyResult closes an order by its agent's result. A refusal of an old fence number does not close it: the order
+// stays open under the new number.
+func (l *leader) applyResult(ctx context.Context, r *wire.OrderResult) {
 	if l.term == 0 || result.Code(r.GetCode()) == result.FenceTooOld {
 		return
 	}
--- a/control/peer_server.go
+++ b/control/peer_server.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// replyRing is the capacity of the ring of read replies towards one peer.
+// replyRing is the capacity of the ring of read replies to one peer.
 const replyRing = 16
 
 // Messages serves a link that a peer dialled. It implements wire.DRPCReplicaLinkServer.
@@ -31,8 +31,8 @@
 	if err := stream.Send(&wire.ReplicaBatch{Hello: c.replicaHello()}); err != nil {
 		return err
 	}
-	p.learn(hello)
-	ctx, cancel := untilStopping(stream.Context())
+	p.recordHello(hello)
+	ctx, cancel := streamContext(stream.Context())
 	defer cancel()
 	replies := ring.New[*wire.ReplicaBatch]("read_replies", replyRing)
 	pump := &link.Pump[*wire.ReplicaBatch, *wire.ReplicaBatch]{
@@ -43,7 +43,7 @@
 		Beat:         func() *wire.ReplicaBatch { return &wire.ReplicaBatch{Status: c.replicaStatus()} },
 		BeatInterval: statusInterval,
 		Receive: func(ctx context.Context, batch *wire.ReplicaBatch) (bool, error) {
-			return true, p.take(ctx, hello.GetInstance(), batch, replies)
+			return true, p.handleBatch(ctx, hello.GetInstance(), batch, replies)
 		},
 		Silence: peerSilence,
 	}
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// untilStopping returns the context of a stream, which also ends when the server should.
-func untilStopping(parent context.Context) (context.Context, context.CancelFunc) {
+// streamContext returns a context that ends with the stream's context parent, and also when the server is stopping.
+func streamContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	go func() {
 		select {
@@ -72,8 +72,8 @@
 	return ctx, cancel
 }
 
-// take hands messages to the replica, and starts the answer to a read request.
-func (p *peers) take(ctx context.Context, from string, batch *wire.ReplicaBatch, replies *ring.Ring[*wire.ReplicaBatch]) error {
+// handleBatch delivers messages to the replica, records the peer's status, and starts the answer to a read request.
+func (p *peers) handleBatch(ctx context.Context, from string, batch *wire.ReplicaBatch, replies *ring.Ring[*wire.ReplicaBatch]) error {
 	for _, data := range batch.GetMessages() {
 		m := new(quorumpb.Message)
 		if err := proto.Unmarshal(data, m); err != nil {
@@ -82,7 +82,7 @@
 		p.control.replica.Deliver(m)
 	}
 	if batch.GetStatus() != nil {
-		p.noteStatus(from, batch.GetStatus())
+		p.recordStatus(from, batch.GetStatus())
 	}
 	if round := batch.GetReadRequest(); round != 0 {
 		go func() { replies.TryPush(&wire.ReplicaBatch{ReadReply: p.control.confirmRead(ctx, round)}) }()
@@ -100,23 +100,23 @@
 	return &wire.ReadReply{Round: round, Confirmed: true, Index: c.machine.index()}
 }
 
-// Forward proposes a command that an operator gave to a follower. It implements wire.DRPCReplicaLinkServer.
+// Forward proposes a command that a follower has forwarded. It implements wire.DRPCReplicaLinkServer.
 func (p *peers) Forward(ctx context.Context, in *wire.Propose) (*wire.ProposeReply, error) {
 	if !mayForward(in.GetCommand()) {
 		return notAllowed(in.GetId()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	return p.control.proposeHere(ctx, in.GetId(), in.GetCommand()), nil
+	return p.control.proposeLocally(ctx, in.GetId(), in.GetCommand()), nil
 }
 
-// versions returns the versions of the configuration and of the directory here.
+// versions returns the versions of the configuration and of the directory at this instance.
 func (c *Control) versions() (config, directory uint64) {
 	c.machine.read(func(s *state.State) { config, directory = s.ConfigVersion(), s.DirectoryVersion() })
 	return config, directory
 }
 
-// since is how long ago t was, 0 for a time in the future.
-func since(t time.Time) time.Duration {
+// elapsed returns the time elapsed t, or 0 if t is in the future.
+func elapsed(t time.Time) time.Duration {
 	return max(0, time.Since(t))
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -20,18 +20,18 @@
 
 // Timing and capacities of the links between control instances.
 const (
-	statusInterval  = time.Second
-	peerSilence     = 4 * time.Second
-	peerRing        = 4096
-	maxPeers        = 64
-	helloTimeout    = 2 * time.Second
-	peerRedialMin   = 50 * time.Millisecond
-	peerRedialMax   = 500 * time.Millisecond
-	replicaDelivery = "replica"
+	statusInterval = time.Second
+	peerSilence    = 4 * time.Second
+	peerRing       = 4096
+	maxPeers       = 64
+	helloTimeout   = 2 * time.Second
+	peerRedialMin  = 50 * time.Millisecond
+	peerRedialMax  = 500 * time.Millisecond
+	peerRingName   = "replica"
 )
 
-// peers are the links to the other control instances. Each pair has two: one dialled from either side, which carries
-// the dialler's messages. It implements replica.Transport.
+// peers holds the links to the other control instances. Each pair of instances has two links, one dialled from either
+// side, which carries the dialler's messages. It implements replica.Transport.
 type peers struct {
 	control *Control
 
@@ -39,14 +39,14 @@
 	links   map[string]*peerLink // by instance
 	known   map[string]*peerInfo // by instance
 	changed chan struct{}        // closed when known changes
-	start   func(*peerLink)      // set while run runs
+	start   func(*peerLink)      // nil unless run is running
 }
 
-// peerInfo is what another control instance said of itself.
+// peerInfo is what another control instance has sent about itself.
 type peerInfo struct {
-	hello  *wire.ReplicaHello
-	status *wire.ReplicaStatus
-	heard  time.Time
+	hello       *wire.ReplicaHello
+	status      *wire.ReplicaStatus
+	lastContact time.Time
 }
 
 func newPeers(c *Control) *peers {
@@ -64,7 +64,7 @@
 	return p
 }
 
-// run keeps a link to each peer, also to those that are added later.
+// run keeps a link to each peer, including peers that are added later.
 func (p *peers) run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -74,7 +74,7 @@
 		p.start(p.links[name])
 	}
 	p.mu.Unlock()
-	p.add(p.control.members())
+	p.add(p.control.memberPeers())
 	<-ctx.Done()
 	p.mu.Lock()
 	p.start = nil
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Send implements replica.Transport: what doesn't fit is dropped and counted by the ring.
+// Send implements replica.Transport. Messages that do not fit into the link's ring are dropped, and the ring counts
+// them.
 func (p *peers) Send(to quorum.ID, messages []*quorumpb.Message) {
 	p.mu.Lock()
 	l := p.links[to.Instance()]
@@ -95,30 +96,32 @@
 	}
 }
 
-// learn notes what a peer said in its hello, and opens a link to one that the settings don't name.
-func (p *peers) learn(hello *wire.ReplicaHello) {
+// recordHello stores a peer's hello, and opens links to the peer and to the instances that its hello names, unless
+// there is one already.
+func (p *peers) recordHello(hello *wire.ReplicaHello) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.info(hello.GetInstance()).hello = hello
-	p.info(hello.GetInstance()).heard = time.Now()
-	p.signal()
-	p.open(hello.GetInstance(), hello.GetLinkAddress())
+	p.info(hello.GetInstance()).lastContact = time.Now()
+	p.notifyChanged()
+	p.openLinkLocked(hello.GetInstance(), hello.GetLinkAddress())
 	for _, peer := range hello.GetPeers() {
-		p.open(peer.GetInstance(), peer.GetLinkAddress())
+		p.openLinkLocked(peer.GetInstance(), peer.GetLinkAddress())
 	}
 }
 
-// add opens links to instances that the settings didn't name: members of the group, and seeds that are new.
+// add opens links to instances that are not in the settings with which this instance started: members of the group, and
+// seeds added later.
 func (p *peers) add(peers []*wire.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range peers {
-		p.open(peer.GetInstance(), peer.GetLinkAddress())
+		p.openLinkLocked(peer.GetInstance(), peer.GetLinkAddress())
 	}
 }
 
-// open begins a link to an instance that has none. It is called with the lock held.
-func (p *peers) open(instance, address string) {
+// openLinkLocked opens a link to an instance that has none. p.mu must be held.
+func (p *peers) openLinkLocked(instance, address string) {
 	if instance == p.control.settings.Instance || p.links[instance] != nil || len(p.links) >= maxPeers || p.start == nil {
 		return
 	}
@@ -127,26 +130,26 @@
 	p.start(l)
 }
 
-// heardLately returns the instances that were heard within memberHeard.
-func (p *peers) heardLately() []*wire.Peer {
+// recentPeers returns the instances whose last contact is at most joinContactAge ago.
+func (p *peers) recentPeers() []*wire.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var heard []*wire.Peer
+	var recent []*wire.Peer
 	for _, name := range slices.Sorted(maps.Keys(p.known)) {
 		info := p.known[name]
-		if info.hello != nil && time.Since(info.heard) <= memberHeard {
-			heard = append(heard, &wire.Peer{Instance: name, LinkAddress: info.hello.GetLinkAddress()})
+		if info.hello != nil && time.Since(info.lastContact) <= joinContactAge {
+			recent = append(recent, &wire.Peer{Instance: name, LinkAddress: info.hello.GetLinkAddress()})
 		}
 	}
-	return heard
+	return recent
 }
 
-func (p *peers) noteStatus(instance string, status *wire.ReplicaStatus) {
+func (p *peers) recordStatus(instance string, status *wire.ReplicaStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info := p.info(instance)
 	info.status = status
-	info.heard = time.Now()
+	info.lastContact = time.Now()
 }
 
 func (p *peers) info(instance string) *peerInfo {
@@ -156,14 +159,14 @@
 	return p.known[instance]
 }
 
-func (p *peers) signal() {
+func (p *peers) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.control.leader.wake()
 }
 
-// wait returns a channel that is closed when a peer says hello.
-func (p *peers) wait() <-chan struct{} {
+// nextChange returns a channel that is closed when a peer sends its hello.
+func (p *peers) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
@@ -194,7 +197,7 @@
 	return out
 }
 
-// address returns where an instance is dialled, or "".
+// address returns the address at which an instance is dialled, or "".
 func (p *peers) address(instance string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +207,7 @@
 	return ""
 }
 
-// peerMessage is one outgoing item: exactly one field is set.
+// peerMessage is one outgoing item. Exactly one field is set.
 type peerMessage struct {
 	quorum *quorumpb.Message
 	status *wire.ReplicaStatus
@@ -220,17 +223,17 @@
 }
 
 func newPeerLink(p *peers, instance, address string) *peerLink {
-	return &peerLink{peers: p, instance: instance, address: address, ring: ring.New[peerMessage](replicaDelivery, peerRing)}
+	return &peerLink{peers: p, instance: instance, address: address, ring: ring.New[peerMessage](peerRingName, peerRing)}
 }
 
 func (l *peerLink) run(ctx context.Context) {
 	wait := peerRedialMin
 	for ctx.Err() == nil {
-		wasUp, err := l.once(ctx)
+		established, err := l.serveOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if wasUp {
+		if established {
 			wait = peerRedialMin
 			l.peers.control.log.WithError(err).WithField("peer", l.instance).Warn("replica_link_lost")
 		}
@@ -241,8 +244,8 @@
 	}
 }
 
-// once dials and serves one link until it ends.
-func (l *peerLink) once(ctx context.Context) (wasUp bool, err error) {
+// serveOnce dials one connection and serves it until it ends. established reports whether the hellos were exchanged.
+func (l *peerLink) serveOnce(ctx context.Context) (established bool, err error) {
 	c := l.peers.control
 	conn, err := link.Dial(ctx, c.options.Network, l.address, c.dialTLS)
 	if err != nil {
@@ -268,7 +271,7 @@
 	if !stopHello.Stop() {
 		return false, link.ErrSilent
 	}
-	l.peers.learn(first.GetHello())
+	l.peers.recordHello(first.GetHello())
 	pump := &link.Pump[peerMessage, *wire.ReplicaBatch]{
 		Send:         func(batch []peerMessage) error { return sendPeer(stream, batch) },
 		Recv:         stream.Recv,
@@ -313,13 +316,13 @@
 	return stream.Send(out)
 }
 
-// receive takes what the dialled side sends: its status, and replies to read requests.
+// receive handles what the dialled side sends: its status, and replies to read requests.
 func (l *peerLink) receive(_ context.Context, batch *wire.ReplicaBatch) (bool, error) {
 	if batch.GetStatus() != nil {
-		l.peers.noteStatus(l.instance, batch.GetStatus())
+		l.peers.recordStatus(l.instance, batch.GetStatus())
 	}
 	if batch.GetReadReply() != nil {
-		l.peers.control.reads.reply(batch.GetReadReply())
+		l.peers.control.reads.handleReply(batch.GetReadReply())
 	}
 	return true, nil
 }
--- a/control/allowed.go
+++ b/control/permissions.go
@@ -5,11 +5,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// mayPropose tells whether an entry or agent may propose a command. Registrations and their ends are for the sender
-// itself.
+// mayPropose reports whether an entry or agent may propose a command. It may register and deregister only itself.
 //
-// Whoever may open a session could otherwise change classes without an operator's key, or raise the fence and stop
-// the leader's orders; one would notice it only as changes without an operator in the log.
+// Without this check any process that can open a session could change classes without an operator's key, or raise the
+// fence and so block the leader's orders. The only sign would be changes without an operator in the log.
 func mayPropose(hello *wire.ClientHello, cmd *wire.Command) bool {
 	isEntry := hello.GetRole() == wire.Role_ROLE_ENTRY
 	switch kind := cmd.GetKind().(type) {
@@ -37,8 +36,8 @@
 	}
 }
 
-// mayForward tells whether a follower may forward a command: the changes of operators, and what
-// backend servers say to control.
+// mayForward reports whether a follower may forward a command: changes by operators, and announcements and ends of
+// backend servers.
 func mayForward(cmd *wire.Command) bool {
 	switch cmd.GetKind().(type) {
 	case *wire.Command_PutClass, *wire.Command_DeleteClass, *wire.Command_DrainServer:
@@ -50,7 +49,7 @@
 	}
 }
 
-// notAllowed is the reply to a proposal that its sender may not make.
+// notAllowed returns the reply to a proposal that the sender may not make.
 func notAllowed(id uint64) *wire.ProposeReply {
 	return &wire.ProposeReply{
 		Id:      id,
--- a/control/propose.go
+++ b/control/propose.go
@@ -15,19 +15,19 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Timing of proposals.
+// Timing and limits of proposals.
 const (
 	// proposeTimeout bounds one proposal at the leader.
 	proposeTimeout = 4 * time.Second
-	// changeTimeout bounds an operator's change, with the search for the leader.
+	// changeTimeout bounds an operator's change, including the search for the leader.
 	changeTimeout = 8 * time.Second
-	retryPause    = 50 * time.Millisecond
-	// maxProposals bounds the proposals under way at one instance.
+	retryInterval = 50 * time.Millisecond
+	// maxProposals bounds the proposals in progress at one instance.
 	maxProposals = 4096
 )
 
-// proposeHere proposes a command at this replica and makes the reply to whoever sent it.
-func (c *Control) proposeHere(ctx context.Context, id uint64, cmd *wire.Command) *wire.ProposeReply {
+// proposeLocally proposes a command at this replica and returns the reply to its sender.
+func (c *Control) proposeLocally(ctx context.Context, id uint64, cmd *wire.Command) *wire.ProposeReply {
 	index, res, err := c.propose(ctx, cmd)
 	reply := &wire.ProposeReply{Id: id, Index: index, Result: res}
 	if err != nil {
@@ -42,15 +42,15 @@
 	return reply
 }
 
-// propose stamps a command with this instance's clock and has it committed. Errors have code
+// propose stamps a command with this instance's clock and commits it. Errors have code
 //
-//   - result.ProposalUnknown: it may have been committed, or may yet be;
-//   - result.NotLeader, ProposalQueueFull, EntryTooLarge, Stopping or ControlUnavailable: it wasn't and won't be.
+//   - result.ProposalUnknown: the command may have been committed, or may yet be;
+//   - result.NotLeader, ProposalQueueFull, EntryTooLarge, Stopping or ControlUnavailable: it was not committed and will not be.
 func (c *Control) propose(ctx context.Context, cmd *wire.Command) (uint64, *wire.CommandResult, error) {
-	if !c.proposals.take() {
+	if !c.proposals.tryAcquire() {
 		return 0, nil, result.New(result.ProposalQueueFull, "").WithRan(result.RanNo)
 	}
-	defer c.proposals.put()
+	defer c.proposals.release()
 	stamped := proto.CloneOf(cmd)
 	stamped.UnixMs = uint64(time.Now().UnixMilli())
 	data, err := proto.Marshal(stamped)
@@ -68,7 +68,8 @@
 	return applied.Index, res, nil
 }
 
-// proposalError gives an error of the replica its code. Whatever isn't a clear refusal is an unknown outcome.
+// proposalError maps an error of the replica to a result code. Any error that is not a definite refusal is an unknown
+// outcome.
 func proposalError(err error) error {
 	refused, ok := quorum.Refused(err)
 	if !ok || errors.Is(err, replica.ErrUnknownOutcome) {
@@ -88,31 +89,31 @@
 	return result.Wrap(err, code, "").WithRan(result.RanNo)
 }
 
-// resendAdvice is what an operator hears after a lost outcome.
+// resendAdvice is the message that an operator gets after an unknown outcome.
 const resendAdvice = "the change may or may not have been committed: send it again with the same Change-Id and If-Match"
 
-// change has an operator's change committed, wherever the leader is. Errors are those of propose.
+// commitChange commits an operator's commitChange at whichever instance leads. Errors are those of propose.
 //
-// It tries again only while it is sure that the change wasn't proposed. After a lost outcome the operator hears so,
-// and may send the change again with the same Change-Id.
-func (c *Control) change(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
+// It retries only if the commitChange was certainly not proposed. After an unknown outcome it returns an error that says so,
+// and the operator may send the commitChange again with the same Change-Id.
+func (c *Control) commitChange(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	for {
-		res, err := c.changeOnce(ctx, cmd)
+		res, err := c.proposeOrForward(ctx, cmd)
 		if result.Is(err, result.ProposalUnknown) {
 			return nil, result.Wrap(err, result.ProposalUnknown, "%s", resendAdvice)
 		}
 		if !result.Is(err, result.NotLeader) {
 			return res, err
 		}
-		if !pause.For(ctx, retryPause) {
+		if !pause.For(ctx, retryInterval) {
 			return nil, result.Wrap(err, result.ControlUnavailable, "no leader among the control instances").WithRan(result.RanNo)
 		}
 	}
 }
 
-func (c *Control) changeOnce(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
+func (c *Control) proposeOrForward(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
 	_, res, err := c.propose(ctx, cmd)
 	if !result.Is(err, result.NotLeader) {
 		return res, err
@@ -125,8 +126,8 @@
 	return c.forward(ctx, address, cmd)
 }
 
-// forward hands a change to the leader over a connection of its own: changes are rare, and an error of this
-// connection is then about this change only.
+// forward sends a change to the leader over a connection of its own. Changes are rare, and an error of this connection
+// then concerns only this change.
 func (c *Control) forward(ctx context.Context, address string, cmd *wire.Command) (*wire.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/control/reads.go
+++ b/control/reads.go
@@ -11,45 +11,47 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Timing and capacity of reads.
+// Timing and capacities of reads.
 const (
 	readTimeout = time.Second
-	// confirmInterval is how often a round runs when nobody asks, for readyz.
+	// confirmInterval is the time between rounds when no read is pending. Readiness is derived from these rounds.
 	confirmInterval = time.Second
-	// confirmBound is for how long a confirmed round shows that this instance is of use.
-	confirmBound = 3 * time.Second
-	readRing     = 8192
-	readBatch    = 4096
+	// confirmedMaxAge is the time for which a confirmed round shows that this instance is ready.
+	confirmedMaxAge = 3 * time.Second
+	readRing        = 8192
+	readBatch       = 4096
 )
 
-// reads confirms, for many who ask at once, that the state here is at least as new as when they asked.
+// readConfirmer confirms, for many callers at a time, that the state at this instance is at least as new as their
+// requests.
 //
-// One round runs at a time. Who asks while it runs waits for the next: the round's quorum may have answered before a
-// change that was acknowledged before the question.
-type reads struct {
+// One round runs at a time. A request that arrives during a round waits for the next one: the quorum of the current
+// round may have answered before a change that was acknowledged before the request.
+type readConfirmer struct {
 	control *Control
-	waiting *ring.Ring[func(confirmed bool)]
+	pending *ring.Ring[func(confirmed bool)]
 
 	mu        sync.Mutex
 	round     uint64
-	replies   chan *wire.ReadReply // of the running round
+	replies   chan *wire.ReadReply // of the current round
 	confirmed time.Time            // start of the last confirmed round
 }
 
-func newReads(c *Control) *reads {
-	return &reads{control: c, waiting: ring.New[func(bool)]("reads", readRing), replies: make(chan *wire.ReadReply, 1)}
+func newReadConfirmer(c *Control) *readConfirmer {
+	return &readConfirmer{control: c, pending: ring.New[func(bool)]("reads", readRing), replies: make(chan *wire.ReadReply, 1)}
 }
 
-// ask calls done once, from the duty of reads, or returns false at once when too many wait.
-func (r *reads) ask(done func(confirmed bool)) bool {
-	return r.waiting.TryPush(done)
+// request has done called once from run when a round ends. It returns false at once, without calling done, if too many
+// requests are pending.
+func (r *readConfirmer) request(done func(confirmed bool)) bool {
+	return r.pending.TryPush(done)
 }
 
-// wait returns nil when the state here is confirmed to be at least as new as the call. Errors have code
+// wait returns nil once the state at this instance is confirmed to be at least as new as the call. Errors have code
 // result.ControlUnavailable.
-func (r *reads) wait(ctx context.Context) error {
+func (r *readConfirmer) wait(ctx context.Context) error {
 	answer := make(chan bool, 1)
-	if !r.ask(func(confirmed bool) { answer <- confirmed }) {
+	if !r.request(func(confirmed bool) { answer <- confirmed }) {
 		return result.New(result.ControlUnavailable, "too many reads wait").WithRan(result.RanNo)
 	}
 	select {
@@ -63,15 +65,15 @@
 	}
 }
 
-// isRecent tells whether a round was confirmed lately.
-func (r *reads) isRecent() bool {
+// confirmedRecently reports whether a round was confirmed within confirmedMaxAge.
+func (r *readConfirmer) confirmedRecently() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.confirmed.IsZero() && time.Since(r.confirmed) <= confirmBound
+	return !r.confirmed.IsZero() && time.Since(r.confirmed) <= confirmedMaxAge
 }
 
-// run is the duty that runs the rounds.
-func (r *reads) run(ctx context.Context) error {
+// run is the loop that runs the rounds.
+func (r *readConfirmer) run(ctx context.Context) error {
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
 	batch := make([]func(bool), 0, readBatch)
@@ -81,13 +83,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-		case done := <-r.waiting.C():
+		case done := <-r.pending.C():
 			batch = append(batch, done)
 		}
-		batch = r.fill(batch)
+		batch = r.fillBatch(batch)
 		started := time.Now()
-		confirmed := r.once(ctx)
-		r.control.counters.reads(confirmed).Inc()
+		confirmed := r.runRound(ctx)
+		r.control.counters.readRounds(confirmed).Inc()
 		if confirmed {
 			r.mu.Lock()
 			r.confirmed = started
@@ -98,15 +100,15 @@
 		}
 		clear(batch)
 		if !confirmed {
-			pause.For(ctx, retryPause) // those who ask again at once wait for the next round
+			pause.For(ctx, retryInterval) // callers that repeat the request at once wait for the next round
 		}
 	}
 }
 
-func (r *reads) fill(batch []func(bool)) []func(bool) {
+func (r *readConfirmer) fillBatch(batch []func(bool)) []func(bool) {
 	for len(batch) < readBatch {
 		select {
-		case done := <-r.waiting.C():
+		case done := <-r.pending.C():
 			batch = append(batch, done)
 		default:
 			return batch
@@ -115,8 +117,9 @@
 	return batch
 }
 
-// once runs one round: at the leader itself, else by asking the leader for the index to wait for.
-func (r *reads) once(ctx context.Context) bool {
+// runRound runs one round and reports whether it was confirmed. The leader asks a quorum itself; a follower asks the
+// leader for a log index, and waits until it has applied that index.
+func (r *readConfirmer) runRound(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	c := r.control
@@ -124,12 +127,12 @@
 		_, err := c.replica.Read(ctx)
 		return err == nil
 	}
-	index, ok := r.askLeader(ctx)
+	index, ok := r.requestFromLeader(ctx)
 	return ok && c.machine.waitIndex(ctx, index) == nil
 }
 
-func (r *reads) askLeader(ctx context.Context) (index uint64, ok bool) {
-	round, replies := r.begin()
+func (r *readConfirmer) requestFromLeader(ctx context.Context) (index uint64, ok bool) {
+	round, replies := r.startRound()
 	leader := r.control.leaderInstance()
 	if leader == "" || !r.control.peers.requestRead(leader, round) {
 		return 0, false
@@ -142,7 +145,7 @@
 	}
 }
 
-func (r *reads) begin() (uint64, <-chan *wire.ReadReply) {
+func (r *readConfirmer) startRound() (uint64, <-chan *wire.ReadReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.round++
@@ -150,8 +153,9 @@
 	return r.round, r.replies
 }
 
-// reply takes a leader's reply. One to an earlier round is dropped: it says nothing of those who ask now.
-func (r *reads) reply(reply *wire.ReadReply) {
+// handleReply passes a leader's handleReply to the current round. It drops a handleReply to an earlier round, which says nothing
+// about requests that arrived after that round.
+func (r *readConfirmer) handleReply(reply *wire.ReadReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reply.GetRound() != r.round {
@@ -163,7 +167,7 @@
 	}
 }
 
-// requestRead sends a read request, and returns false if it can't.
+// requestRead sends a read request to an instance, and reports whether it could be queued.
 func (p *peers) requestRead(instance string, round uint64) bool {
 	p.mu.Lock()
 	l := p.links[instance]
--- a/control/replace_test.go
+++ b/control/replace_test.go
@@ -16,23 +16,24 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// newcomer is an instance at a host of its own, with an empty disk, whose settings name some of the others.
-func (c *cluster) newcomer(i int, seeds ...int) *node {
-	n := c.addNode(i, seeds...)
+// addAndStart starts an additional instance on a host of its own, with an empty disk, whose settings name some of the
+// others.
+func (c *cluster) addAndStart(i int, seeds ...int) *instance {
+	n := c.addInstance(i, seeds...)
 	c.start(n)
 	return n
 }
 
-// addNode is newcomer without its start.
-func (c *cluster) addNode(i int, seeds ...int) *node {
-	n := c.newNode(i, 0)
+// addInstance is addAndStart without the start.
+func (c *cluster) addInstance(i int, seeds ...int) *instance {
+	n := c.newInstance(i, 0)
 	n.settings.Bootstrap = false
 	n.settings.Voters = 3
 	for _, seed := range seeds {
-		named := c.nodes[seed-1].settings
+		named := c.instances[seed-1].settings
 		n.settings.Replicas = append(n.settings.Replicas, settings.Replica{Instance: named.Instance, Address: named.Advertise})
 	}
-	c.nodes = append(c.nodes, n)
+	c.instances = append(c.instances, n)
 	return n
 }
 
@@ -47,10 +48,9 @@
 	}
 }
 
-// Symptom: control is lost for good after a few replacements. Sequence: one voter after the other goes, and an empty one
-// comes at another address; each newcomer knows one living instance. In the end none of the first three is left, and the
-// session of a process that knew only those must still find control. Cause: members, and the instances that a process
-// keeps links to, that are fixed when it starts.
+// Guards against a group whose members are fixed at the start: it is lost after a few replacements. Voters are lost one
+// after the other, and each replacement comes with an empty disk at a new address and knows one running instance. A
+// session that knew only the first three must still find control.
 func TestAllInstancesAreReplacedOneByOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -61,25 +61,25 @@
 		leader := c.leader()
 		require.NoError(t, leader.control.PutDesired(t.Context(), testDesired(1)))
 		for i := range 3 {
-			old := c.nodes[i]
+			old := c.instances[i]
 			c.stop(old)
-			n := c.newcomer(4+i, i+2)
-			c.eventually("the newcomer confirms reads", func() bool { return n.control.Ready() == nil })
-			c.eventually("and votes", func() bool { return votes(c, n) == 3 })
+			n := c.addAndStart(4+i, i+2)
+			c.eventually("the replacement confirms reads", func() bool { return n.control.Ready() == nil })
+			c.eventually("the replacement is one of three voters", func() bool { return votersSeenByVoter(c, n) == 3 })
 			require.NoError(t, n.control.PutDesired(t.Context(), testDesired(uint64(i+2))))
 		}
-		c.eventually("the session has what the last ones hold", func() bool {
+		c.eventually("the session has the last desired state", func() bool {
 			return client.View().Desired.GetVersion() == 4 && client.Ready() == nil
 		})
-		desired, err := c.nodes[5].control.Desired(t.Context())
+		desired, err := c.instances[5].control.Desired(t.Context())
 		require.NoError(t, err)
 		require.EqualValues(t, 4, desired.GetVersion())
 		require.Equal(t, "document", string(desired.GetDocument()))
 	})
 }
 
-// votes returns how many voters the instance knows if it is one of them, else 0.
-func votes(c *cluster, n *node) int {
+// votersSeenByVoter returns the number of voters that an instance knows of, or 0 if it is not one of them.
+func votersSeenByVoter(c *cluster, n *instance) int {
 	voters, own := 0, false
 	for _, m := range c.status(n).Replicas {
 		if m.Voter {
@@ -93,8 +93,8 @@
 	return voters
 }
 
-// Symptom: an operator hears that a valid change was refused. Sequence: it asks an instance that doesn't lead, or during an
-// election, or resends what was committed. Cause: an answer that is about the group and not about the change.
+// Guards against a valid change that is refused because of the state of the group: sent to a follower, during an
+// election, or again after it was committed.
 func TestDesiredStateIsAcceptedByAnyInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -115,9 +115,8 @@
 	})
 }
 
-// Symptom: an operator's valid change is refused for good. Sequence: the desired state has grown to some thousand routes;
-// their record, with the operator's own text beside it, is over a megabyte. Cause: a bound on log entries that was taken
-// for records of requests.
+// Guards against a bound on log entries that is meant for records of requests and refuses a desired state of some
+// thousand routes, which is over a megabyte with the operator's document.
 func TestDesiredStateOfThousandsOfRoutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -135,7 +134,7 @@
 		large.Document = bytes.Repeat([]byte("x"), 4000*350)
 		require.Greater(t, proto.Size(large), 3<<19)
 		require.NoError(t, c.follower().control.PutDesired(t.Context(), large))
-		c.eventually("the session has it", func() bool { return len(client.View().Desired.GetRoutes()) == 4001 })
+		c.eventually("the session has the desired state", func() bool { return len(client.View().Desired.GetRoutes()) == 4001 })
 		c.stop(c.leader())
 		desired, err := c.follower().control.Desired(t.Context())
 		require.NoError(t, err)
@@ -143,8 +142,8 @@
 	})
 }
 
-// Symptom: an old desired state is shown, or one that may not be the newest. Sequence: an instance is cut off from the
-// others while they take a change. Cause: a read without a quorum.
+// Guards against a read without a quorum, which may return an old desired state. An instance is cut off while the
+// others commit a change.
 func TestReadIsRefusedWithoutAQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -152,7 +151,7 @@
 		defer c.stopAll()
 		follower := c.follower()
 		require.NoError(t, c.leader().control.PutDesired(t.Context(), testDesired(1)))
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n != follower {
 				c.net.Cut(n.host, follower.host)
 			}
@@ -164,6 +163,8 @@
 	})
 }
 
+// Guards against announcements that are lost at a follower, and against a late one that brings back a server that has
+// ended.
 func TestAnnouncementsAtAnyInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -174,14 +175,14 @@
 		leader, follower := c.leader(), c.follower()
 		server := &wire.Announcement{Server: "s1", Pool: "m", Address: "10.0.2.1:1", Slots: 4, Sequence: 1}
 		require.NoError(t, follower.control.Announce(t.Context(), server))
-		c.eventually("entries have it", func() bool { return client.View().Announcements["s1"] != nil })
+		c.eventually("the entry has the server", func() bool { return client.View().Announcements["s1"] != nil })
 		server.Sequence, server.Draining = 2, true
 		require.NoError(t, leader.control.Announce(t.Context(), server))
-		c.eventually("entries know that it drains", func() bool { return client.View().Announcements["s1"].GetDraining() })
+		c.eventually("the entry knows that the server is draining", func() bool { return client.View().Announcements["s1"].GetDraining() })
 		require.NoError(t, follower.control.EndServer(t.Context(), wire.Run{ID: "s1"}))
-		c.eventually("entries have it no longer", func() bool { return client.View().Announcements["s1"] == nil })
+		c.eventually("the entry has removed the server", func() bool { return client.View().Announcements["s1"] == nil })
 		server.Sequence = 3
-		require.NoError(t, follower.control.Announce(t.Context(), server), "late, and acknowledged")
+		require.NoError(t, follower.control.Announce(t.Context(), server), "an announcement after the end is acknowledged")
 		time.Sleep(5 * time.Second)
 		require.Nil(t, client.View().Announcements["s1"])
 	})
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -12,12 +12,13 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// longCut is much longer than any timeout, and short enough for a run of the tests.
-const longCut = 3 * time.Minute
+// longPartition is much longer than any timeout.
+const longPartition = 3 * time.Minute
 
+// Guards against followers that apply a change again, or answer reads from an older state.
 func TestAnyInstanceAnswersOperators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		follower := c.follower()
@@ -25,26 +26,25 @@
 		c.get(follower, "/v1/classes/gate-check").decode(t, &class)
 		a := c.put(follower, "gate-check", classBody(500), class.Version, "one")
 		require.Equal(t, http.StatusOK, a.status, string(a.body))
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			again := c.put(n, "gate-check", classBody(500), class.Version, "one")
-			require.Equal(t, string(a.body), string(again.body), "a resend elsewhere gets the first answer")
+			require.Equal(t, string(a.body), string(again.body), "the change sent to another instance gets the first answer")
 			require.Equal(t, string(a.body), string(c.get(n, "/v1/classes/gate-check").body), "reads are linearizable")
 		}
 	})
 }
 
-// Symptom: an operator is told that a change is in force, and later it isn't.
-// Sequence: the leader is cut off silently for a long time; operators on both sides send changes and read.
-// Cause: a leader that doesn't notice that it lost its quorum.
-func TestLeaderCutOff(t *testing.T) {
+// Guards against a leader that does not notice that it has lost its quorum. It is cut off for a long time while
+// operators on both sides send changes and read. A change that it accepted alone would be lost later.
+func TestIsolatedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		old := c.leader()
 		var class classAnswer
 		c.get(old, "/v1/classes/gate-check").decode(t, &class)
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n != old {
 				c.net.Cut(old.host, n.host)
 			}
@@ -53,40 +53,39 @@
 		go func() { read <- c.get(old, "/v1/classes").status }()
 		lost := c.put(old, "gate-check", classBody(111), class.Version, "lost")
 		require.Equal(t, http.StatusServiceUnavailable, lost.status, string(lost.body))
-		require.Equal(t, int(result.ProposalUnknown), lost.code(t), "nothing less: it may be committed yet")
+		require.Equal(t, int(result.ProposalUnknown), lost.code(t), "the change may still be committed")
 		require.Contains(t, string(lost.body), "Change-Id")
-		require.Equal(t, http.StatusServiceUnavailable, <-read, "no stale reads while it still leads")
-		require.Equal(t, http.StatusServiceUnavailable, c.get(old, "/v1/classes").status, "nor after")
+		require.Equal(t, http.StatusServiceUnavailable, <-read, "no stale read while the old leader still leads")
+		require.Equal(t, http.StatusServiceUnavailable, c.get(old, "/v1/classes").status, "no stale read afterwards")
 		c.eventually("the old leader isn't ready", func() bool {
 			return c.get(old, "/readyz").status == http.StatusServiceUnavailable
 		})
 
-		c.eventually("the others elect a leader", func() bool {
-			for _, n := range c.nodes {
+		c.eventually("the others elect a leader that commits a change", func() bool {
+			for _, n := range c.instances {
 				if n != old && c.status(n).Role == "leader" && c.put(n, "gate-check", classBody(222), class.Version, "won").status == http.StatusOK {
 					return true
 				}
 			}
 			return false
 		})
-		time.Sleep(longCut)
-		for _, n := range c.nodes {
+		time.Sleep(longPartition)
+		for _, n := range c.instances {
 			c.net.Heal(old.host, n.host)
 		}
-		c.eventually("the old leader is back", func() bool { return c.get(old, "/readyz").status == http.StatusOK })
+		c.eventually("the old leader is ready again", func() bool { return c.get(old, "/readyz").status == http.StatusOK })
 		c.get(old, "/v1/classes/gate-check").decode(t, &class)
 		require.Equal(t, 222, class.DeadlineMS)
 		resent := c.put(old, "gate-check", classBody(111), class.Version-1, "lost")
-		require.Equal(t, http.StatusConflict, resent.status, "the lost change was not applied, and isn't now")
+		require.Equal(t, http.StatusConflict, resent.status, "the lost change was not applied, and is not applied late")
 	})
 }
 
-// Symptom: after a repair and a second failure, an accepted change is gone.
-// Sequence: a disk is wiped and its instance starts again; right after the repair another instance is lost.
-// Cause: a replica with an empty disk that votes under its old identity, or a wiped instance that starts a new group.
+// Guards against an accepted change that is lost when an instance fails right after a repair. A replica that restarts
+// with an empty disk must not vote under its old identity, nor start a new group.
 func TestWipedDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		leader := c.leader()
@@ -100,11 +99,11 @@
 		c.stop(wiped)
 		wiped.fs = journaltest.New()
 		c.start(wiped)
-		c.eventually("the new replica has a vote, the old one is gone", func() bool {
+		c.eventually("the new replica votes and the old one is removed", func() bool {
 			now := c.replicaOf(wiped)
 			return now.ID != before.ID && now.Voter && len(c.status(c.leader()).Replicas) == 3
 		})
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n != wiped {
 				c.stop(n)
 				break
@@ -116,8 +115,8 @@
 	})
 }
 
-// replicaOf returns what the leader lists for an instance, the zero value unless it is exactly one replica.
-func (c *cluster) replicaOf(n *node) replicaAnswer {
+// replicaOf returns the replica that the leader lists for an instance, or the zero value unless there is exactly one.
+func (c *cluster) replicaOf(n *instance) replicaAnswer {
 	var found []replicaAnswer
 	for _, r := range c.status(c.leader()).Replicas {
 		if r.Instance == n.settings.Instance {
@@ -130,23 +129,22 @@
 	return found[0]
 }
 
-// Symptom: a group with an empty configuration beside the old one.
-// Sequence: an instance with bootstrap in its settings loses its disk while the others are down.
-// Cause: a bootstrap that doesn't ask the others first.
+// Guards against a second group with an empty configuration. An instance whose settings allow bootstrap loses its disk
+// and restarts while the others are down. It must ask them before it starts a group.
 func TestWipedDiskAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		c.leader()
 		c.stopAll()
-		wiped := c.nodes[0]
+		wiped := c.instances[0]
 		wiped.fs = journaltest.New()
 		c.start(wiped)
-		time.Sleep(longCut)
+		time.Sleep(longPartition)
 		require.Equal(t, http.StatusServiceUnavailable, c.get(wiped, "/readyz").status)
 		require.Empty(t, c.status(wiped).Replicas)
-		c.start(c.nodes[1])
-		c.start(c.nodes[2])
+		c.start(c.instances[1])
+		c.start(c.instances[2])
 		c.leader()
 		var class classAnswer
 		c.get(wiped, "/v1/classes/gate-check").decode(t, &class)
@@ -155,12 +153,11 @@
 	})
 }
 
-// Symptom: a deleted class is back after a restart.
-// Sequence: an operator deletes a class of initial_classes; all instances start again.
-// Cause: initial classes that are applied at each start.
-func TestInitialClassesOnce(t *testing.T) {
+// Guards against initial classes that are applied at each start: a class that an operator deleted would be back after a
+// restart.
+func TestInitialClassesAreAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		n := c.leader()
 		var class classAnswer
@@ -176,10 +173,10 @@
 	})
 }
 
-// A stop hands leadership over, so the others go on without an election timeout.
-func TestLeaderStops(t *testing.T) {
+// A leader that stops transfers its leadership, so the group does not wait for an election timeout.
+func TestStoppingLeaderTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		old := c.leader()
@@ -193,35 +190,33 @@
 	})
 }
 
-// Symptom: an operator reads what was replaced.
-// Sequence: the leader and one follower are cut off from the other three; the follower asks the leader.
-// Cause: a leader that answers a follower's read without asking a quorum.
-func TestMinorityConfirmsNothing(t *testing.T) {
+// Guards against a leader that answers a follower's read without asking a quorum. The leader and one follower are cut
+// off from the other three, which may have committed a newer state.
+func TestMinorityConfirmsNoRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 5, gateCheck())
+		c := newCluster(t, 5, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		leader, follower := c.leader(), c.follower()
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n != leader && n != follower {
 				c.net.Cut(leader.host, n.host)
 				c.net.Cut(follower.host, n.host)
 			}
 		}
 		require.Equal(t, http.StatusServiceUnavailable, c.get(follower, "/v1/classes").status)
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			c.net.Heal(leader.host, n.host)
 			c.net.Heal(follower.host, n.host)
 		}
 	})
 }
 
-// Symptom: an operator's change isn't there when the operator looks at another instance.
-// Sequence: the entry of the change is still on its way to a follower, which is asked and has its read confirmed.
-// Cause: a read that is confirmed, but answered from a state which is behind it.
+// Guards against a read that is confirmed but answered from a state that is behind the confirmed index: an operator
+// would not see a change at another instance. The entry of the change is still on its way to the follower.
 func TestFollowerCatchesUpBeforeItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		leader, follower := c.leader(), c.follower()
--- a/control/replication.go
+++ b/control/replication.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// tick is the unit of the replica's timing.
+// tick is the unit of time of the replica's timeouts.
 const tick = 20 * time.Millisecond
 
 func (c *Control) replicaConfig() replica.Config {
@@ -34,7 +34,7 @@
 	}
 }
 
-// ticks rounds up, so that a timeout is never shorter than wanted.
+// ticks converts a duration to ticks. It rounds up, so that a timeout is never shorter than configured.
 func ticks(d time.Duration) int {
 	return int((d + tick - 1) / tick)
 }
@@ -44,7 +44,7 @@
 	c.leader.wake()
 }
 
-// runReplica starts a new group if that is due, then runs the replica.
+// runReplica bootstraps a new group if that is due, then runs the replica.
 func (c *Control) runReplica(ctx context.Context) error {
 	if err := c.bootstrap(ctx); err != nil {
 		return err
@@ -52,20 +52,21 @@
 	return c.replica.Run(ctx)
 }
 
-// bootstrap makes the configured replicas a new group, if the settings allow it and this disk is empty. It first hears
-// from all others that their disks are empty too.
+// bootstrap makes the configured replicas a new group, if the settings allow it and this disk is empty. It waits until
+// all other replicas have reported that their disks are empty too. It does nothing if one of them has a group of which
+// this replica is not a first voter.
 //
-// Ephemeral instances are no first voters, also where the settings name them: they join as learners.
+// Ephemeral instances are never first voters, even if the settings name them: they join as learners.
 //
-// An instance whose disk was wiped still has bootstrap in its settings. Were it to start a group on its own, its
-// operators would see an empty configuration in force; so one peer with a group, or one that says nothing, is enough
-// to join or to wait.
+// An instance whose disk was wiped still has bootstrap in its settings. If it started a group on its own, its operators
+// would see an empty configuration in force. So one peer that has a group is enough for it to join, and one peer
+// without contact is enough for it to wait.
 func (c *Control) bootstrap(ctx context.Context) error {
 	if !c.settings.Bootstrap || c.settings.Ephemeral || c.hasGroup() {
 		return nil
 	}
 	for {
-		changed := c.peers.wait()
+		changed := c.peers.nextChange()
 		voters, decided := c.firstVoters()
 		if decided && voters == nil {
 			return nil
@@ -85,23 +86,25 @@
 	}
 }
 
-// firstVoters returns the voters of a new group once all peers are known to be empty; nil, and true, once one of them
-// is known to have a group that this replica isn't a first voter of.
+// firstVoters returns the voters of a new group. decided is false until all peers are known to be empty, or one of them
+// is known to have a group. In the latter case it returns the voters of that group, or nil if this replica is not one
+// of them.
 //
-// The peers don't hear of each other's empty disks at the same moment. One that began the group shows it at once; were
-// the others to take that for a group of which they know nothing, they would wait to be added, by a leader whom it
-// can't elect without them. A first voter whose disk is empty has promised nothing, so it begins the same group.
+// Peers learn of each other's empty disks at different times, and one that has started the group reports it at once. If
+// the others waited to be added to it, the group would be stuck: adding them takes a leader, and none can be elected
+// without them. A first voter whose disk is empty has not voted or acknowledged anything, so it can safely start the
+// same group.
 func (c *Control) firstVoters() (voters []replica.Member, decided bool) {
 	missing := false
 	for _, r := range c.settings.Replicas {
 		if r.Instance == c.settings.Instance {
-			voters = append(voters, replica.Member{ID: c.replica.ID(), Address: c.firstAddress(r.Address), Voter: true})
+			voters = append(voters, replica.Member{ID: c.replica.ID(), Address: c.bootstrapAddress(r.Address), Voter: true})
 			continue
 		}
 		hello := c.peers.hello(r.Instance)
 		switch {
 		case hello.GetHasGroup():
-			return c.begunWith(hello), true
+			return c.votersOfPeerGroup(hello), true
 		case hello.GetEphemeral():
 			continue
 		}
@@ -111,9 +114,10 @@
 	return voters, !missing
 }
 
-// firstAddress is this replica's address in the group's first entry, which must be the same at all voters: the one
-// that all settings list. Port 0 is a group of one on a free port.
-func (c *Control) firstAddress(listed string) string {
+// bootstrapAddress returns this replica's address in the first entry of the group. The entry must be the same at all
+// voters, so it is the address listed in the settings. Port 0 means a group of one on a free port, whose address is the
+// advertised one.
+func (c *Control) bootstrapAddress(listed string) string {
 	_, port, err := net.SplitHostPort(listed)
 	if err != nil || port == "0" {
 		return c.advertise()
@@ -121,8 +125,9 @@
 	return listed
 }
 
-// begunWith returns the first voters of a peer's group if this replica, with its present disk, is one of them.
-func (c *Control) begunWith(hello *wire.ReplicaHello) []replica.Member {
+// votersOfPeerGroup returns the first voters of a peer's group if this replica, with its present disk, is one of them,
+// otherwise nil.
+func (c *Control) votersOfPeerGroup(hello *wire.ReplicaHello) []replica.Member {
 	var voters []replica.Member
 	included := false
 	for _, v := range hello.GetFirstVoters() {
@@ -136,8 +141,8 @@
 	return voters
 }
 
-// members are the instances of the group's members.
-func (c *Control) members() []*wire.Peer {
+// memberPeers returns the instances and link addresses of the group's memberPeers.
+func (c *Control) memberPeers() []*wire.Peer {
 	var members []*wire.Peer
 	for _, m := range c.replica.Status().Members {
 		members = append(members, &wire.Peer{Instance: m.ID.Instance(), LinkAddress: m.Address})
@@ -145,8 +150,9 @@
 	return members
 }
 
-// AddReplicas opens links to further control instances, such as seeds that settings name since this one started. Those
-// that are known already change nothing; whether one becomes a member is the leader's to decide.
+// AddReplicas opens links to further control instances, such as seeds that were added to the settings after this
+// instance started. Instances that are known already are skipped. The leader decides whether an instance becomes a
+// member.
 func (c *Control) AddReplicas(replicas []settings.Replica) {
 	var peers []*wire.Peer
 	for _, r := range replicas {
@@ -163,7 +169,7 @@
 	return c.replica.Status().Role == quorum.RoleLeader
 }
 
-// leaderInstance returns the instance that leads as far as known, or "".
+// leaderInstance returns the instance of the leader as known here, or "" if none is known.
 func (c *Control) leaderInstance() string {
 	return c.replica.Status().Leader.Instance()
 }
@@ -174,7 +180,7 @@
 		Replica:     string(c.replica.ID()),
 		LinkAddress: c.advertise(),
 		HasGroup:    c.hasGroup(),
-		Peers:       c.peers.heardLately(),
+		Peers:       c.peers.recentPeers(),
 		Ephemeral:   c.settings.Ephemeral,
 
 		AvailabilityZone: c.settings.AvailabilityZone,
--- a/control/reports.go
+++ b/control/reports.go
@@ -7,18 +7,19 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Times of the entries' reports.
+// Timing of the entries' reports.
 const (
-	// reportWindow is how far back the counts of the classes reach.
+	// reportWindow is the period that the counts of the classes cover.
 	reportWindow = time.Minute
-	// reportStep is the time between two reports that are kept.
-	reportStep = 5 * time.Second
-	// reportStale is how old the queues of a report may be. Those of an entry that died would otherwise be shown on.
-	reportStale = 20 * time.Second
+	// reportSampleInterval is the least time between two reports that are kept.
+	reportSampleInterval = 5 * time.Second
+	// queueReportMaxAge is the age up to which the queues of a report are shown. Without it the queues of a failed
+	// entry would still be shown.
+	queueReportMaxAge = 20 * time.Second
 )
 
-// reports keeps what entries said of their classes and queues over the window. It isn't replicated: each control
-// instance has what it heard itself.
+// reports keeps the entries' reports on classes and queues for the window. It is not replicated: each control instance
+// holds the reports that it has received itself.
 type reports struct {
 	mu      sync.Mutex
 	entries map[incarnation]*entryReports
@@ -30,10 +31,10 @@
 	number   uint64
 }
 
-// entryReports are the reports of one incarnation.
+// entryReports holds the reports of one incarnation.
 type entryReports struct {
-	kept []report // one each reportStep; the first is the start of the window
-	last report
+	samples []report // one per reportSampleInterval; the first is the start of the window
+	last    report
 }
 
 type report struct {
@@ -46,17 +47,17 @@
 	return &reports{entries: make(map[incarnation]*entryReports)}
 }
 
-// report notes what came with a poll, if anything.
+// report records the report that came with a poll. It ignores a nil report, and reports of agents.
 func (s *session) report(r *wire.EntryReport) {
 	if r == nil || s.client.role != wire.Role_ROLE_ENTRY {
 		return
 	}
-	s.control.reports.take(incarnation{s.client.instance, s.hello.GetIncarnation()}, r, time.Now())
+	s.control.reports.record(incarnation{s.client.instance, s.hello.GetIncarnation()}, r, time.Now())
 }
 
-// take notes a report. The first one that is heard of an incarnation is where its window starts: what it counts may
-// have happened long before.
-func (r *reports) take(from incarnation, message *wire.EntryReport, now time.Time) {
+// record stores a report. The window of an incarnation starts with the first report received from it, since what that
+// report counts may have happened long before.
+func (r *reports) record(from incarnation, message *wire.EntryReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := r.entries[from]
@@ -65,10 +66,10 @@
 		r.entries[from] = entry
 	}
 	entry.last = newReport(message, now)
-	if n := len(entry.kept); n == 0 || now.Sub(entry.kept[n-1].at) >= reportStep {
-		entry.kept = append(entry.kept, entry.last)
+	if n := len(entry.samples); n == 0 || now.Sub(entry.samples[n-1].at) >= reportSampleInterval {
+		entry.samples = append(entry.samples, entry.last)
 	}
-	r.forget(now)
+	r.evict(now)
 }
 
 func newReport(message *wire.EntryReport, now time.Time) report {
@@ -79,22 +80,23 @@
 	return report{at: now, classes: classes, targets: message.GetTargets()}
 }
 
-// forget drops what the window has left behind, so that reports are bounded by the entries heard within it.
-func (r *reports) forget(now time.Time) {
+// evict removes reports that are older than the window, so that memory is bounded by the entries that reported within
+// it.
+func (r *reports) evict(now time.Time) {
 	for from, entry := range r.entries {
 		if now.Sub(entry.last.at) > reportWindow {
 			delete(r.entries, from)
 			continue
 		}
-		for len(entry.kept) > 1 && now.Sub(entry.kept[1].at) >= reportWindow {
-			entry.kept = entry.kept[1:]
+		for len(entry.samples) > 1 && now.Sub(entry.samples[1].at) >= reportWindow {
+			entry.samples = entry.samples[1:]
 		}
 	}
 }
 
-// reported is the sum over all entries.
-type reported struct {
-	entries int // heard lately
+// reportSummary is the sum over all entries.
+type reportSummary struct {
+	entries int // number of entries with a report not older than queueReportMaxAge
 	window  map[string]classCount
 	total   map[string]classCount
 	targets map[targetKey]targetCount
@@ -102,7 +104,7 @@
 
 type classCount struct {
 	good, late, lost uint64
-	refusals         map[uint32]uint64 // by first code of the group
+	refusals         map[uint32]uint64 // by the first code of the group
 }
 
 type targetKey struct{ kind, name string }
@@ -114,28 +116,30 @@
 
 const tiers = 3
 
-// sum adds up the entries. Counts are over the window, and as totals since the incarnations began.
-func (r *reports) sum(now time.Time) reported {
+// summarize adds up the reports of all entries. Counts are those within the window, and totals since the incarnations
+// started.
+func (r *reports) summarize(now time.Time) reportSummary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
-	out := reported{
+	r.evict(now)
+	out := reportSummary{
 		window:  make(map[string]classCount),
 		total:   make(map[string]classCount),
 		targets: make(map[targetKey]targetCount),
 	}
-	newest := r.newest()
+	newest := r.newestIncarnations()
 	for from, entry := range r.entries {
 		out.addWindow(entry)
 		if from.number == newest[from.instance] {
-			out.addPresent(entry, now)
+			out.addCurrent(entry, now)
 		}
 	}
 	return out
 }
 
-// newest returns the newest incarnation of each entry. What waited at an older one is gone with it.
-func (r *reports) newest() map[string]uint64 {
+// newestIncarnations returns the newestIncarnations incarnation of each entry. Requests that were queued at an older one no longer
+// exist.
+func (r *reports) newestIncarnations() map[string]uint64 {
 	newest := make(map[string]uint64)
 	for from := range r.entries {
 		newest[from.instance] = max(newest[from.instance], from.number)
@@ -143,25 +147,26 @@
 	return newest
 }
 
-// addWindow adds what was counted within the window, also by an incarnation that has ended meanwhile.
-func (r *reported) addWindow(entry *entryReports) {
+// addWindow adds the counts within the window. Incarnations that have ended are included.
+func (r *reportSummary) addWindow(entry *entryReports) {
 	for name, c := range entry.last.classes {
-		r.window[name] = r.window[name].plus(c, entry.kept[0].classes[name])
+		r.window[name] = r.window[name].plus(c, entry.samples[0].classes[name])
 	}
 }
 
-// addPresent adds the totals of an entry and what waits there.
-func (r *reported) addPresent(entry *entryReports, now time.Time) {
+// addCurrent adds an entry's totals, and its queues if its last report is recent.
+func (r *reportSummary) addCurrent(entry *entryReports, now time.Time) {
 	for name, c := range entry.last.classes {
 		r.total[name] = r.total[name].plus(c, nil)
 	}
-	if now.Sub(entry.last.at) <= reportStale {
+	if now.Sub(entry.last.at) <= queueReportMaxAge {
 		r.entries++
 		r.addTargets(entry.last.targets)
 	}
 }
 
-// plus adds what was counted between two reports of one incarnation.
+// plus returns c plus the counts between two reports of one incarnation. A nil first counts from the start of the
+// incarnation.
 func (c classCount) plus(last, first *wire.ClassReport) classCount {
 	c.good += last.GetGood() - first.GetGood()
 	c.late += last.GetLate() - first.GetLate()
@@ -183,7 +188,7 @@
 	return c
 }
 
-func (r *reported) addTargets(targets []*wire.TargetReport) {
+func (r *reportSummary) addTargets(targets []*wire.TargetReport) {
 	for _, t := range targets {
 		key := targetKey{t.GetKind(), t.GetName()}
 		count := r.targets[key]
--- a/control/session.go
+++ b/control/session.go
@@ -16,20 +16,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// session is the link of one entry or agent.
+// session is the server side of the link of one entry or agent.
 type session struct {
-	control *Control
-	client  client
-	hello   *wire.ClientHello
-	out     *ring.Ring[*wire.ControlMessage]
-	slots   slots // of its proposals
-	cancel  context.CancelFunc
-
-	// mu keeps updates and the answers that name their versions in order.
+	control   *Control
+	client    client
+	hello     *wire.ClientHello
+	out       *ring.Ring[*wire.ControlMessage]
+	proposals semaphore // in progress for this session
+	cancel    context.CancelFunc
+
+	// mu keeps updates in order with the answers that name their versions.
 	mu            sync.Mutex
-	config, fence uint64 // as sent
-	directory     following
-	controls      []string // addresses of control instances, as sent
+	config, fence uint64 // last sent
+	directory     directorySubscription
+	controls      []string // link addresses of control instances, as last sent
 	isSlow        bool
 }
 
@@ -39,10 +39,10 @@
 		client:    client{hello.GetRole(), hello.GetInstance()},
 		hello:     hello,
 		out:       ring.New[*wire.ControlMessage]("session", sessionRing),
-		slots:     newSlots(sessionProposals),
+		proposals: newSemaphore(sessionProposals),
 		cancel:    cancel,
 		config:    hello.GetConfigVersion(),
-		directory: following{scope: newScope(hello)},
+		directory: directorySubscription{scope: newDirectoryScope(hello)},
 	}
 }
 
@@ -53,7 +53,7 @@
 
 		AvailabilityZone: s.control.settings.AvailabilityZone,
 	}}})
-	s.control.leader.wake() // its agent may wait for an order
+	s.control.leader.wake() // an open order may be waiting for this agent
 	pump := &link.Pump[*wire.ControlMessage, *wire.ClientBatch]{
 		Send:    func(batch []*wire.ControlMessage) error { return stream.Send(&wire.ControlBatch{Messages: batch}) },
 		Recv:    stream.Recv,
@@ -66,8 +66,8 @@
 	return pump.Run(ctx)
 }
 
-// send queues a message. A full ring ends the session: with one message missing the client would take what follows
-// for the whole.
+// send queues a message. A full ring ends the session, because a client that missed one message would treat the
+// messages after it as complete.
 func (s *session) send(m *wire.ControlMessage) {
 	if s.out.TryPush(m) {
 		return
@@ -79,38 +79,38 @@
 
 func (s *session) receive(ctx context.Context, batch *wire.ClientBatch) (bool, error) {
 	for _, m := range batch.GetMessages() {
-		s.message(ctx, m)
+		s.handle(ctx, m)
 	}
 	return true, nil
 }
 
-func (s *session) message(ctx context.Context, m *wire.ClientMessage) {
+func (s *session) handle(ctx context.Context, m *wire.ClientMessage) {
 	switch kind := m.GetKind().(type) {
 	case *wire.ClientMessage_Poll:
 		s.poll(kind.Poll)
 	case *wire.ClientMessage_Propose:
 		s.propose(ctx, kind.Propose)
 	case *wire.ClientMessage_OrderResult:
-		s.control.leader.orderEnded(kind.OrderResult)
+		s.control.leader.enqueueResult(kind.OrderResult)
 	}
 }
 
-// pollTimeout is after which a poll is answered without a confirmation.
+// pollTimeout is the time after which a poll is answered without a confirmation.
 //
-// Clients poll each second and take an instance for silent whose last answer is to a poll of 2 s ago, by default. If a
-// follower kept its clients waiting for a dead leader, it would look as silent as the leader, and with a majority that
-// looks silent entries refuse calls during each election.
+// Clients poll every second and by default consider an instance silent if its last answer is to a poll that is 2 s old.
+// A follower that kept its clients waiting for a failed leader would look as silent as the leader. An entry refuses
+// calls while a majority looks silent, so calls would be refused during every election.
 const pollTimeout = 500 * time.Millisecond
 
-// poll asks for a confirmed read; its answer follows all updates that the read covers.
+// poll requests a confirmed read. The answer follows all updates that the read covers.
 func (s *session) poll(poll *wire.Poll) {
-	s.control.sessions.heard(s, poll)
+	s.control.sessions.recordPoll(s, poll)
 	s.report(poll.GetReport())
 	caps := s.control.usage.Take(s.usageKey(), poll, time.Now())
 	var answered atomic.Bool
 	answer := func(confirmed bool) {
 		if answered.CompareAndSwap(false, true) {
-			s.fresh(poll, confirmed, caps)
+			s.answerPoll(poll, confirmed, caps)
 		}
 	}
 	timer := time.AfterFunc(pollTimeout, func() { answer(false) })
@@ -120,17 +120,18 @@
 	})
 }
 
-// confirm asks for a confirmed read until there is one or the poll was answered, and answers at once only where too many wait.
+// confirm requests a confirmed read, and repeats the request until a read is confirmed or the poll is answered. It
+// answers unconfirmed at once only if too many reads are pending.
 //
-// A process that starts asks again as soon as it hears that nothing is confirmed. Answered after one failed round, the 285 processes
-// of a fleet that had lost its power asked three instances thousands of times a second, and the replicas there had no time left to
-// elect a leader: for as long as that lasted nothing could be confirmed. One would notice by pre_candidate in the logs of all
-// replicas that are left, for seconds, while their links to each other are up. A poll that is kept also hears of the leader
-// sooner than the next one would.
-func (s *session) confirm(isOver func() bool, answer func(confirmed bool)) {
-	asked := s.control.reads.ask(func(confirmed bool) {
-		if !confirmed && !isOver() {
-			s.confirm(isOver, answer)
+// A process that is starting polls again as soon as it gets an unconfirmed answer. If each poll were answered after one
+// failed round, 285 processes that start after a power loss would send thousands of polls a second to three instances.
+// The replicas would then have no time left to elect a leader, and nothing could be confirmed. The symptom is role
+// pre_candidate in the logs of all remaining replicas for seconds while the links between them are up. A poll that is
+// held back also learns of a new leader earlier than the next poll would.
+func (s *session) confirm(isAnswered func() bool, answer func(confirmed bool)) {
+	asked := s.control.reads.request(func(confirmed bool) {
+		if !confirmed && !isAnswered() {
+			s.confirm(isAnswered, answer)
 			return
 		}
 		answer(confirmed)
@@ -140,12 +141,12 @@
 	}
 }
 
-func (s *session) fresh(poll *wire.Poll, confirmed bool, caps []*wire.CapState) {
+func (s *session) answerPoll(poll *wire.Poll, confirmed bool, caps []*wire.CapState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory.set(poll)
+	s.directory.applyPoll(poll)
 	s.pushLocked(newUpdateCache(s.control.machine), true)
-	controls := s.newControls(confirmed)
+	controls := s.changedControlAddresses(confirmed)
 	s.send(&wire.ControlMessage{Kind: &wire.ControlMessage_Fresh{Fresh: &wire.Fresh{
 		Sequence:         poll.GetSequence(),
 		Confirmed:        confirmed,
@@ -158,8 +159,9 @@
 	}}})
 }
 
-// newControls are the addresses of control instances if they have changed since a confirmed answer told them.
-func (s *session) newControls(confirmed bool) []string {
+// changedControlAddresses returns the link addresses of the control instances if they differ from those in the last
+// confirmed answer, otherwise nil.
+func (s *session) changedControlAddresses(confirmed bool) []string {
 	addresses := s.control.memberAddresses()
 	if slices.Equal(addresses, s.controls) {
 		return nil
@@ -170,24 +172,25 @@
 	return addresses
 }
 
-// push sends what changed since the last update.
+// push sends what has changed since the last update.
 func (s *session) push(cache *updateCache) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pushLocked(cache, false)
 }
 
-// directoryVersion is that of the directory that an answer to a poll names.
+// directoryVersion returns the directory version that the answer to a poll names.
 func (s *session) directoryVersion() (version uint64) {
-	if s.directory.on {
-		return s.directory.told
+	if s.directory.active {
+		return s.directory.sent
 	}
 	s.control.machine.read(func(st *state.State) { version = st.DirectoryVersion() })
 	return version
 }
 
-// pushLocked sends what is new. Each change of the configuration goes over every link, since it must be in force within seconds
-// whichever links fail; the directory, which is larger and changes more often, over the one that the client follows.
+// pushLocked sends pending updates; s.mu must be held. Configuration changes go over every link, since they must be in
+// force within seconds whichever links fail. The directory is larger and changes more often, so it goes only over the
+// link on which the client follows it.
 func (s *session) pushLocked(cache *updateCache, isPoll bool) {
 	if s.isSlow {
 		return
@@ -201,15 +204,15 @@
 	}
 }
 
-// propose starts a proposal; its reply comes in any order.
+// propose starts a proposal. Replies may be sent in a different order than the proposals came in.
 func (s *session) propose(ctx context.Context, p *wire.Propose) {
 	if !mayPropose(s.hello, p.GetCommand()) {
 		s.control.counters.proposalFailed(result.BadMessage).Inc()
-		s.reply(notAllowed(p.GetId()))
+		s.sendReply(notAllowed(p.GetId()))
 		return
 	}
-	if !s.slots.take() {
-		s.reply(&wire.ProposeReply{
+	if !s.proposals.tryAcquire() {
+		s.sendReply(&wire.ProposeReply{
 			Id:      p.GetId(),
 			Code:    uint32(result.ProposalQueueFull),
 			Message: result.ProposalQueueFull.Info().Message,
@@ -217,21 +220,21 @@
 		return
 	}
 	go func() {
-		defer s.slots.put()
+		defer s.proposals.release()
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposeTimeout)
 		defer cancel()
-		s.reply(s.control.proposeHere(ctx, p.GetId(), p.GetCommand()))
+		s.sendReply(s.control.proposeLocally(ctx, p.GetId(), p.GetCommand()))
 	}()
 }
 
-func (s *session) reply(r *wire.ProposeReply) {
+func (s *session) sendReply(r *wire.ProposeReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.send(&wire.ControlMessage{Kind: &wire.ControlMessage_Reply{Reply: r}})
 }
 
-// order sends an order to the agent.
-func (s *session) order(o *wire.Order) {
+// sendOrder sends an sendOrder to the agent.
+func (s *session) sendOrder(o *wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.send(&wire.ControlMessage{Kind: &wire.ControlMessage_Order{Order: o}})
