--- a/control/sessions.go
+++ b/control/sessions.go
@@ -12,15 +12,15 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of the sessions.
+// Limits of the sessions.
 const (
 	maxSessions      = 8192
 	sessionRing      = 1024
 	sessionSilence   = 5 * time.Second
-	sessionProposals = 512 // under way for one session
+	sessionProposals = 512 // in progress for one session
 )
 
-// client names an entry or agent.
+// client identifies an entry or agent.
 type client struct {
 	role     wire.Role
 	instance string
@@ -30,23 +30,23 @@
 type sessions struct {
 	control *Control
 
-	mu   sync.Mutex
-	open map[*session]bool
-	seen map[client]*seenClient
+	mu      sync.Mutex
+	open    map[*session]bool
+	clients map[client]*clientState
 }
 
-// seenClient is what is known of a client, also after its session has ended.
-type seenClient struct {
+// clientState is what is known of a client. It outlives the client's session.
+type clientState struct {
 	incarnation uint64
 	zone        string
-	heard       time.Time
-	config      uint64 // version as last polled
+	lastContact time.Time
+	config      uint64 // version in the last poll
 	directory   uint64
 	session     *session // newest one; nil if it has ended
 }
 
 func newSessions(c *Control) *sessions {
-	return &sessions{control: c, open: make(map[*session]bool), seen: make(map[client]*seenClient)}
+	return &sessions{control: c, open: make(map[*session]bool), clients: make(map[client]*clientState)}
 }
 
 // Session serves one link until it ends. It implements wire.DRPCControlLinkServer.
@@ -62,95 +62,96 @@
 	if hello.GetInstance() == "" || hello.GetRole() == wire.Role_ROLE_UNSPECIFIED {
 		return link.ErrProtocol
 	}
-	ctx, cancel := untilStopping(stream.Context())
+	ctx, cancel := streamContext(stream.Context())
 	defer cancel()
-	one := newSession(s.control, hello, cancel)
-	if !s.add(one) {
+	sess := newSession(s.control, hello, cancel)
+	if !s.add(sess) {
 		return link.ErrProtocol
 	}
-	defer s.remove(one)
-	return one.run(ctx, stream)
+	defer s.remove(sess)
+	return sess.run(ctx, stream)
 }
 
-// add registers a session. An earlier one of the same client stays open until it falls silent: its client may have
-// messages on the way.
-func (s *sessions) add(one *session) bool {
+// add registers a session and reports whether there was room for it. An earlier session of the same client stays open
+// until its silence timeout, because messages of the client may still be in transit on it.
+func (s *sessions) add(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.open) >= maxSessions {
 		return false
 	}
-	s.open[one] = true
-	seen := s.seen[one.client]
-	if seen == nil {
-		seen = new(seenClient)
-		s.seen[one.client] = seen
+	s.open[sess] = true
+	known := s.clients[sess.client]
+	if known == nil {
+		known = new(clientState)
+		s.clients[sess.client] = known
 	}
-	if one.hello.GetIncarnation() < seen.incarnation {
+	if sess.hello.GetIncarnation() < known.incarnation {
 		return true
 	}
-	*seen = seenClient{
-		incarnation: one.hello.GetIncarnation(),
-		zone:        one.hello.GetAvailabilityZone(),
-		heard:       time.Now(),
-		config:      one.hello.GetConfigVersion(),
-		directory:   one.hello.GetDirectoryVersion(),
-		session:     one,
+	*known = clientState{
+		incarnation: sess.hello.GetIncarnation(),
+		zone:        sess.hello.GetAvailabilityZone(),
+		lastContact: time.Now(),
+		config:      sess.hello.GetConfigVersion(),
+		directory:   sess.hello.GetDirectoryVersion(),
+		session:     sess,
 	}
 	return true
 }
 
-func (s *sessions) remove(one *session) {
+func (s *sessions) remove(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, one)
-	if seen := s.seen[one.client]; seen != nil && seen.session == one {
-		seen.session = nil
+	delete(s.open, sess)
+	if known := s.clients[sess.client]; known != nil && known.session == sess {
+		known.session = nil
 	}
 }
 
-// heard notes a poll of a client.
-func (s *sessions) heard(one *session, poll *wire.Poll) {
+// recordPoll updates the state of a client from its poll. Polls of an incarnation other than the newest one are
+// ignored.
+func (s *sessions) recordPoll(sess *session, poll *wire.Poll) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.seen[one.client]
-	if seen == nil || seen.incarnation != one.hello.GetIncarnation() {
+	known := s.clients[sess.client]
+	if known == nil || known.incarnation != sess.hello.GetIncarnation() {
 		return
 	}
-	seen.heard = time.Now()
-	seen.config = poll.GetConfigVersion()
-	seen.directory = poll.GetDirectoryVersion()
+	known.lastContact = time.Now()
+	known.config = poll.GetConfigVersion()
+	known.directory = poll.GetDirectoryVersion()
 }
 
-// lastHeard returns when an incarnation was last heard, the zero time if never.
-func (s *sessions) lastHeard(role wire.Role, instance string, incarnation uint64) time.Time {
+// lastContact returns the time of the last message from an incarnation, or the zero time if there was none.
+func (s *sessions) lastContact(role wire.Role, instance string, incarnation uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.seen[client{role, instance}]
-	if seen == nil || seen.incarnation != incarnation {
+	known := s.clients[client{role, instance}]
+	if known == nil || known.incarnation != incarnation {
 		return time.Time{}
 	}
-	return seen.heard
+	return known.lastContact
 }
 
-// forget drops clients without a session that weren't heard for the given time, so that the memory of them is bounded
-// by those that come and go within it.
-func (s *sessions) forget(after time.Duration) {
+// evictIdle removes clients that have no session and have sent nothing for the given time. This bounds memory by the
+// number of clients that connect within that time.
+func (s *sessions) evictIdle(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, seen := range s.seen {
-		if seen.session == nil && time.Since(seen.heard) > after {
-			delete(s.seen, key)
+	for key, known := range s.clients {
+		if known.session == nil && time.Since(known.lastContact) > after {
+			delete(s.clients, key)
 		}
 	}
 }
 
-// of returns the session of an agent, or nil.
-func (s *sessions) of(agent string) *session {
+// agentSession returns the newest session agentSession an agent, or nil.
+func (s *sessions) agentSession(agent string) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if seen := s.seen[client{wire.Role_ROLE_AGENT, agent}]; seen != nil {
-		return seen.session
+	if known := s.clients[client{wire.Role_ROLE_AGENT, agent}]; known != nil {
+		return known.session
 	}
 	return nil
 }
@@ -159,18 +160,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*session, 0, len(s.open))
-	for one := range s.open {
-		list = append(list, one)
+	for sess := range s.open {
+		list = append(list, sess)
 	}
 	slices.SortFunc(list, func(a, b *session) int { return cmp.Compare(a.client.instance, b.client.instance) })
 	return list
 }
 
-// runPushes is the duty that sends each change to all sessions. Changes that come while a round runs go together.
+// runPushes is the loop that sends each change to all sessions. Changes that arrive during a round are sent together in
+// the next one.
 func (s *sessions) runPushes(ctx context.Context) error {
 	var config, directory, fence uint64
 	for {
-		changed := s.control.machine.wait()
+		changed := s.control.machine.nextChange()
 		c, d, f := s.control.pushVersions()
 		if c != config || d != directory || f != fence {
 			config, directory, fence = c, d, f
@@ -186,8 +188,8 @@
 
 func (s *sessions) pushAll() {
 	cache := newUpdateCache(s.control.machine)
-	for _, one := range s.list() {
-		one.push(cache)
+	for _, sess := range s.list() {
+		sess.push(cache)
 	}
 }
 
--- a/control/sessions_test.go
+++ b/control/sessions_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	asEntry   = wire.Role_ROLE_ENTRY
-	asAgent   = wire.Role_ROLE_AGENT
+	roleEntry = wire.Role_ROLE_ENTRY
+	roleAgent = wire.Role_ROLE_AGENT
 	entryHost = "10.0.1.1"
 	agentHost = "10.0.2.1"
 )
@@ -30,8 +30,8 @@
 
 // clients starts one entry and one agent and waits until they are ready.
 func (c *cluster) clients() (entry, agent *session.Session, stop func()) {
-	entry, stopEntry := c.client("entry-1", entryHost, asEntry, 1)
-	agent, stopAgent := c.client("agent-1", agentHost, asAgent, 1)
+	entry, stopEntry := c.client("entry-1", entryHost, roleEntry, 1)
+	agent, stopAgent := c.client("agent-1", agentHost, roleAgent, 1)
 	agent.SetServers([]*wire.ServerRecord{readyServer("server-1", "m"), readyServer("server-2", "m")})
 	c.eventually("clients are ready", func() bool {
 		return entry.Ready() == nil && agent.Ready() == nil && len(entry.Servers()) == 1 && len(entry.Servers()[0].GetServers()) == 2
@@ -42,9 +42,10 @@
 	}
 }
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+// Guards against a change that does not reach all entries, agents and control instances within seconds.
+func TestChangeReachesAllProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, agent, stop := c.clients()
@@ -54,7 +55,7 @@
 		c.get(n, "/v1/classes/gate-check").decode(t, &class)
 		c.put(n, "gate-check", classBody(500), class.Version, "one").decode(t, &class)
 		accepted := time.Now()
-		c.eventually("everybody has it", func() bool {
+		c.eventually("all processes have the change", func() bool {
 			status := c.status(n)
 			for _, i := range append(append(status.Entries, status.Agents...), status.Controls...) {
 				if i.ConfigVersion < class.Version || !i.Registered || !i.Connected {
@@ -63,7 +64,7 @@
 			}
 			return len(status.Entries) == 1 && len(status.Agents) == 1 && len(status.Controls) == 3
 		})
-		require.Less(t, time.Since(accepted), 4*time.Second, "by the bubble's clock")
+		require.Less(t, time.Since(accepted), 4*time.Second, "simulated time")
 		for _, s := range []*session.Session{entry, agent} {
 			version, classes := s.Config()
 			require.Equal(t, class.Version, version)
@@ -72,24 +73,23 @@
 	})
 }
 
-// Symptom: requests go to a dead agent's servers, or a dead entry's keys stay open for ever.
-// Sequence: a process dies without a word; later another incarnation comes.
-// Cause: a directory that nobody cleans, or one that is cleaned by name.
+// Guards against a directory that keeps clients that failed, or removes them by name only: requests would go to the
+// servers of a failed agent, and the keys of a failed entry would stay open. A later incarnation must not be removed.
 func TestSilentClientsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
 		stop()
 		_ = entry
-		watcher, stopWatcher := c.client("entry-2", "10.0.1.2", asEntry, 1)
+		watcher, stopWatcher := c.client("entry-2", "10.0.1.2", roleEntry, 1)
 		defer stopWatcher()
-		c.eventually("both are removed", func() bool {
+		c.eventually("both clients are removed", func() bool {
 			v := watcher.View()
 			return watcher.Ready() == nil && len(v.Agents) == 0 && len(v.Entries) == 1
 		})
-		again, stopAgain := c.client("agent-1", agentHost, asAgent, 2)
+		again, stopAgain := c.client("agent-1", agentHost, roleAgent, 2)
 		defer stopAgain()
 		c.eventually("the next incarnation is listed", func() bool {
 			return again.Ready() == nil && watcher.View().Agents["agent-1"].GetIncarnation() == 2
@@ -97,13 +97,11 @@
 	})
 }
 
-// Symptom: all agents vanish from the directory after a leader change.
-// Sequence: the leader stops; the new one has had sessions only with those whose polls it answered lately, or its
-// process was paused.
-// Cause: silence that is counted from before the leadership.
-func TestLeaderChangeRemovesNobody(t *testing.T) {
+// Guards against silence that is counted from before the leadership: all agents would be removed after a change of
+// leader, since the new leader has received few polls before.
+func TestLeaderChangeRemovesNoClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
@@ -113,7 +111,7 @@
 		for range 3 {
 			n := c.leader()
 			for _, host := range []string{entryHost, agentHost} {
-				for _, other := range c.nodes {
+				for _, other := range c.instances {
 					if other != n {
 						c.net.Cut(host, other.host)
 					}
@@ -122,13 +120,13 @@
 			time.Sleep(settings.DefaultControl().Timing.ServerExpire * 2)
 			c.stop(n)
 			for _, host := range []string{entryHost, agentHost} {
-				for _, other := range c.nodes {
+				for _, other := range c.instances {
 					c.net.Heal(host, other.host)
 				}
 			}
 			c.start(n)
 			c.leader()
-			c.eventually("ready", func() bool { return entry.Ready() == nil })
+			c.eventually("the entry is ready", func() bool { return entry.Ready() == nil })
 			time.Sleep(settings.DefaultControl().Timing.ServerExpire * 2)
 		}
 		synctest.Wait()
@@ -136,17 +134,15 @@
 	})
 }
 
-// Symptom: an entry that is cut off from control goes on admitting.
-// Sequence: all control instances are cut off from it silently, then healed.
-// Cause: no rule for silence; see session.Freshness.
+// Guards against an entry that keeps admitting requests while all control instances are cut off from it.
 func TestEntryCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
 		defer stop()
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			c.net.Cut(entryHost, n.host)
 		}
 		time.Sleep(session.DefaultSilenceBound + 2*session.DefaultPollInterval)
@@ -154,21 +150,20 @@
 		var class classAnswer
 		c.get(c.leader(), "/v1/classes/gate-check").decode(t, &class)
 		c.put(c.leader(), "gate-check", classBody(500), class.Version, "one").decode(t, &class)
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			c.net.Heal(entryHost, n.host)
 		}
-		c.eventually("back", func() bool { return entry.Ready() == nil })
+		c.eventually("the entry is ready again", func() bool { return entry.Ready() == nil })
 		version, _ := entry.Config()
-		require.GreaterOrEqual(t, version, class.Version, "not before it has what was accepted meanwhile")
+		require.GreaterOrEqual(t, version, class.Version, "ready only with the change that was accepted meanwhile")
 	})
 }
 
-// Symptom: entries refuse calls for a moment whenever the leader dies. Sequence: the leader is cut off silently from all;
-// the other two are alive and elect a new one. Cause: their answers, which say that no quorum confirmed, came later than
-// the bound on silence, since they waited for the dead leader. Found by bench and by the rolling restart.
-func TestElectionCutsNoEntryOff(t *testing.T) {
+// Guards against entries that refuse calls during each election. The leader is cut off from all. The other instances
+// must answer polls, unconfirmed, before their clients take them for silent, and not wait for the leader.
+func TestElectionDoesNotCutOffEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry := session.New(session.Config{
@@ -179,9 +174,9 @@
 		done := make(chan error, 1)
 		go func() { done <- entry.Run(ctx) }()
 		defer func() { cancel(); <-done }()
-		c.eventually("ready", func() bool { return entry.Ready() == nil })
+		c.eventually("the entry is ready", func() bool { return entry.Ready() == nil })
 		leader := c.leader()
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			if n != leader {
 				c.net.Cut(leader.host, n.host)
 			}
@@ -194,12 +189,11 @@
 	})
 }
 
-// Symptom: an order is lost with the leader, or done under an old fence.
-// Sequence: an order is committed and sent; the leader stops before the result; the agent reports to the next one.
-// Cause: orders that only the old leader's memory holds.
-func TestOrderOverALeaderChange(t *testing.T) {
+// Guards against orders that exist only in the leader's memory: they would be lost, or executed under an old fence
+// number, when the leader stops between sending the order and receiving its result.
+func TestOrderSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		_, agent, stop := c.clients()
@@ -217,22 +211,23 @@
 		fence := c.status(old).Fence
 		c.stop(old)
 		n := c.leader()
-		c.eventually("the new leader raised its fence", func() bool { return c.status(n).Fence > fence })
+		c.eventually("the new leader has raised the fence", func() bool { return c.status(n).Fence > fence })
 		require.True(t, result.Is(c.follower().control.PlaceOrder(t.Context(), order), result.NotLeader))
 		agent.Report(&wire.OrderResult{Order: order.GetId(), Server: "server-1", Code: uint32(result.FenceTooOld)})
 		time.Sleep(10 * time.Second)
-		require.Equal(t, 1, c.status(n).Orders, "a refusal of an old fence closes nothing")
+		require.Equal(t, 1, c.status(n).Orders, "a refusal of an old fence number does not close the order")
 		agent.Report(&wire.OrderResult{Order: order.GetId(), Server: "server-1", Fence: order.GetFence()})
-		c.eventually("closed", func() bool { return c.status(n).Orders == 0 })
-		require.Empty(t, agent.Orders(), "the order isn't done twice")
+		c.eventually("the order is closed", func() bool { return c.status(n).Orders == 0 })
+		require.Empty(t, agent.Orders(), "the order is not delivered twice")
 		require.NoError(t, place(wire.OrderKind_ORDER_KIND_LOAD, "server-1", "n"))
 		require.Equal(t, "n", (<-agent.Orders()).GetModel())
 	})
 }
 
-func TestOrderOfAServerThatLeft(t *testing.T) {
+// Guards against an order that stays open for ever because its server was removed.
+func TestOrderOfRemovedServerIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		_, agent, stop := c.clients()
@@ -240,13 +235,14 @@
 		n := c.leader()
 		require.NoError(t, n.control.PlaceOrder(t.Context(), &wire.Order{Kind: wire.OrderKind_ORDER_KIND_LOAD, Server: "server-1", Model: "n"}))
 		agent.SetServers([]*wire.ServerRecord{readyServer("server-2", "m")})
-		c.eventually("closed", func() bool { return c.status(n).Orders == 0 })
+		c.eventually("the order is closed", func() bool { return c.status(n).Orders == 0 })
 	})
 }
 
-func TestDrain(t *testing.T) {
+// Guards against a drained server that entries still see as ready.
+func TestDrainServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
@@ -254,25 +250,24 @@
 		n := c.leader()
 		a := c.call(n, http.MethodPost, "/v1/servers/server-1/drain", "", nil)
 		require.Equal(t, http.StatusOK, a.status, string(a.body))
-		c.eventually("the entry sees it", func() bool {
+		c.eventually("the entry sees the server draining", func() bool {
 			return entry.Servers()[0].GetServers()[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_DRAINING
 		})
 		require.Contains(t, string(c.get(n, "/v1/servers").body), `"draining"`)
 	})
 }
 
-// Symptom: a resend through another entry runs a second time.
-// Sequence: an entry begins a keyed operation that may not be repeated, and dies; the caller goes to another entry.
-// Cause: a record that isn't replicated, or a dead entry that stays registered.
-func TestOperationOverTheDeathOfItsEntry(t *testing.T) {
+// Guards against an operation that runs twice when it is sent again through another entry after the first entry failed.
+// Its record must be replicated, and the failed entry must be removed.
+func TestOperationAfterFailureOfItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		first, _, stop := c.clients()
-		other, stopOther := c.client("entry-2", "10.0.1.2", asEntry, 1)
+		other, stopOther := c.client("entry-2", "10.0.1.2", roleEntry, 1)
 		defer stopOther()
-		c.eventually("ready", func() bool { return other.Ready() == nil })
+		c.eventually("the entry is ready", func() bool { return other.Ready() == nil })
 		begin := func(s *session.Session, entry, request string) *wire.CommandResult {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
@@ -286,16 +281,18 @@
 		require.Equal(t, wire.BeginOutcome_BEGIN_OUTCOME_BEGUN, begin(first, "entry-1", "r1").GetBegin())
 		require.Equal(t, wire.BeginOutcome_BEGIN_OUTCOME_OPEN, begin(other, "entry-2", "r2").GetBegin())
 		stop()
-		c.eventually("the first entry has ended", func() bool { return len(other.View().Entries) == 1 })
+		c.eventually("the first entry is removed", func() bool { return len(other.View().Entries) == 1 })
 		c.stop(c.leader())
 		require.Equal(t, wire.BeginOutcome_BEGIN_OUTCOME_UNKNOWN, begin(other, "entry-2", "r3").GetBegin())
 	})
 }
 
+// Guards against records of keyed requests that are kept for ever, and against a key that runs again once its record
+// has expired.
 func TestOldRecordsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
-		c.nodes[0].settings.Timing.KeyRecords = time.Minute
+		c := newCluster(t, 1, gateCheckClass())
+		c.instances[0].settings.Timing.KeyRecords = time.Minute
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
@@ -321,9 +318,10 @@
 	})
 }
 
+// Guards against a session that changes classes without an operator's key.
 func TestSessionMayNotChangeClasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
@@ -338,9 +336,10 @@
 	})
 }
 
+// Guards against a peer that forwards commands which only the leader may propose, such as raising the fence.
 func TestPeersForwardOnlyChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		n := c.leader()
@@ -356,12 +355,11 @@
 	})
 }
 
-// Symptom: the links of a busy entry break again and again.
-// Sequence: many answers of the largest size that is kept are proposed at the same moment.
-// Cause: a batch that is bounded by its number of messages only, and is over what the receiver takes.
+// Guards against batches that are bounded only by their number of messages and exceed what the receiver accepts, which
+// breaks the link. Many answers of the largest size that is kept are proposed at once.
 func TestManyLargeAnswersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, gateCheck())
+		c := newCluster(t, 1, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		entry, _, stop := c.clients()
--- a/control/machine.go
+++ b/control/state_machine.go
@@ -12,28 +12,28 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// machine is the replica's state machine: the state under a lock, and a signal for each change. It implements
-// replica.StateMachine.
-type machine struct {
+// stateMachine guards the replicated state with a lock and signals each change. It implements replica.StateMachine.
+type stateMachine struct {
 	mu      sync.RWMutex
 	state   *state.State
-	changed chan struct{} // closed at the next change; nil while nobody waits
+	changed chan struct{} // closed at the next change; nil while nothing waits for one
 }
 
-func newMachine() *machine {
-	return &machine{state: state.New()}
+func newStateMachine() *stateMachine {
+	return &stateMachine{state: state.New()}
 }
 
 // Apply applies one encoded command and returns the encoded result.
-func (m *machine) Apply(index uint64, data []byte) []byte {
+func (m *stateMachine) Apply(index uint64, data []byte) []byte {
 	cmd := new(wire.Command)
 	if err := proto.Unmarshal(data, cmd); err != nil {
-		// The same bytes fail at every replica, so all of them go on with the same state.
+		// The same bytes fail to decode at every replica, so applying an empty command keeps all replicas in the same
+		// state.
 		cmd = &wire.Command{}
 	}
 	m.mu.Lock()
 	res := m.state.Apply(index, cmd)
-	m.signal()
+	m.notifyChanged()
 	m.mu.Unlock()
 	out, err := proto.Marshal(res)
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // Snapshot returns the encoded state.
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *stateMachine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	snapshot := m.state.Snapshot()
 	m.mu.RUnlock()
@@ -54,8 +54,8 @@
 	return data, nil
 }
 
-// Restore replaces the state.
-func (m *machine) Restore(_ uint64, data []byte) error {
+// Restore replaces the state with an encoded one.
+func (m *stateMachine) Restore(_ uint64, data []byte) error {
 	snapshot := new(wire.Snapshot)
 	if err := proto.Unmarshal(data, snapshot); err != nil {
 		return result.Wrap(err, result.SnapshotDamaged, "")
@@ -63,32 +63,33 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = state.Restore(snapshot)
-	m.signal()
+	m.notifyChanged()
 	return nil
 }
 
-func (m *machine) signal() {
+func (m *stateMachine) notifyChanged() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
 	}
 }
 
-// read calls fn with the state, which it must not keep. Records that it takes out stay as they are.
-func (m *machine) read(fn func(*state.State)) {
+// read calls fn with the state under a read lock. fn must not retain the state, but may retain records that it reads:
+// they are never modified.
+func (m *stateMachine) read(fn func(*state.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	fn(m.state)
 }
 
-// index returns the index of the last applied command.
-func (m *machine) index() (index uint64) {
+// index returns the log index of the last applied command.
+func (m *stateMachine) index() (index uint64) {
 	m.read(func(s *state.State) { index = s.Index() })
 	return index
 }
 
-// wait returns a channel that is closed at the next change.
-func (m *machine) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (m *stateMachine) nextChange() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.changed == nil {
@@ -97,10 +98,11 @@
 	return m.changed
 }
 
-// waitIndex waits until the command at index is applied.
-func (m *machine) waitIndex(ctx context.Context, index uint64) error {
+// waitIndex waits until the command at the given log index is applied. It returns the cause of ctx's end if that comes
+// first.
+func (m *stateMachine) waitIndex(ctx context.Context, index uint64) error {
 	for {
-		changed := m.wait()
+		changed := m.nextChange()
 		if m.index() >= index {
 			return nil
 		}
--- a/control/status_report_test.go
+++ b/control/status_report_test.go
@@ -33,43 +33,43 @@
 	} `json:"targets"`
 }
 
-// Symptom: an operator who asks a follower sees no class's counts. Sequence: an entry reports, and each control
-// instance is asked. Cause: reports that go to the leader only, as they aren't replicated.
-func TestEachInstanceShowsWhatEntriesReport(t *testing.T) {
+// Guards against reports that reach only the leader. They are not replicated, so an operator who asks a follower would
+// see no counts.
+func TestEachInstanceShowsEntryReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 3, gateCheck())
+		c := newCluster(t, 3, gateCheckClass())
 		c.startAll()
 		defer c.stopAll()
 		_, _, stop := c.clients()
 		defer stop()
 		var answered atomic.Uint64
-		defer c.reporting(func() *wire.EntryReport {
+		defer c.startReporting(func() *wire.EntryReport {
 			n := answered.Load()
 			return &wire.EntryReport{
 				Classes: []*wire.ClassReport{{Name: "gate-check", Good: 8 * n, Late: 2 * n}},
 				Targets: []*wire.TargetReport{{Name: "registry", Kind: "service", QueuedByTier: []uint32{3, 0, 0}, OldestWaitMs: 400}},
 			}
 		})()
-		c.eventually("all have heard the entry", func() bool {
+		c.eventually("all instances have a report of the entry", func() bool {
 			heard := 0
-			for _, n := range c.nodes {
-				if c.reports(n).EntriesHeard == 1 {
+			for _, n := range c.instances {
+				if c.statusReports(n).EntriesHeard == 1 {
 					heard++
 				}
 			}
-			return heard == len(c.nodes)
+			return heard == len(c.instances)
 		})
 		answered.Store(10)
-		for _, n := range c.nodes {
+		for _, n := range c.instances {
 			var got reportAnswer
-			c.eventually("the counts are there", func() bool {
-				got = c.reports(n)
+			c.eventually("status shows the counts", func() bool {
+				got = c.statusReports(n)
 				return got.Classes[0].Good == 80
 			})
 			require.InDelta(t, 0.2, got.Classes[0].LateShare, 1e-9)
 			require.InDelta(t, 0.01, got.Classes[0].LateMax, 1e-9)
 			require.False(t, got.Classes[0].Meets)
-			require.Len(t, got.Targets, 2, "what servers have, and what is waited for")
+			require.Len(t, got.Targets, 2, "targets that servers offer, and targets with queued requests")
 			registry := got.Targets[1]
 			require.Equal(t, []uint32{3, 0, 0}, registry.QueuedByTier)
 			require.Equal(t, uint64(400), registry.OldestWaitMS)
@@ -78,16 +78,16 @@
 	})
 }
 
-// reporting starts an entry's session that reports, and returns its stop.
-func (c *cluster) reporting(report func() *wire.EntryReport) func() {
+// startReporting starts a session of an entry that reports, and returns a function that stops it.
+func (c *cluster) startReporting(report func() *wire.EntryReport) func() {
 	_, stop := c.run(session.Config{
-		Instance: "entry-9", Role: asEntry, Incarnation: 1, Controls: c.links(),
+		Instance: "entry-9", Role: roleEntry, Incarnation: 1, Controls: c.links(),
 		Network: c.net.Host("10.0.1.9"), Report: report,
 	})
 	return stop
 }
 
-func (c *cluster) reports(n *node) reportAnswer {
+func (c *cluster) statusReports(n *instance) reportAnswer {
 	var out reportAnswer
 	if a := c.get(n, "/v1/status"); a.status == http.StatusOK {
 		a.decode(c.t, &out)
--- a/control/targets.go
+++ b/control/targets.go
@@ -10,11 +10,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// shortWaitMS is how long a request has to wait before its target counts as short of room. Below it a queue is that
-// of an ordinary moment.
-const shortWaitMS = 250
+// shortageWaitMS is how long a request must have waited before its target counts as short of capacity. Shorter waits
+// occur in normal operation.
+const shortageWaitMS = 250
 
-// classStatusJSON is how a class stands against its targets. Good, late, lost and the shares are over the window.
+// classStatusJSON compares a class with its targets. Good, late, lost and the shares are over the window.
 type classStatusJSON struct {
 	Name           string            `json:"name"`
 	Tier           uint32            `json:"tier"`
@@ -26,22 +26,22 @@
 	LostShare      float64           `json:"lost_share"` // of the requests
 	LostMax        float64           `json:"lost_max"`
 	Meets          bool              `json:"meets"`
-	RefusedByGroup map[string]uint64 `json:"refused_by_group"` // such as "12xx"
+	RefusedByGroup map[string]uint64 `json:"refused_by_group"` // keyed by the group of result codes, such as "12xx"
 	Total          classTotalJSON    `json:"total"`
 }
 
-// classTotalJSON counts since the entries' incarnations began.
+// classTotalJSON holds counts since the entries' incarnations started.
 type classTotalJSON struct {
 	Good uint64 `json:"good"`
 	Late uint64 `json:"late"`
 	Lost uint64 `json:"lost"`
 }
 
-// classesStatus lists all classes in force by tier and name, also those without work.
-func classesStatus(classes []*wire.Class, sum reported) []classStatusJSON {
+// classesStatus lists all classes in force by tier and name, including those without requests.
+func classesStatus(classes []*wire.Class, summary reportSummary) []classStatusJSON {
 	out := []classStatusJSON{}
 	for _, c := range classes {
-		out = append(out, classStatus(c, sum.window[c.GetName()], sum.total[c.GetName()]))
+		out = append(out, classStatus(c, summary.window[c.GetName()], summary.total[c.GetName()]))
 	}
 	slices.SortFunc(out, func(a, b classStatusJSON) int {
 		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Name, b.Name))
@@ -73,7 +73,7 @@
 	return float64(part) / float64(whole)
 }
 
-// targetJSON is a model or service: its backend servers, and what waits for it over all entries.
+// targetJSON is a model or service: its backend servers, and the requests queued for it at all entries.
 type targetJSON struct {
 	Name               string         `json:"name"`
 	Kind               string         `json:"kind"`
@@ -81,20 +81,20 @@
 	ServersByCondition map[string]int `json:"servers_by_condition"`
 	QueuedByTier       []uint32       `json:"queued_by_tier"`
 	OldestWaitMS       uint64         `json:"oldest_wait_ms"`
-	ShortBecause       string         `json:"short_because"` // empty when it isn't short of room
+	ShortBecause       string         `json:"short_because"` // empty if it isn't short of capacity
 }
 
-// targetsStatus lists what backend servers have and what requests wait for, by kind and name.
-func targetsStatus(agents []*wire.AgentRecord, sum reported) []targetJSON {
+// targetsStatus lists, by kind and name, the targets that backend servers offer or for which requests are queued.
+func targetsStatus(agents []*wire.AgentRecord, summary reportSummary) []targetJSON {
 	conditions := conditionsByTarget(agents)
-	for key := range sum.targets {
+	for key := range summary.targets {
 		if conditions[key] == nil {
 			conditions[key] = make(map[string]int)
 		}
 	}
 	out := []targetJSON{}
 	for key, servers := range conditions {
-		out = append(out, targetStatus(key, servers, sum.targets[key]))
+		out = append(out, targetStatus(key, servers, summary.targets[key]))
 	}
 	slices.SortFunc(out, func(a, b targetJSON) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
@@ -126,12 +126,12 @@
 		QueuedByTier:       count.queued[:],
 		OldestWaitMS:       count.oldestMS,
 	}
-	out.ShortBecause = shortBecause(out)
+	out.ShortBecause = shortageReason(out)
 	return out
 }
 
-// shortBecause says why a target lacks room, "" if it doesn't.
-func shortBecause(t targetJSON) string {
+// shortageReason returns why a target is short of capacity, or "" if it is not.
+func shortageReason(t targetJSON) string {
 	waiting := uint32(0)
 	for _, queued := range t.QueuedByTier {
 		waiting += queued
@@ -140,18 +140,18 @@
 	case len(t.ServersByCondition) == 0:
 		return "no backend server has it"
 	case t.ReadyServers == 0:
-		return "no backend server is ready: " + notReady(t.ServersByCondition)
-	case waiting == 0 || t.OldestWaitMS < shortWaitMS:
+		return "no backend server is ready: " + describeNotReady(t.ServersByCondition)
+	case waiting == 0 || t.OldestWaitMS < shortageWaitMS:
 		return ""
 	case len(t.ServersByCondition) > 1:
-		return "ready backend servers are full, and others aren't ready: " + notReady(t.ServersByCondition)
+		return "ready backend servers are full, and others aren't ready: " + describeNotReady(t.ServersByCondition)
 	default:
 		return "all backend servers are ready and full"
 	}
 }
 
-// notReady lists such as "1 draining, 2 suspect".
-func notReady(servers map[string]int) string {
+// describeNotReady lists the servers that are not ready by condition, such as "1 draining, 2 suspect".
+func describeNotReady(servers map[string]int) string {
 	ready := conditionName(wire.ServerCondition_SERVER_CONDITION_READY)
 	var parts []string
 	for _, condition := range slices.Sorted(maps.Keys(servers)) {
--- a/control/updates.go
+++ b/control/update_cache.go
@@ -5,14 +5,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// updateCache makes each update of one round once: most sessions are at the same version.
+// updateCache builds each update at most once in a round, since most sessions are at the same version.
 type updateCache struct {
-	machine     *machine
+	machine     *stateMachine
 	configs     map[uint64]*wire.ConfigUpdate
 	directories map[uint64]*wire.DirectoryUpdate
 }
 
-func newUpdateCache(m *machine) *updateCache {
+func newUpdateCache(m *stateMachine) *updateCache {
 	return &updateCache{
 		machine:     m,
 		configs:     make(map[uint64]*wire.ConfigUpdate),
@@ -20,7 +20,8 @@
 	}
 }
 
-// config returns the update from a version, or nil. A fence that rose alone makes an update without classes.
+// config returns the update from a version, or nil if nothing has changed. If only the fence number has risen, the
+// update contains no classes.
 func (c *updateCache) config(version, fence uint64) *wire.ConfigUpdate {
 	u, ok := c.configs[version]
 	if !ok {
@@ -38,7 +39,7 @@
 	return u
 }
 
-// directory returns the update from a version, or nil.
+// directory returns the update from a version, or nil if nothing has changed.
 func (c *updateCache) directory(version uint64) *wire.DirectoryUpdate {
 	u, ok := c.directories[version]
 	if !ok {
--- a/control/usage.go
+++ b/control/usage.go
@@ -10,7 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// capOf is how much an organisation may use in a window by the desired state in force.
+// capOf returns how much an organisation may use in a window according to the desired state in force. It returns 0 for
+// an organisation that is not in the desired state.
 func (c *Control) capOf(organisation string, window time.Duration) float64 {
 	for _, member := range c.desired().GetOrganisations() {
 		if member.GetName() == organisation {
@@ -20,7 +21,7 @@
 	return 0
 }
 
-// heldByOthers is how much of an organisation's cap all but one start of an entry hold.
+// heldByOthers returns the part of an organisation's cap that is held by all incarnations of entries except one.
 func (c *Control) heldByOthers(from quota.Incarnation, organisation string) uint64 {
 	var held uint64
 	c.machine.read(func(s *state.State) {
@@ -29,10 +30,10 @@
 	return held
 }
 
-// releaseInterval is how often the leader frees shares of entries that have ended.
+// releaseInterval is the time between checks for shares of ended entries that can be released.
 const releaseInterval = 100 * time.Millisecond
 
-// runReleases is the leader's duty that frees the shares of entries that have ended.
+// runReleases is the loop in which the leader releases the shares of entries that have ended.
 func (c *Control) runReleases(ctx context.Context) error {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
@@ -51,12 +52,12 @@
 			if releases == nil || status.Term != term {
 				releases, term = quota.NewReleases(c.usage), status.Term
 			}
-			c.release(ctx, releases, now)
+			c.releaseShares(ctx, releases, now)
 		}
 	}
 }
 
-func (c *Control) release(ctx context.Context, releases *quota.Releases, now time.Time) {
+func (c *Control) releaseShares(ctx context.Context, releases *quota.Releases, now time.Time) {
 	var ended []*wire.HeldShares
 	c.machine.read(func(s *state.State) { ended = s.EndedShares() })
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
--- a/control/usagefile.go
+++ b/control/usage_file.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// usageFileName is the file in the data folder, and usageFileNew its successor while it is written.
+	// usageFileName is the file in the data folder, and usageFileNew the file that is written before it replaces it.
 	usageFileName = "usage"
 	usageFileNew  = "usage.new"
 )
 
-// usageFile keeps the use of caps over a restart of all processes at once.
+// usageFile preserves the usage of caps over a restart of all processes at once.
 //
-// Use is told by entries with each poll and kept in memory; an instance that restarts has it back within a second, from the
-// entries. When all processes die together nobody is left to tell, and an organisation gets its whole cap once more in the
-// window that it has used up already: 1,877,958 tokens ran in 8 s of 1,790,983 tolerated. One would notice by use above a
-// cap right after a loss of all machines. The file is synced, so a loss of power leaves it too.
+// Entries report usage with each poll, and it is kept in memory. An instance that restarts gets it back from the
+// entries within a second. If all processes end together, nothing is left to report it, and an organisation gets its
+// whole cap again in a window in which it has already used it up: 1,877,958 tokens run in 8 s where 1,790,983 are
+// tolerated. The symptom is usage above a cap right after all machines were lost. The file is synced, so it also
+// survives a power loss.
 type usageFile struct {
 	fs      journal.FS // nil for an instance without a disk, which saves nothing
 	dir     string
-	failing bool // the last save failed
+	failing bool // whether the last save failed
 }
 
 func newUsageFile(s settings.Control, fs journal.FS) *usageFile {
@@ -40,7 +41,7 @@
 	return &usageFile{fs: fs, dir: s.DataDir}
 }
 
-// save writes what is used now, if any cap is near. The error is that of the disk.
+// save writes the present usage, if any cap is close to being used up. Errors are those of the disk.
 func (f *usageFile) save(u *quota.Ledger, now time.Time) error {
 	if f.fs == nil {
 		return nil
@@ -59,13 +60,13 @@
 	return nil
 }
 
-// write replaces the file in one step, so that a crash leaves the old one or the new one whole.
+// write replaces the file atomically, so that a crash leaves either the old file or the new one complete.
 func (f *usageFile) write(data []byte) error {
-	fresh := filepath.Join(f.dir, usageFileNew)
-	if err := f.fs.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	temporary := filepath.Join(f.dir, usageFileNew)
+	if err := f.fs.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	file, err := f.fs.Create(fresh)
+	file, err := f.fs.Create(temporary)
 	if err != nil {
 		return err
 	}
@@ -73,19 +74,19 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := f.fs.Rename(fresh, filepath.Join(f.dir, usageFileName)); err != nil {
+	if err := f.fs.Rename(temporary, filepath.Join(f.dir, usageFileName)); err != nil {
 		return err
 	}
 	return f.fs.SyncDir(f.dir)
 }
 
-// load has use from before the start counted. A file that isn't there is no error.
+// load restores the usage that was saved before a restart. A missing file is not an error.
 func (f *usageFile) load(u *quota.Ledger, now time.Time) error {
 	if f.fs == nil {
 		return nil
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// runUsageFile is the duty that saves use. A disk that refuses it costs exactness after a restart of everything, and
-// nothing else.
+// runUsageFile is the loop that saves usage. If the disk refuses it, usage is inexact after a restart of all processes;
+// nothing else is affected.
 func (c *Control) runUsageFile(ctx context.Context) error {
 	ticker := time.NewTicker(quota.SaveInterval)
 	defer ticker.Stop()
@@ -115,13 +116,13 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			c.usageFile.note(c, c.usageFile.save(c.usage, now))
+			c.usageFile.logTransition(c, c.usageFile.save(c.usage, now))
 		}
 	}
 }
 
-// note logs when saving begins to fail, and when it works again.
-func (f *usageFile) note(c *Control, err error) {
+// logTransition logs when saving starts to fail, and when it works again.
+func (f *usageFile) logTransition(c *Control, err error) {
 	if failing := err != nil; failing != f.failing {
 		f.failing = failing
 		c.log.WithField("failing", failing).WithError(err).Warn("usage_saved")
--- a/control/usagefile_test.go
+++ b/control/usage_file_test.go
@@ -12,17 +12,17 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// usagePoll tells of use that is spread over the window evenly.
+// usagePoll returns a poll that reports usage spread evenly over the window.
 func usagePoll(used uint64) *wire.Poll {
-	word := &wire.Usage{Organisation: "org", Used: used / wire.LeavingSteps * wire.LeavingSteps}
+	usage := &wire.Usage{Organisation: "org", Used: used / wire.LeavingSteps * wire.LeavingSteps}
 	for range wire.LeavingSteps {
-		word.Leaving = append(word.Leaving, used/wire.LeavingSteps)
+		usage.Leaving = append(usage.Leaving, used/wire.LeavingSteps)
 	}
-	return &wire.Poll{UsageWindowMs: 8000, Usage: []*wire.Usage{word}}
+	return &wire.Poll{UsageWindowMs: 8000, Usage: []*wire.Usage{usage}}
 }
 
-// usageTable is a ledger with a cap of 900 in a window, and three entries.
-func usageTable() (*quota.Ledger, []quota.Incarnation) {
+// newTestLedger returns a ledger with a cap of 900 in a window, and three entries.
+func newTestLedger() (*quota.Ledger, []quota.Incarnation) {
 	entries := []quota.Incarnation{{Instance: "e1", Number: 1}, {Instance: "e2", Number: 1}, {Instance: "e3", Number: 1}}
 	return quota.NewLedger(
 		func(string, time.Duration) float64 { return 900 },
@@ -32,17 +32,17 @@
 
 func usageFileOn(disk *journaltest.FS) *usageFile { return &usageFile{fs: disk, dir: "/data"} }
 
-// Symptom: callers of an organisation near its cap are refused for eight seconds after a loss of all processes. Sequence: all
-// processes are killed, or lose their power, and are back within a second; what the dead entries held is held on, and nobody
-// knows when their use leaves the window. Cause: use that was kept in memory only.
-func TestUseCountsAfterARestartOfEverything(t *testing.T) {
+// Guards against usage that is kept in memory only. All processes are killed, or lose power, and are back within a
+// second. The shares of the ended entries stay held, and callers of an organisation near its cap would be refused for 8
+// s, because it is not known when the usage leaves the window.
+func TestUsageSurvivesRestartOfAllProcesses(t *testing.T) {
 	for name, stop := range map[string]func(*journaltest.FS){
-		"killed":        (*journaltest.FS).Kill,
-		"loss of power": func(disk *journaltest.FS) { disk.Crash(func(int) int { return 0 }) },
+		"killed":     (*journaltest.FS).Kill,
+		"power loss": func(disk *journaltest.FS) { disk.Crash(func(int) int { return 0 }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			disk := journaltest.New()
-			before, e := usageTable()
+			before, e := newTestLedger()
 			now := time.Unix(1_700_000_000, 0)
 			before.Take(e[0], usagePoll(400), now)
 			before.Take(e[1], usagePoll(400), now)
@@ -50,12 +50,12 @@
 			stop(disk)
 
 			now = now.Add(time.Second)
-			after, _ := usageTable()
+			after, _ := newTestLedger()
 			require.NoError(t, usageFileOn(disk).load(after, now))
 			next := quota.Incarnation{Instance: "e1", Number: 2}
-			require.EqualValues(t, 768-96, after.Take(next, usagePoll(0), now)[0].GetUsed(), "what has left the window is gone")
+			require.EqualValues(t, 768-96, after.Take(next, usagePoll(0), now)[0].GetUsed(), "usage that has left the window is not counted")
 
-			// What dead entries held is freed as the saved words tell that their use leaves the window.
+			// Shares of ended entries are released as their saved usage leaves the window.
 			releases := quota.NewReleases(after)
 			dead := []*wire.HeldShares{{
 				Entry: "e1", Incarnation: 1, Ended: true, Replaced: true, WindowMs: 8000,
@@ -64,9 +64,9 @@
 			require.Empty(t, releases.Due(now, dead))
 			freed := releases.Due(now.Add(4*time.Second), dead)
 			require.Len(t, freed, 1)
-			require.EqualValues(t, 450-15*12, freed[0].GetShares()[0].GetUnits(), "16 steps, less the one at the death")
+			require.EqualValues(t, 450-15*12, freed[0].GetShares()[0].GetUnits(), "16 steps, less the one at the restart")
 
-			// An entry that lives on tells its use again, and it counts once.
+			// An entry that is still running reports its usage again, and it is counted once.
 			after.Take(e[0], usagePoll(400), now)
 			after.Take(e[1], usagePoll(400), now)
 			require.EqualValues(t, 768, after.Take(next, usagePoll(0), now)[0].GetUsed())
@@ -75,10 +75,10 @@
 	}
 }
 
-// A cap of which little is used can't be used up by a window more, and costs no write.
-func TestUseFarBelowItsCapIsNotSaved(t *testing.T) {
+// An organisation that has used little of a cap cannot exceed it by a whole window, so nothing is written.
+func TestUsageFarBelowCapIsNotSaved(t *testing.T) {
 	disk := journaltest.New()
-	u, e := usageTable()
+	u, e := newTestLedger()
 	now := time.Unix(1_700_000_000, 0)
 	u.Take(e[0], usagePoll(100), now)
 	steps := disk.Steps()
@@ -86,10 +86,9 @@
 	require.Equal(t, steps, disk.Steps())
 }
 
-// Symptom: a control instance ends, or never starts, for the sake of a file that it could do without. Cause: errors of that
-// file passed on as those of the journal.
-func TestUnusableUsageFileStopsNothing(t *testing.T) {
-	u, e := usageTable()
+// Guards against a control instance that stops, or does not start, because of errors of a file that it can do without.
+func TestUsageFileErrorsAreNotFatal(t *testing.T) {
+	u, e := newTestLedger()
 	now := time.Unix(1_700_000_000, 0)
 	u.Take(e[0], usagePoll(800), now)
 	full := journaltest.New()
@@ -102,9 +101,9 @@
 
 	old := journaltest.New()
 	require.NoError(t, usageFileOn(old).save(u, now))
-	after, _ := usageTable()
+	after, _ := newTestLedger()
 	for _, at := range []time.Duration{time.Hour, -time.Hour} {
 		require.NoError(t, usageFileOn(old).load(after, now.Add(at)))
-		require.Zero(t, after.Entries(), "a clock that was set tells no age")
+		require.Zero(t, after.Entries(), "the age is unknown if the clock was set")
 	}
 }
