--- a/control/directory_scope.go
+++ b/control/directory_scope.go
@@ -112,7 +112,7 @@
 	scope      *directoryScope
 	active     bool
 	newestPoll uint64 // sequence number of the newest poll applied
-	examined   uint64 // up to which the directory was filtered for the client
+	examined   uint64 // directory version up to which updates were filtered for the client
 	sent       uint64 // last version sent to the client
 	needsFull  bool   // the next update must replace all that the client has
 }
--- a/control/fanout_test.go
+++ b/control/fanout_test.go
@@ -124,10 +124,9 @@
 	return true
 }
 
-// Guards against sending each announcement to every process over every link in any zone, although an agent needs only
-// that of its own server. When 3,000 servers announce themselves within a second to 300 machines, the busiest control
-// instance then sends 3 MB a second, mostly into other zones, and requests are refused while processes handle the
-// updates.
+// Guards against sending each announcement to every process over every link, although an agent needs only its own
+// server's. When 3,000 servers announce themselves within a second to 300 machines, the busiest control instance then
+// sends 3 MB a second, mostly into other zones, and requests are refused while processes handle the updates.
 func TestAnnouncementsCrossZonesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newZonedFleet(t)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -100,10 +100,9 @@
 	return true
 }
 
-// Guards against sending each change of the directory from each of 15 control instances to each process. When 105
-// entries and 180 agents start within a second, and later 100 more, they would spend their time on updates and serve
-// late. They must know each other within the time that the platform gives a machine to catch up, over at most three
-// links each.
+// Guards against sending each change of the directory from each of 15 control instances to each process. 105 entries
+// and 180 agents that start within a second, and 100 more later, would serve late. They must know each other within the
+// time that the platform gives a machine to catch up, over at most three links each.
 func TestHundredsOfProcessesStartTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/control/leader.go
+++ b/control/leader.go
@@ -16,12 +16,12 @@
 	leaderInterval = time.Second
 	// pauseThreshold is the gap between two rounds above which the process itself is taken to have been suspended, for
 	// example by its platform. It received no messages meanwhile, even from processes that are alive.
-	pauseThreshold   = 3 * time.Second
-	expiryInterval   = 10 * time.Second
-	expiryBatches    = 16
-	orderInterval    = 2 * time.Second
-	orderResultRing  = 256
-	pendingOrderRing = 16
+	pauseThreshold      = 3 * time.Second
+	expiryInterval      = 10 * time.Second
+	maxExpiryBatches    = 16
+	orderResendInterval = 2 * time.Second
+	orderResultRing     = 256
+	pendingOrderRing    = 16
 )
 
 // leader runs the work that only the leader does.
@@ -60,7 +60,7 @@
 	}
 }
 
-// run is the leader's loop. It runs on all instances, and does nothing on those that are not the leader.
+// run is the leader's loop. It runs on every instance; on one that is not the leader it only refuses orders.
 func (l *leader) run(ctx context.Context) error {
 	ticker := time.NewTicker(leaderInterval)
 	defer ticker.Stop()
@@ -100,7 +100,7 @@
 	}
 }
 
-// startTerm raises the fence before anything else, so that commands that an earlier leader still sends are refused. It
+// startTerm raises the fence before anything else, so that orders that an earlier leader still sends are refused. It
 // then creates the initial classes of a new group. It reports whether both succeeded.
 func (l *leader) startTerm(ctx context.Context, term uint64) bool {
 	fence, err := l.propose(ctx, &wire.Command{Kind: &wire.Command_RaiseFence{RaiseFence: &wire.RaiseFence{
@@ -203,7 +203,7 @@
 // expireOperations removes old records of keyed requests, and younger ones if there are too many. One round commits a
 // bounded number of batches, so that the other steps are not delayed.
 func (l *leader) expireOperations(ctx context.Context) error {
-	for range expiryBatches {
+	for range maxExpiryBatches {
 		before, due := l.expiryDue()
 		if !due {
 			return nil
--- a/control/orders.go
+++ b/control/orders.go
@@ -50,7 +50,7 @@
 // resendOrders sends the open orders again, since one may have been lost with a session or with the leader that placed
 // it. It closes orders whose server is no longer registered.
 func (l *leader) resendOrders(ctx context.Context) error {
-	if time.Since(l.lastResend) < orderInterval {
+	if time.Since(l.lastResend) < orderResendInterval {
 		return nil
 	}
 	l.lastResend = time.Now()
