--- a/outbox/outbox.go
+++ b/outbox/outbox.go
@@ -1,4 +1,5 @@
-// Package outbox keeps what one process alone knows until control has committed it, however long that takes.
+// Package outbox delivers commands from a daemon to control. A queued command is proposed again until control has
+// committed or refused it.
 package outbox
 
 import (
@@ -14,29 +15,30 @@
 )
 
 const (
-	// capacity bounds the items that wait to be committed.
+	// capacity is the maximum number of queued items.
 	capacity = 4096
-	// proposeTimeout bounds one proposal.
+	// proposeTimeout limits one proposal.
 	proposeTimeout = 5 * time.Second
-	// retryMin and retryMax bound the wait before a proposal is tried again. What servers crashed under has to be known
-	// everywhere soon after control is back.
+	// retryMin and retryMax limit the backoff between proposals of one item. They are short because reports of
+	// crashes must reach all instances soon after control is reachable again.
 	retryMin = 100 * time.Millisecond
 	retryMax = 500 * time.Millisecond
 )
 
-// Item is a command whose second commit changes nothing more.
+// Item is a command and the texts of its log lines. The command must be idempotent, since it may be committed more
+// than once.
 type Item struct {
-	// EventPrefix begins the names of the log lines, such as "outcome".
+	// EventPrefix is the first part of the event names in log lines, such as "outcome".
 	EventPrefix string
-	// LogKey and LogValue say in these lines what the item is about.
+	// LogKey and LogValue are the key and the value that identify the item in log lines.
 	LogKey, LogValue string
 	Command          *wire.Command
 }
 
-// CrashReport tells what a server ran when it crashed.
+// CrashReport returns the item that reports what a server was running when it crashed.
 //
-// The agent beside the server saw all of it, and reports it whoever of the entries has died; an entry reports its own part, since
-// the agent may be cut off from control.
+// The agent of the server has seen all of these requests and reports them even if entries have died. An entry reports
+// its own requests, since the agent may be cut off from control.
 func CrashReport(note *wire.NoteCrash) Item {
 	return Item{
 		EventPrefix: "crash",
@@ -46,79 +48,81 @@
 	}
 }
 
-// Options are what an Outbox takes from its daemon. All but Propose and Log may be nil.
+// Options configure an Outbox. Propose and Log are required; the other fields may be nil.
 type Options struct {
 	Log log.Interface
-	// Propose has a command committed at control.
+	// Propose commits a command at control and returns its result. After an error the command is proposed again.
 	Propose func(ctx context.Context, command *wire.Command) (*wire.CommandResult, error)
-	// OnRetry counts a proposal that is tried again, Refused an item that the full ring of that name refused.
+	// OnRetry is called for each proposal that failed. OnRefused is called with the name of the full ring for each
+	// item that was refused.
 	OnRetry   func()
 	OnRefused func(ring string)
 }
 
-// Outbox has items committed in their order. Its methods may be called from any goroutine.
+// Outbox is a queue of items that are committed in order. Its methods are safe for concurrent use.
 type Outbox struct {
 	options Options
-	waiting *ring.Ring[Item]
-	open    atomic.Int64
+	queue   *ring.Ring[Item]
+	pending atomic.Int64
 }
 
-// New returns an outbox that Run empties.
+// New returns an outbox whose items are delivered by Run.
 func New(options Options) *Outbox {
-	return &Outbox{options: options, waiting: ring.New[Item]("outbox", capacity)}
+	return &Outbox{options: options, queue: ring.New[Item]("outbox", capacity)}
 }
 
-// Put hands an item over. It doesn't block; a full ring is counted, and what the item says stays unknown.
-func (o *Outbox) Put(one Item) {
-	o.open.Add(1)
-	if o.waiting.TryPush(one) {
+// Put queues an item without blocking. If the queue is full the item is dropped, counted and logged.
+func (o *Outbox) Put(item Item) {
+	o.pending.Add(1)
+	if o.queue.TryPush(item) {
 		return
 	}
-	o.open.Add(-1)
+	o.pending.Add(-1)
 	if o.options.OnRefused != nil {
-		o.options.OnRefused(o.waiting.Name())
+		o.options.OnRefused(o.queue.Name())
 	}
-	o.options.Log.WithField(one.LogKey, one.LogValue).Error(one.EventPrefix + "_not_reported")
+	o.options.Log.WithField(item.LogKey, item.LogValue).Error(item.EventPrefix + "_not_reported")
 }
 
-// Pending is how many items are neither committed nor refused.
-func (o *Outbox) Pending() int64 { return o.open.Load() }
+// Pending returns the number of items that control has neither committed nor refused.
+func (o *Outbox) Pending() int64 { return o.pending.Load() }
 
-// Run has items committed until ctx ends. It returns nil.
+// Run delivers items until ctx ends. It always returns nil.
 func (o *Outbox) Run(ctx context.Context) error {
 	for {
-		one, err := o.waiting.Pop(ctx)
+		item, err := o.queue.Pop(ctx)
 		if err != nil {
 			return nil
 		}
-		o.commit(ctx, one)
+		o.commit(ctx, item)
 	}
 }
 
-// commit tries until control committed the item or refused it.
-func (o *Outbox) commit(ctx context.Context, one Item) {
-	wait := retryMin
+// commit proposes an item with exponential backoff until control commits or refuses it, or ctx ends.
+func (o *Outbox) commit(ctx context.Context, item Item) {
+	backoff := retryMin
 	for {
-		answer, err := o.try(ctx, one)
-		fields := o.options.Log.WithField(one.LogKey, one.LogValue)
+		result, err := o.propose(ctx, item)
+		fields := o.options.Log.WithField(item.LogKey, item.LogValue)
 		if err == nil {
-			o.open.Add(-1)
-			fields.WithField("code", answer.GetCode()).Info(one.EventPrefix + "_committed")
+			o.pending.Add(-1)
+			fields.WithField("code", result.GetCode()).Info(item.EventPrefix + "_committed")
 			return
 		}
 		if o.options.OnRetry != nil {
 			o.options.OnRetry()
 		}
-		fields.WithError(err).Warn(one.EventPrefix + "_not_committed")
-		if !pause.For(ctx, wait) {
+		fields.WithError(err).Warn(item.EventPrefix + "_not_committed")
+		if !pause.For(ctx, backoff) {
 			return
 		}
-		wait = min(2*wait, retryMax)
+		backoff = min(2*backoff, retryMax)
 	}
 }
 
-func (o *Outbox) try(ctx context.Context, one Item) (*wire.CommandResult, error) {
-	ctx, stop := context.WithTimeout(ctx, proposeTimeout)
-	defer stop()
-	return o.options.Propose(ctx, one.Command)
+// propose makes one attempt, limited by proposeTimeout.
+func (o *Outbox) propose(ctx context.Context, item Item) (*wire.CommandResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	return o.options.Propose(ctx, item.Command)
 }
--- a/outbox/outbox_test.go
+++ b/outbox/outbox_test.go
@@ -14,54 +14,55 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: what servers crashed under is forgotten after a loss of control. Sequence: nobody commits proposals for a minute; then
-// control is back. Cause: proposals given up after some tries.
-func TestItemsAreCommittedOnceControlIsBack(t *testing.T) {
+// Control is unavailable for a minute. Items must be retried until it is back, or reports of crashes would be lost.
+// They must be committed in order and soon after.
+func TestItemsAreRetriedUntilControlIsAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		back := time.Now().Add(time.Minute)
+		availableAt := time.Now().Add(time.Minute)
 		var committed []string
-		var at time.Time
-		retried := 0
-		r := New(Options{
+		var committedAt time.Time
+		retries := 0
+		o := New(Options{
 			Log:     &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
-			OnRetry: func() { retried++ },
+			OnRetry: func() { retries++ },
 			Propose: func(_ context.Context, command *wire.Command) (*wire.CommandResult, error) {
-				if time.Now().Before(back) {
+				if time.Now().Before(availableAt) {
 					return nil, errors.New("no leader")
 				}
 				committed = append(committed, command.GetNoteCrash().GetCrash().GetId())
-				at = time.Now()
+				committedAt = time.Now()
 				return &wire.CommandResult{}, nil
 			},
 		})
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- r.Run(ctx) }()
+		go func() { done <- o.Run(ctx) }()
 		for _, id := range []string{"a", "b"} {
-			r.Put(CrashReport(&wire.NoteCrash{Crash: &wire.Crash{Id: id, Server: "s"}}))
+			o.Put(CrashReport(&wire.NoteCrash{Crash: &wire.Crash{Id: id, Server: "s"}}))
 		}
 		time.Sleep(30 * time.Second)
 		require.Empty(t, committed)
-		require.EqualValues(t, 2, r.Pending())
+		require.EqualValues(t, 2, o.Pending())
 		time.Sleep(time.Minute)
-		require.Equal(t, []string{"a", "b"}, committed, "in their order")
-		require.LessOrEqual(t, at.Sub(back), retryMax)
-		require.Zero(t, r.Pending())
-		require.Positive(t, retried)
-		stop()
+		require.Equal(t, []string{"a", "b"}, committed, "in the order in which they were queued")
+		require.LessOrEqual(t, committedAt.Sub(availableAt), retryMax)
+		require.Zero(t, o.Pending())
+		require.Positive(t, retries)
+		cancel()
 		require.NoError(t, <-done)
 	})
 }
 
+// A full queue must refuse further items, count them, and not report them as pending.
 func TestFullRingRefusesItems(t *testing.T) {
 	refused := 0
-	r := New(Options{
+	o := New(Options{
 		Log:       &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 		OnRefused: func(string) { refused++ },
 	})
 	for range capacity + 3 {
-		r.Put(CrashReport(&wire.NoteCrash{}))
+		o.Put(CrashReport(&wire.NoteCrash{}))
 	}
 	require.Equal(t, 3, refused)
-	require.EqualValues(t, capacity, r.Pending())
+	require.EqualValues(t, capacity, o.Pending())
 }
