--- a/state/accessors.go
+++ b/state/accessors.go
@@ -9,8 +9,8 @@
 // Index returns the index of the last applied command.
 func (s *State) Index() uint64 { return s.index }
 
-// LeaderUnixMS returns the highest leader's clock seen, in milliseconds since 1970.
-func (s *State) LeaderUnixMS() uint64 { return s.unixMS }
+// LeaderUnixMS returns the highest leader time seen, in milliseconds since 1970.
+func (s *State) LeaderUnixMS() uint64 { return s.leaderUnixMS }
 
 // ConfigVersion returns the version of the configuration: the log index of its last change, 0 before the first.
 func (s *State) ConfigVersion() uint64 { return s.configVersion }
@@ -21,28 +21,28 @@
 // Fence returns the current leader's fence number, 0 before the first leader.
 func (s *State) Fence() uint64 { return s.fence }
 
-// Class returns a class, or nil.
+// Class returns a class, nil if there is none of that name.
 func (s *State) Class(name string) *wire.Class { return s.classes[name] }
 
 // Classes returns all classes, sorted by name.
-func (s *State) Classes() []*wire.Class { return sorted(s.classes) }
+func (s *State) Classes() []*wire.Class { return sortedValues(s.classes) }
 
-// Agent returns an agent's record, or nil.
+// Agent returns an agent's record, nil if it is not registered.
 func (s *State) Agent(name string) *wire.AgentRecord { return s.agents[name] }
 
 // Agents returns all agents, sorted by name.
-func (s *State) Agents() []*wire.AgentRecord { return sorted(s.agents) }
+func (s *State) Agents() []*wire.AgentRecord { return sortedValues(s.agents) }
 
-// Entry returns an entry's record, or nil.
+// Entry returns an entry's record, nil if it is not registered.
 func (s *State) Entry(name string) *wire.EntryRecord { return s.entries[name] }
 
 // Entries returns all entries, sorted by name.
-func (s *State) Entries() []*wire.EntryRecord { return sorted(s.entries) }
+func (s *State) Entries() []*wire.EntryRecord { return sortedValues(s.entries) }
 
 // Orders returns the open orders, sorted by server.
-func (s *State) Orders() []*wire.Order { return sorted(s.orders) }
+func (s *State) Orders() []*wire.Order { return sortedValues(s.orders) }
 
-// Operation returns the record of a keyed request, or nil.
+// Operation returns the record of a keyed request, nil if there is none.
 func (s *State) Operation(organisation, key string) *wire.Operation {
 	op := s.operations.byKey[operationKey{organisation, key}]
 	if op == nil {
@@ -51,41 +51,43 @@
 	return op.record()
 }
 
-// AgentOf returns the name of the agent of a backend server, "" if there is none.
+// AgentOf returns the name of the agent of a backend server, "" if no agent lists the server.
 func (s *State) AgentOf(server string) string {
-	agent, _ := s.server(server)
+	agent, _ := s.lookUpServer(server)
 	return agent.GetAgent()
 }
 
-// Counts tells how much the state holds.
+// Counts are the sizes of the parts of the state.
 type Counts struct {
 	// Operations is the number of records of keyed requests.
 	Operations int
-	// AnswerBytes is the size of the kept answers' bodies.
+	// AnswerBytes is the total size of the bodies of stored answers, in bytes.
 	AnswerBytes int
 	// ExpiredKeys is the number of digests of expired keys.
 	ExpiredKeys int
-	// Changes is the number of remembered changes of operators.
+	// Changes is the number of stored results of operator changes.
 	Changes int
-	// OldestUnixMS is when the oldest record of a keyed request was begun, 0 if there is none.
+	// OldestUnixMS is when the oldest record of a keyed request was begun, in milliseconds since 1970, 0 if there is
+	// none.
 	OldestUnixMS uint64
 }
 
-// Counts returns how much the state holds.
+// Counts returns the current sizes.
 func (s *State) Counts() Counts {
 	c := Counts{
 		Operations:  len(s.operations.byKey),
 		AnswerBytes: s.operations.answerBytes,
-		ExpiredKeys: len(s.operations.expired),
+		ExpiredKeys: len(s.operations.expiredDigests),
 		Changes:     len(s.changes.order),
 	}
 	if s.operations.first != nil {
-		c.OldestUnixMS = s.operations.first.begunMS
+		c.OldestUnixMS = s.operations.first.begunUnixMS
 	}
 	return c
 }
 
-// ConfigSince returns what brings a client from version to the present configuration, nil if it has it already.
+// ConfigSince returns the update that takes a client from a version to the current configuration, nil if the client
+// is up to date. The update is full if version is 0 or the history does not reach back to it.
 func (s *State) ConfigSince(version uint64) *wire.ConfigUpdate {
 	if version >= s.configVersion {
 		return nil
@@ -101,7 +103,7 @@
 		Desired: s.desiredSince(version),
 	}
 	for _, name := range names {
-		if name == desiredName {
+		if name == desiredStateName {
 			continue
 		}
 		if class := s.classes[name]; class != nil {
@@ -123,7 +125,8 @@
 	}
 }
 
-// DirectorySince returns what brings a client from version to the present directory, nil if it has it already.
+// DirectorySince returns the update that takes a client from a version to the current directory, nil if the client is
+// up to date. The update is full if version is 0 or the history does not reach back to it.
 func (s *State) DirectorySince(version uint64) *wire.DirectoryUpdate {
 	if version >= s.directoryVersion {
 		return nil
@@ -139,6 +142,7 @@
 	return out
 }
 
+// addToUpdate adds the record of a name in the directory history, or its removal, to an update.
 func (s *State) addToUpdate(out *wire.DirectoryUpdate, name string) {
 	if entry, ok := strings.CutPrefix(name, entryPrefix); ok {
 		if e := s.entries[entry]; e != nil {
@@ -157,11 +161,11 @@
 		return
 	}
 	if key, ok := strings.CutPrefix(name, poisonPrefix); ok {
-		s.addPoisonTo(out, key)
+		s.appendPoisonUpdate(out, key)
 		return
 	}
 	if server, ok := strings.CutPrefix(name, advicePrefix); ok {
-		s.addAdviceTo(out, server)
+		s.appendAdviceUpdate(out, server)
 		return
 	}
 	agent := strings.TrimPrefix(name, agentPrefix)
--- a/state/announcements.go
+++ b/state/announcements.go
@@ -10,24 +10,25 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// announcementPrefix marks announcements in the directory's history.
+// announcementPrefix marks announcements in the directory history.
 const announcementPrefix = "s/"
 
-// runReturns is how many announcements in a row, with nothing from the run that is held between them, show that another run of the same
-// server lives though it started earlier by its clock or had been replaced. Late ones come once or in a short
-// series; a server that lives goes on each heartbeat. Meanwhile it gets no new work, for some heartbeats.
-const runReturns = 3
+// contenderConfirmations is the number of consecutive announcements, with none from the current run in between, after
+// which another run of the same server replaces the current one although its start time is earlier or it had been
+// replaced. Delayed announcements arrive singly or in a short series, while a running server sends one with each
+// heartbeat. Until it is confirmed, for a few heartbeats, the run gets no new work.
+const contenderConfirmations = 3
 
-// announcements holds what backend servers say of themselves where they announce themselves to control, by run: one start of
-// a server, see [wire.Run]. Of one id at most one run is held.
+// announcements holds what backend servers announce to control, by run: a run is one start of a server, see
+// [wire.Run]. For each server ID at most one run is current.
 type announcements struct {
 	byRun      map[string]*wire.Announcement
-	ended      nameSet                    // runs that have ended for good
-	replaced   nameSet                    // runs that another took the place of
-	contenders map[string]*wire.Contender // by id
+	ended      nameSet                    // runs that have ended permanently
+	replaced   nameSet                    // runs that another run of the same server has replaced
+	contenders map[string]*wire.Contender // by server ID; runs that are not yet confirmed
 }
 
-// nameSet is a bounded set of names, oldest first.
+// nameSet is a bounded set of names in insertion order.
 type nameSet struct {
 	has   map[string]bool
 	order []string
@@ -35,7 +36,7 @@
 
 func newNameSet() nameSet { return nameSet{has: make(map[string]bool)} }
 
-// add adds a name, and forgets the oldest beyond the limit.
+// add adds a name and evicts the oldest ones beyond the limit.
 func (n *nameSet) add(name string, limit int) {
 	if n.has[name] {
 		return
@@ -51,7 +52,7 @@
 func (n *nameSet) remove(name string) {
 	if n.has[name] {
 		delete(n.has, name)
-		n.order = slices.DeleteFunc(n.order, func(one string) bool { return one == name })
+		n.order = slices.DeleteFunc(n.order, func(existing string) bool { return existing == name })
 	}
 }
 
@@ -64,17 +65,17 @@
 	}
 }
 
-// held is the run of a server that is held, nil if there is none.
-func (a *announcements) held(id string) *wire.Announcement {
-	for _, held := range a.byRun {
-		if held.GetServer() == id {
-			return held
+// currentRun returns the announcement of the current run of a server, nil if there is none.
+func (a *announcements) currentRun(id string) *wire.Announcement {
+	for _, announcement := range a.byRun {
+		if announcement.GetServer() == id {
+			return announcement
 		}
 	}
 	return nil
 }
 
-// announceServers takes announcements, each of which has a result of its own.
+// announceServers applies a batch of announcements. The result holds one result for each of them, in order.
 func (s *State) announceServers(cmd *wire.AnnounceServers) *wire.CommandResult {
 	out := accepted()
 	for _, announcement := range cmd.GetAnnouncements() {
@@ -83,10 +84,10 @@
 	return out
 }
 
-// announceServer takes an announcement. One with an older sequence is late and changes nothing, and so does one of a run that
-// has ended: it may have been held up on the way while its successor took the address.
+// announceServer applies one announcement. An announcement with an older sequence number changes nothing, and neither
+// does one of a run that has ended: it may have been delayed while the server's successor took over the address.
 //
-// Only what others must know leads to a new version of the directory; a repeated announcement doesn't.
+// The directory version changes only if clients have to learn something; a repeated announcement does not change it.
 func (s *State) announceServer(in *wire.Announcement) *wire.CommandResult {
 	if problem := s.checkAnnouncement(in); problem != "" {
 		return refuse(result.MalformedBody, "%s", problem)
@@ -99,38 +100,40 @@
 	if old := a.byRun[name]; old != nil {
 		delete(a.contenders, in.GetServer())
 		if in.GetSequence() > old.GetSequence() {
-			s.hold(in)
+			s.storeAnnouncement(in)
 		}
 		return accepted()
 	}
-	held := a.held(in.GetServer())
-	isNewer := !a.replaced.has[name] && (held == nil || in.GetStartedUnixMs() > held.GetStartedUnixMs())
-	if !isNewer && !a.contend(in) {
+	current := a.currentRun(in.GetServer())
+	isNewer := !a.replaced.has[name] && (current == nil || in.GetStartedUnixMs() > current.GetStartedUnixMs())
+	if !isNewer && !a.confirmContender(in) {
 		return accepted()
 	}
-	if held == nil && len(a.byRun) >= s.limits.Announcements {
+	if current == nil && len(a.byRun) >= s.limits.Announcements {
 		return refuse(result.QueueFull, "there are %d announced servers already", len(a.byRun))
 	}
-	if held != nil {
-		s.replace(held)
+	if current != nil {
+		s.replaceRun(current)
 	}
-	s.hold(in)
+	s.storeAnnouncement(in)
 	return accepted()
 }
 
-// checkAnnouncement returns what is wrong with an announcement, or "". One that introduces a run names a service of the
-// desired state in force; one of a service that an operator has taken away still says that it leaves.
+// checkAnnouncement returns what is wrong with an announcement, or "". An announcement that introduces a run must
+// name a service of the current desired state. A run that is already current may still announce that it is draining
+// after an operator has removed its service.
 //
-// Announcements may come from other writers. One with a service that nobody knows would take a sound server's address from it.
+// Announcements may come from other writers. One that names an unknown service would take over the address of a
+// working server.
 func (s *State) checkAnnouncement(in *wire.Announcement) string {
 	if name := in.GetServer(); name == "" || len(name) > maxName || in.GetAddress() == "" {
 		return "an announcement without a name or an address"
 	}
-	held := s.announcements.held(in.GetServer())
-	if in.GetStartedUnixMs() == 0 && held.GetStartedUnixMs() != 0 {
+	current := s.announcements.currentRun(in.GetServer())
+	if in.GetStartedUnixMs() == 0 && current.GetStartedUnixMs() != 0 {
 		return "an announcement without a time of start, of a server that tells it"
 	}
-	isKnown := held.GetPool() == in.GetPool()
+	isKnown := current.GetPool() == in.GetPool()
 	if s.desired != nil && !isKnown && !hasPool(s.desired, in.GetPool()) {
 		return "an announcement of a service that the desired state doesn't have"
 	}
@@ -141,76 +144,78 @@
 	return slices.ContainsFunc(desired.GetPools(), func(pool *wire.Pool) bool { return pool.GetName() == name })
 }
 
-// contend notes an announcement of a run that isn't the newest as far as known, and tells whether it has shown that it lives.
+// confirmContender records an announcement of a run that is not the newest known one, and reports whether the run is
+// confirmed as running.
 //
-// The time of start can't decide alone: a clock that was set back makes a new run look older than the last, and such a server
-// would be lost for good. Nor can the last announcement: it may have been delayed for seconds.
-func (a *announcements) contend(in *wire.Announcement) bool {
+// The start time alone cannot decide: if a machine's clock is set back, a new run appears older than the previous one
+// and would never be accepted. The latest announcement alone cannot decide either, since it may have been delayed for
+// seconds.
+func (a *announcements) confirmContender(in *wire.Announcement) bool {
 	if in.GetDraining() {
 		return false
 	}
-	known := a.contenders[in.GetServer()]
-	times := uint32(1)
-	if known != nil && known.Run() == in.Run() {
-		if in.GetSequence() <= known.GetSequence() {
+	previous := a.contenders[in.GetServer()]
+	confirmations := uint32(1)
+	if previous != nil && previous.Run() == in.Run() {
+		if in.GetSequence() <= previous.GetSequence() {
 			return false
 		}
-		times = known.GetTimes() + 1
+		confirmations = previous.GetTimes() + 1
 	}
-	if times >= runReturns {
+	if confirmations >= contenderConfirmations {
 		delete(a.contenders, in.GetServer())
 		return true
 	}
 	a.contenders[in.GetServer()] = &wire.Contender{
-		Server: in.GetServer(), StartedUnixMs: in.GetStartedUnixMs(), Sequence: in.GetSequence(), Times: times,
+		Server: in.GetServer(), StartedUnixMs: in.GetStartedUnixMs(), Sequence: in.GetSequence(), Times: confirmations,
 	}
 	return false
 }
 
-// hold puts an announcement in force.
-func (s *State) hold(in *wire.Announcement) {
+// storeAnnouncement makes an announcement the current one of its server.
+func (s *State) storeAnnouncement(in *wire.Announcement) {
 	a := &s.announcements
 	name := in.Run().String()
-	s.supersede(in)
-	if !sameService(a.byRun[name], in) {
-		s.raiseDirectory(announcementPrefix + name)
+	s.removeOthersAtAddress(in)
+	if !equalExceptSequence(a.byRun[name], in) {
+		s.advanceDirectoryVersion(announcementPrefix + name)
 	}
 	a.byRun[name] = proto.CloneOf(in)
 	a.replaced.remove(name)
 	delete(a.contenders, in.GetServer())
 }
 
-// replace takes a run out of the directory for another of the same server.
-func (s *State) replace(held *wire.Announcement) {
-	name := held.Run().String()
-	s.drop(name)
+// replaceRun removes a run from the directory because another run of the same server replaces it.
+func (s *State) replaceRun(current *wire.Announcement) {
+	name := current.Run().String()
+	s.removeRun(name)
 	s.announcements.replaced.add(name, s.limits.EndedServers)
 }
 
-// drop takes a run out of the directory.
-func (s *State) drop(name string) {
+// removeRun removes a run and its advice from the directory.
+func (s *State) removeRun(name string) {
 	delete(s.announcements.byRun, name)
-	s.raiseDirectory(announcementPrefix + name)
-	s.dropAdvice(name)
+	s.advanceDirectoryVersion(announcementPrefix + name)
+	s.removeAdvice(name)
 }
 
-// supersede takes other servers off the address at which one announces itself: a server that starts again may have a new
-// id, and its predecessor, which crashed, can't say that it is gone. Without this requests for the dead one go on to its
-// successor, which refuses them by the id.
+// removeOthersAtAddress removes other servers that are announced at the address of an announcement. A server that
+// crashed and restarted may have a new ID, and its predecessor cannot deregister itself. If the old announcement
+// stayed, requests for the old ID would reach the new server, which refuses them.
 //
-// The predecessor isn't ended for good: should this announcement itself have been held up on the way and be the older
-// one, the server that is really there takes the address back with its next.
-func (s *State) supersede(in *wire.Announcement) {
+// The predecessor is not ended permanently: if this announcement was itself delayed and is the older one, the server
+// that is running there regains the address with its next announcement.
+func (s *State) removeOthersAtAddress(in *wire.Announcement) {
 	a := &s.announcements
 	for _, name := range slices.Sorted(maps.Keys(a.byRun)) {
 		if name != in.Run().String() && a.byRun[name].GetAddress() == in.GetAddress() {
-			s.drop(name)
+			s.removeRun(name)
 		}
 	}
 }
 
-// sameService tells whether two announcements of a run say the same but for their sequence.
-func sameService(a, b *wire.Announcement) bool {
+// equalExceptSequence reports whether two announcements of a run differ at most in their sequence numbers.
+func equalExceptSequence(a, b *wire.Announcement) bool {
 	if a == nil {
 		return false
 	}
@@ -219,8 +224,9 @@
 	return proto.Equal(a, b)
 }
 
-// endServer ends a run for good. An end that names no run is of the one that is held. If that tells when it started, the end
-// may be a late one of the run before, so it holds until the run goes on to announce itself.
+// endServer ends a run permanently. If the command has no start time but the current run has one, the command may be
+// a delayed one for the previous run; the current run is then removed only until it is confirmed by further
+// announcements.
 func (s *State) endServer(cmd *wire.EndServer) *wire.CommandResult {
 	a := &s.announcements
 	name := cmd.Run().String()
@@ -228,12 +234,12 @@
 		return accepted()
 	}
 	delete(a.contenders, cmd.GetServer())
-	if held := a.held(cmd.GetServer()); cmd.GetStartedUnixMs() == 0 && held.GetStartedUnixMs() != 0 {
-		s.replace(held)
+	if current := a.currentRun(cmd.GetServer()); cmd.GetStartedUnixMs() == 0 && current.GetStartedUnixMs() != 0 {
+		s.replaceRun(current)
 		return accepted()
 	}
 	if a.byRun[name] != nil {
-		s.drop(name)
+		s.removeRun(name)
 	}
 	a.ended.add(name, s.limits.EndedServers)
 	return accepted()
@@ -254,14 +260,15 @@
 	}
 }
 
-// Announcements returns what announced servers say of themselves, sorted by run.
-func (s *State) Announcements() []*wire.Announcement { return sorted(s.announcements.byRun) }
+// Announcements returns the announcements of all current runs, sorted by run.
+func (s *State) Announcements() []*wire.Announcement { return sortedValues(s.announcements.byRun) }
 
-// Announcement returns what a run of a server says of itself, nil if it isn't known or has ended.
+// Announcement returns the announcement of a run, nil if the run is unknown or not current.
 func (s *State) Announcement(run string) *wire.Announcement { return s.announcements.byRun[run] }
 
-// HasRunEnded tells whether a run is known to have ended for good.
+// HasRunEnded reports whether a run is known to have ended permanently.
 func (s *State) HasRunEnded(run string) bool { return s.announcements.ended.has[run] }
 
-// IsContested tells whether another run than the one that is held announces itself under an id. Then announcements of both count.
+// IsContested reports whether another run than the current one is announcing itself under the server ID. While it is,
+// repeated announcements of both runs must be committed, since they decide which run is current.
 func (s *State) IsContested(server string) bool { return s.announcements.contenders[server] != nil }
--- a/state/announcements_test.go
+++ b/state/announcements_test.go
@@ -20,7 +20,7 @@
 	return &wire.Command{Kind: &wire.Command_EndServer{EndServer: &wire.EndServer{Server: server}}}
 }
 
-func serversOf(s *State) []string {
+func announcedServers(s *State) []string {
 	var names []string
 	for _, a := range s.Announcements() {
 		names = append(names, a.GetServer())
@@ -28,11 +28,11 @@
 	return names
 }
 
-// Symptom: a server that drains gets new work. Sequence: it announces that it drains; an announcement from before, held
-// up on the way, arrives after it. Cause: announcements taken in order of arrival.
-func TestLateAnnouncementChangesNothing(t *testing.T) {
+// An announcement from before a drain that arrives after it must not make the server accept work again. Announcements
+// are ordered by sequence number, not by arrival.
+func TestDelayedAnnouncementIsIgnored(t *testing.T) {
 	l := newLog(t)
-	l.other = New()
+	l.replica = New()
 	l.accept(announce("s1", "10.0.0.1:1", 1, false))
 	l.accept(announce("s1", "10.0.0.1:1", 5, true))
 	version := l.state.DirectoryVersion()
@@ -40,31 +40,31 @@
 	require.True(t, l.state.Announcement("s1").GetDraining())
 	require.Equal(t, version, l.state.DirectoryVersion())
 	l.accept(announce("s1", "10.0.0.1:1", 6, true))
-	require.Equal(t, version, l.state.DirectoryVersion(), "a repeated announcement is no news")
+	require.Equal(t, version, l.state.DirectoryVersion(), "a repeated announcement does not change the directory version")
 	l.restart()
 	require.True(t, l.state.Announcement("s1").GetDraining())
 }
 
-// Symptom: each request for a model server is refused by it (421) and sent on to the next one, until the retry budget is
-// gone. Sequence: the server crashes and starts again at its address with a new name; its old name, which nobody ended,
-// stays in the directory beside the new one. Cause: announcements kept by name alone.
-func TestServerThatStartsAgainTakesItsAddress(t *testing.T) {
+// A server that crashes and restarts at its address under a new name must replace its old name in the directory.
+// Otherwise requests for the old name reach the new server, which refuses them with 421, until the retry budget is
+// used up.
+func TestRestartedServerReplacesPredecessorAtAddress(t *testing.T) {
 	l := newLog(t)
 	l.accept(announce("old", "10.0.0.1:1", 9, false))
 	l.accept(announce("other", "10.0.0.2:1", 1, false))
 	l.accept(announce("new", "10.0.0.1:1", 1, false))
-	require.Equal(t, []string{"new", "other"}, serversOf(l.state))
+	require.Equal(t, []string{"new", "other"}, announcedServers(l.state))
 	require.Contains(t, l.state.DirectorySince(1).GetRemovedAnnouncements(), "old")
-	// The name wasn't ended: were "new" the one that was held up, its successor must get the address back.
+	// The old name has not ended: if the announcement of "new" was the delayed one, "old" must regain the address.
 	l.accept(announce("old", "10.0.0.1:1", 10, false))
-	require.Equal(t, []string{"old", "other"}, serversOf(l.state))
+	require.Equal(t, []string{"old", "other"}, announcedServers(l.state))
 }
 
-// Symptom: requests go to an address at which another service runs. Sequence: a server leaves and is ended; one of its
-// announcements was held up and arrives afterwards, also after a restart of the group. Cause: an end that isn't kept.
+// An announcement that was delayed past the end of its server must not restore the server, also after a restart from
+// a snapshot. Otherwise requests go to an address at which another service may run.
 func TestEndedServerStaysEnded(t *testing.T) {
 	l := newLog(t)
-	l.other = New()
+	l.replica = New()
 	l.accept(announce("s1", "10.0.0.1:1", 1, false))
 	l.accept(endServer("s1"))
 	l.accept(endServer("never-heard-of"))
@@ -75,7 +75,8 @@
 	require.True(t, l.state.HasRunEnded("s1"))
 }
 
-func TestEndedNamesAreBounded(t *testing.T) {
+// Without a bound, the names of ended servers would grow the state indefinitely. The oldest are evicted first.
+func TestEndedRunsAreBounded(t *testing.T) {
 	limits := DefaultLimits
 	limits.EndedServers = 2
 	l := newLog(t)
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// benchmarkApply measures decoding and applying of prepared commands, as a replica does both.
+// benchmarkApply measures decoding and applying prepared commands, as a replica does for each log entry.
 func benchmarkApply(b *testing.B, l *log, command func(i int) *wire.Command) {
 	encoded := make([][]byte, b.N)
 	for i := range encoded {
@@ -33,8 +33,8 @@
 	}
 }
 
-// roomy lets a benchmark run as long as it wants.
-func roomy(b *testing.B) *log {
+// newUnboundedLog returns a log whose limit of operations is high enough for any number of benchmark iterations.
+func newUnboundedLog(b *testing.B) *log {
 	l := newLog(b)
 	limits := DefaultLimits
 	limits.Operations = 1 << 30
@@ -44,7 +44,7 @@
 }
 
 func BenchmarkApplyPutClass(b *testing.B) {
-	l := roomy(b)
+	l := newUnboundedLog(b)
 	benchmarkApply(b, l, func(i int) *wire.Command {
 		cmd := putClass(class("gate-check"), uint64(i+1), fmt.Sprint("change-", i))
 		if i == 0 {
@@ -55,12 +55,12 @@
 }
 
 func BenchmarkApplyBegin(b *testing.B) {
-	l := roomy(b)
+	l := newUnboundedLog(b)
 	benchmarkApply(b, l, func(i int) *wire.Command { return begin(fmt.Sprint("key-", i), "e", 1, fmt.Sprint("request-", i)) })
 }
 
 func BenchmarkApplyBeginComplete(b *testing.B) {
-	l := roomy(b)
+	l := newUnboundedLog(b)
 	body := string(make([]byte, 400))
 	benchmarkApply(b, l, func(i int) *wire.Command {
 		key, request := fmt.Sprint("key-", i/2), fmt.Sprint("request-", i/2)
@@ -72,12 +72,12 @@
 }
 
 func BenchmarkApplyRegisterAgent(b *testing.B) {
-	l := roomy(b)
+	l := newUnboundedLog(b)
 	benchmarkApply(b, l, func(i int) *wire.Command { return agent(fmt.Sprint("agent-", i%1700), uint64(i+1), typicalServer(i)) })
 }
 
 func BenchmarkApplyExpire(b *testing.B) {
-	l := roomy(b)
+	l := newUnboundedLog(b)
 	for i := range b.N {
 		l.accept(begin(fmt.Sprint("key-", i), "e", 1, "r"))
 		l.accept(complete(fmt.Sprint("key-", i), "r", 1, "a"))
@@ -90,9 +90,9 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot, with its encoding, of 100,000 records of keyed requests.
+// BenchmarkSnapshot measures creating and encoding a snapshot of 100,000 records of keyed requests.
 func BenchmarkSnapshot(b *testing.B) {
-	l := sized(b, 100_000, 0, 0)
+	l := newFilledLog(b, 100_000, 0, 0)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -102,16 +102,18 @@
 	}
 }
 
+// typicalServer returns a server record with all fields that agents usually set.
 func typicalServer(i int) *wire.ServerRecord {
-	s := ready(fmt.Sprint("server-", i), "model-a", "model-b")
+	s := readyServer(fmt.Sprint("server-", i), "model-a", "model-b")
 	s.Kind, s.Address, s.Slots = KindModel, "10.20.30.40:9000", 64
 	s.Capabilities = &wire.Capabilities{Fencing: "refuses", Kv: true, Resume: true, OnDisconnect: "cancels"}
 	return s
 }
 
-// sized returns a state with so many done operations, classes and agents with one server each.
-func sized(b *testing.B, operations, classes, agents int) *log {
-	l := roomy(b)
+// newFilledLog returns a log whose state holds the given numbers of completed operations, of classes, and of agents
+// with one server each.
+func newFilledLog(b *testing.B, operations, classes, agents int) *log {
+	l := newUnboundedLog(b)
 	body := string(make([]byte, 400))
 	digest := make([]byte, 32)
 	for i := range operations {
@@ -129,26 +131,26 @@
 	return l
 }
 
-// BenchmarkBytes reports how much one record takes in memory and in an encoded snapshot.
+// BenchmarkBytes reports the size of one record in memory and in an encoded snapshot, in bytes.
 func BenchmarkBytes(b *testing.B) {
-	const many = 4000
+	const records = 4000
 	for _, test := range []struct {
 		name                        string
 		operations, classes, agents int
-	}{{"operation", many, 0, 0}, {"class", 0, many, 0}, {"server", 0, 0, many}} {
+	}{{"operation", records, 0, 0}, {"class", 0, records, 0}, {"server", 0, 0, records}} {
 		b.Run(test.name, func(b *testing.B) {
 			var l *log
 			before := heapBytes()
 			for range b.N {
-				l = sized(b, test.operations, test.classes, test.agents)
+				l = newFilledLog(b, test.operations, test.classes, test.agents)
 			}
 			inMemory := heapBytes() - before
 			data, err := proto.Marshal(l.state.Snapshot())
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(inMemory)/many, "heap-B/record")
-			b.ReportMetric(float64(len(data))/many, "snapshot-B/record")
+			b.ReportMetric(float64(inMemory)/records, "heap-B/record")
+			b.ReportMetric(float64(len(data))/records, "snapshot-B/record")
 			runtime.KeepAlive(l)
 		})
 	}
@@ -162,7 +164,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkNoteCrash notes crashes of servers that ran five requests each, in a state that holds as many records as it may.
+// BenchmarkNoteCrash measures recording crashes of servers that ran five requests each, with the number of poison
+// records at its limit.
 func BenchmarkNoteCrash(b *testing.B) {
 	s := New()
 	for i := range uint64(b.N) {
--- a/state/class.go
+++ b/state/class.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Values of the fields of a class.
+// Values of class fields.
 const (
 	// HighestTier is the tier that is shed last.
 	HighestTier = 1
@@ -18,31 +18,31 @@
 	// MaxDeadline is the longest deadline that a class may have.
 	MaxDeadline = 24 * time.Hour
 
-	// KindModel is a class of completions.
+	// KindModel is the kind of classes for completions by models.
 	KindModel = "model"
-	// KindService is a class of calls to plain services.
+	// KindService is the kind of classes for calls to other services.
 	KindService = "service"
 
-	// PreemptAllowed lets a higher tier take the place of running work.
+	// PreemptAllowed lets work of a higher tier preempt running work.
 	PreemptAllowed = "allowed"
-	// PreemptNever lets running work end.
+	// PreemptNever lets running work finish.
 	PreemptNever = "never"
 )
 
-var className = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var classNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// CheckClass returns what is wrong with a class, or "".
+// CheckClass returns the first invalid field of a class and what is valid for it, or "".
 func CheckClass(c *wire.Class) string {
 	switch {
-	case !className.MatchString(c.GetName()):
+	case !classNamePattern.MatchString(c.GetName()):
 		return "name: 1 to 64 letters, digits, '.', '_' or '-', and a letter or digit first"
 	case c.GetTier() < HighestTier || c.GetTier() > LowestTier:
 		return "tier: 1, 2 or 3"
 	case c.GetDeadlineMs() == 0 || int64(c.GetDeadlineMs()) > MaxDeadline.Milliseconds():
 		return "deadline_ms: 1 to 86400000"
-	case !isShare(c.GetLateMax()):
+	case !isFraction(c.GetLateMax()):
 		return "late_max: a share from 0 to 1"
-	case !isShare(c.GetLostMax()):
+	case !isFraction(c.GetLostMax()):
 		return "lost_max: a share from 0 to 1"
 	case c.GetKind() != KindModel && c.GetKind() != KindService:
 		return "kind: model or service"
@@ -53,11 +53,12 @@
 	}
 }
 
-// isShare is false for what is no number, too.
-func isShare(v float64) bool {
+// isFraction reports whether v is between 0 and 1. It is false for NaN.
+func isFraction(v float64) bool {
 	return v >= 0 && v <= 1
 }
 
+// putClass creates or replaces a class.
 func (s *State) putClass(cmd *wire.PutClass) *wire.CommandResult {
 	class := proto.CloneOf(cmd.GetClass())
 	if problem := CheckClass(class); problem != "" {
@@ -75,6 +76,7 @@
 	return res
 }
 
+// deleteClass deletes a class and returns it in the result.
 func (s *State) deleteClass(cmd *wire.DeleteClass) *wire.CommandResult {
 	class := s.classes[cmd.GetName()]
 	if class == nil {
@@ -84,17 +86,18 @@
 		return res
 	}
 	delete(s.classes, cmd.GetName())
-	s.raiseConfig(cmd.GetName())
+	s.advanceConfigVersion(cmd.GetName())
 	res := accepted()
 	res.Class = class
 	return res
 }
 
-// checkVersion compares the version that an operator saw with the one in force, and returns a refusal or nil. It
-// matches the version of the class, 0 where there is no such class, and as well the version of the whole
-// configuration: then nothing at all was changed since the operator looked.
+// checkVersion compares the version that an operator has read with the current one, and returns a refusal or nil. It
+// accepts the version of the class, 0 if there is no such class, and the version of the whole configuration, which
+// implies that nothing has changed since the operator read it.
 //
-// Without this, of two operators who saw the same version the second would undo the first one's change unseen.
+// Without this check, if two operators read the same version, the second would overwrite the first one's change
+// without seeing it.
 func (s *State) checkVersion(name string, ifMatch uint64) *wire.CommandResult {
 	class := s.classes[name]
 	if ifMatch == class.GetVersion() || (ifMatch == s.configVersion && ifMatch != 0) {
@@ -106,8 +109,8 @@
 	return res
 }
 
-// initializeClasses sets the first classes of a group, all or none, so that a crash in between leaves nothing that
-// is half set.
+// initializeClasses sets the first classes of a new group of control instances, all or none, so that a crash cannot
+// leave them partly set. It changes nothing if the configuration has a version already.
 func (s *State) initializeClasses(cmd *wire.InitializeClasses) *wire.CommandResult {
 	if s.configVersion != 0 {
 		return accepted()
@@ -129,12 +132,12 @@
 func (s *State) setClass(class *wire.Class) {
 	class.Version = s.index
 	s.classes[class.GetName()] = class
-	s.raiseConfig(class.GetName())
+	s.advanceConfigVersion(class.GetName())
 }
 
-// raiseConfig takes the index of the present command as the version of the configuration. Indexes rise, so the
-// version never falls.
-func (s *State) raiseConfig(name string) {
+// advanceConfigVersion makes the index of the current command the version of the configuration. Log indexes only
+// increase, so versions do too.
+func (s *State) advanceConfigVersion(name string) {
 	s.configHistory.add(s.configVersion, s.index, name)
 	s.configVersion = s.index
 }
--- a/state/class_test.go
+++ b/state/class_test.go
@@ -11,7 +11,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestClassIsChecked(t *testing.T) {
+// A class with a field that is out of range must be refused with a message that names the field.
+func TestClassValidation(t *testing.T) {
 	cases := map[string]func(*wire.Class){
 		"name":        func(c *wire.Class) { c.Name = "" },
 		"name ":       func(c *wire.Class) { c.Name = "a/b" },
@@ -28,32 +29,32 @@
 		"kind":      func(c *wire.Class) { c.Kind = "" },
 		"preempt":   func(c *wire.Class) { c.Preempt = "" },
 	}
-	for field, spoil := range cases {
+	for field, invalidate := range cases {
 		l := newLog(t)
 		c := class("gate-check")
-		spoil(c)
+		invalidate(c)
 		res := l.refuse(result.InvalidClass, putClass(c, 0, ""))
 		require.Contains(t, res.GetMessage(), strings.TrimSpace(field))
 		require.Zero(t, l.state.ConfigVersion())
 	}
 }
 
-// Symptom: an operator's change is undone by another operator who never saw it.
-// Sequence: both read version V, both send a change with V.
-// Cause: a change that is applied without comparing, or compared outside the log.
-func TestOneOfEqualVersionsWins(t *testing.T) {
+// Two operators read the same version and both send a change based on it. The second must be refused, or it would
+// undo the first one's change unseen.
+func TestConcurrentChangesConflict(t *testing.T) {
 	l := newLog(t)
 	created := l.accept(putClass(class("a"), 0, "")).GetClass().GetVersion()
 	require.Equal(t, l.state.ConfigVersion(), created)
-	won := l.accept(putClass(class("a"), created, "")).GetClass().GetVersion()
-	lost := l.refuse(result.VersionConflict, putClass(class("a"), created, ""))
-	require.Equal(t, won, lost.GetClass().GetVersion(), "the loser hears the version in force")
+	current := l.accept(putClass(class("a"), created, "")).GetClass().GetVersion()
+	conflict := l.refuse(result.VersionConflict, putClass(class("a"), created, ""))
+	require.Equal(t, current, conflict.GetClass().GetVersion(), "the conflict returns the current version")
 	l.refuse(result.VersionConflict, putClass(class("a"), 0, ""))
 	l.refuse(result.VersionConflict, deleteClass("a", created))
-	l.refuse(result.VersionConflict, putClass(class("b"), won+7, ""))
+	l.refuse(result.VersionConflict, putClass(class("b"), current+7, ""))
 }
 
-func TestVersionOfTheWholeConfigurationMatches(t *testing.T) {
+// The version of the whole configuration is accepted as If-Match, and conflicts once any class has changed.
+func TestConfigVersionIsAcceptedAsIfMatch(t *testing.T) {
 	l := newLog(t)
 	old := l.accept(putClass(class("a"), 0, "")).GetVersion()
 	whole := l.accept(putClass(class("b"), 0, "")).GetVersion()
@@ -62,20 +63,20 @@
 	l.refuse(result.VersionConflict, putClass(class("a"), old, ""))
 }
 
+// A change based on a version of a deleted class must conflict instead of restoring the class.
 func TestDeletedClass(t *testing.T) {
 	l := newLog(t)
 	v := l.accept(putClass(class("a"), 0, "")).GetVersion()
-	gone := l.accept(deleteClass("a", v)).GetVersion()
-	require.Greater(t, gone, v)
+	deleted := l.accept(deleteClass("a", v)).GetVersion()
+	require.Greater(t, deleted, v)
 	require.Nil(t, l.state.Class("a"))
 	l.refuse(result.UnknownClass, deleteClass("a", v))
 	l.refuse(result.VersionConflict, putClass(class("a"), v, ""))
 	l.accept(putClass(class("a"), 0, ""))
 }
 
-// Symptom: an operator is told "conflict" about the own change.
-// Sequence: the change is committed, its answer is lost, the operator sends it again, also after a restore.
-// Cause: a resend that is compared like a new change.
+// An operator sends a committed change again because the answer was lost, also after a restore. It must get the first
+// result instead of a conflict with its own change.
 func TestResentChange(t *testing.T) {
 	l := newLog(t)
 	first := l.accept(putClass(class("a"), 0, "id"))
@@ -93,7 +94,8 @@
 	l.accept(other)
 }
 
-func TestChangesAreForgotten(t *testing.T) {
+// Without eviction by number and age, the stored results of changes would grow the state indefinitely.
+func TestChangesAreEvicted(t *testing.T) {
 	limits := DefaultLimits
 	limits.Changes = 2
 	l := newLog(t)
@@ -108,6 +110,7 @@
 	require.Equal(t, 1, l.state.Counts().Changes)
 }
 
+// Initial classes must be set all or none, and must not restore classes that operators have deleted since.
 func TestInitialClasses(t *testing.T) {
 	l := newLog(t)
 	init := func(classes ...*wire.Class) *wire.Command {
@@ -122,7 +125,8 @@
 	require.Nil(t, l.state.Class("a"))
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+// A command delivered a second time at the same log index must not be applied again.
+func TestIndexIsAppliedOnce(t *testing.T) {
 	l := newLog(t)
 	l.accept(putClass(class("a"), 0, ""))
 	res := l.state.Apply(l.index, putClass(class("b"), 0, ""))
@@ -130,6 +134,7 @@
 	require.Nil(t, l.state.Class("b"), "an index is applied once")
 }
 
+// The limit on classes must refuse new classes but not changes to existing ones.
 func TestTooManyClasses(t *testing.T) {
 	limits := DefaultLimits
 	limits.Classes = 1
@@ -140,6 +145,8 @@
 	l.accept(putClass(class("a"), v, ""))
 }
 
+// A client must get the changes since its version, or the full configuration if the history does not reach back that
+// far or was lost in a restore. Otherwise the client would miss changes.
 func TestConfigSince(t *testing.T) {
 	limits := DefaultLimits
 	limits.History = 4
@@ -159,15 +166,16 @@
 	for range 6 {
 		l.accept(putClass(class("c"), l.state.Class("c").GetVersion(), ""))
 	}
-	require.True(t, l.state.ConfigSince(a).GetFull(), "older than the history")
+	require.True(t, l.state.ConfigSince(a).GetFull(), "the history does not reach back that far")
 	require.True(t, Restore(l.state.Snapshot()).ConfigSince(b).GetFull(), "no history after a restore")
 }
 
-func TestClockNeverFalls(t *testing.T) {
+// The time of the state must not go back when a new leader has a slower clock.
+func TestLeaderTimeIsMonotonic(t *testing.T) {
 	l := newLog(t)
 	l.accept(raiseFence())
-	was := l.state.LeaderUnixMS()
+	before := l.state.LeaderUnixMS()
 	l.now -= 1000
 	l.accept(raiseFence())
-	require.Equal(t, was, l.state.LeaderUnixMS())
+	require.Equal(t, before, l.state.LeaderUnixMS())
 }
--- a/state/desired.go
+++ b/state/desired.go
@@ -10,22 +10,23 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// desiredName stands in the configuration's history for the desired state. No class may have that name.
-const desiredName = "/desired"
+// desiredStateName represents the desired state in the configuration history. It is not a valid class name.
+const desiredStateName = "/desired"
 
 // CheckDesired returns what is wrong with a desired state, or "".
 func CheckDesired(d *wire.DesiredState) string {
-	pools, problem := poolsOf(d)
+	pools, problem := checkPools(d)
 	if problem != "" {
 		return problem
 	}
 	if problem := checkRoutes(d.GetRoutes(), pools); problem != "" {
 		return problem
 	}
-	return checkMembers(d.GetOrganisations())
+	return checkOrganisations(d.GetOrganisations())
 }
 
-func poolsOf(d *wire.DesiredState) (map[string]*wire.Pool, string) {
+// checkPools returns the pools by name, or what is wrong with them.
+func checkPools(d *wire.DesiredState) (map[string]*wire.Pool, string) {
 	pools := make(map[string]*wire.Pool, len(d.GetPools()))
 	for _, pool := range d.GetPools() {
 		switch {
@@ -40,17 +41,17 @@
 }
 
 func checkRoutes(routes []*wire.Route, pools map[string]*wire.Pool) string {
-	places := make(map[string]bool, len(routes))
+	hostPrefixes := make(map[string]bool, len(routes))
 	names := make(map[string]bool, len(routes))
 	for _, route := range routes {
-		place := route.GetHost() + " " + route.GetPrefix()
+		hostPrefix := route.GetHost() + " " + route.GetPrefix()
 		switch {
 		case names[route.GetName()]:
 			return fmt.Sprintf("route %q is there twice", route.GetName())
-		case places[place]:
+		case hostPrefixes[hostPrefix]:
 			return fmt.Sprintf("route %q has the host and prefix of another", route.GetName())
 		}
-		names[route.GetName()], places[place] = true, true
+		names[route.GetName()], hostPrefixes[hostPrefix] = true, true
 		if problem := checkRoute(route, pools); problem != "" {
 			return fmt.Sprintf("route %q: %s", route.GetName(), problem)
 		}
@@ -69,11 +70,11 @@
 		return problem
 	}
 	total := uint64(0)
-	for _, to := range route.GetPools() {
-		if pools[to.GetPool()] == nil {
-			return fmt.Sprintf("no service %q", to.GetPool())
+	for _, weighted := range route.GetPools() {
+		if pools[weighted.GetPool()] == nil {
+			return fmt.Sprintf("no service %q", weighted.GetPool())
 		}
-		total += uint64(to.GetWeight())
+		total += uint64(weighted.GetWeight())
 	}
 	if total == 0 {
 		return "its weights add up to 0"
@@ -81,29 +82,29 @@
 	return ""
 }
 
-func checkMembers(members []*wire.Member) string {
-	names := make(map[string]bool, len(members))
-	holders := make(map[string]string)
-	for _, member := range members {
-		if names[member.GetName()] {
-			return fmt.Sprintf("organisation %q is there twice", member.GetName())
+func checkOrganisations(organisations []*wire.Member) string {
+	names := make(map[string]bool, len(organisations))
+	ownerByKey := make(map[string]string)
+	for _, organisation := range organisations {
+		if names[organisation.GetName()] {
+			return fmt.Sprintf("organisation %q is there twice", organisation.GetName())
 		}
-		names[member.GetName()] = true
-		for _, key := range member.GetKeys() {
-			if holder, taken := holders[key]; taken {
-				return fmt.Sprintf("organisations %q and %q share a key", holder, member.GetName())
+		names[organisation.GetName()] = true
+		for _, key := range organisation.GetKeys() {
+			if owner, isShared := ownerByKey[key]; isShared {
+				return fmt.Sprintf("organisations %q and %q share a key", owner, organisation.GetName())
 			}
-			holders[key] = member.GetName()
+			ownerByKey[key] = organisation.GetName()
 		}
 	}
 	return ""
 }
 
-// putDesired puts a desired state in force if its version is above the one held. Whoever sends the same or an older one
-// is told that it is taken care of, and nothing changes.
+// putDesired replaces the desired state if its version is higher than the current one. The same or an older version
+// is accepted and changes nothing.
 //
-// Were an older change that arrives late put in force, routes that operators had taken away would be back; one would
-// notice by requests at services that nobody wants to be called any more.
+// If an older version that arrives late were applied, routes that operators have removed would return, and requests
+// would reach services that should no longer be called.
 func (s *State) putDesired(cmd *wire.PutDesiredState) *wire.CommandResult {
 	if cmd.GetDesired().GetVersion() <= s.desired.GetVersion() && s.desired != nil {
 		return accepted()
@@ -116,14 +117,14 @@
 		route.Class.Version = s.index
 	}
 	s.desiredIndex = s.index
-	s.raiseConfig(desiredName)
+	s.advanceConfigVersion(desiredStateName)
 	return accepted()
 }
 
-// Desired returns the desired state in force, nil before the first. It must not be changed.
+// Desired returns the current desired state, nil before the first. The caller must not change it.
 func (s *State) Desired() *wire.DesiredState { return s.desired }
 
-// desiredSince returns the desired state without its document if it came into force after a version, else nil.
+// desiredSince returns the desired state without its document if it was put after the given version, nil otherwise.
 func (s *State) desiredSince(version uint64) *wire.DesiredState {
 	if s.desired == nil || s.desiredIndex <= version {
 		return nil
--- a/state/desired_test.go
+++ b/state/desired_test.go
@@ -14,14 +14,14 @@
 	return &wire.Route{Name: name, Host: "a.example", Prefix: prefix, Class: c, Pools: pools}
 }
 
-func whole(pool string) *wire.WeightedPool { return &wire.WeightedPool{Pool: pool, Weight: 1} }
+func fullWeight(pool string) *wire.WeightedPool { return &wire.WeightedPool{Pool: pool, Weight: 1} }
 
 func desiredState(version uint64) *wire.DesiredState {
 	return &wire.DesiredState{
 		Version:       version,
 		Document:      []byte("as sent"),
 		Pools:         []*wire.Pool{{Name: "models", Kind: KindModel}, {Name: "desk", Kind: KindService}},
-		Routes:        []*wire.Route{routeTo("one", "/one/", whole("models")), routeTo("two", "/two/", whole("desk"))},
+		Routes:        []*wire.Route{routeTo("one", "/one/", fullWeight("models")), routeTo("two", "/two/", fullWeight("desk"))},
 		Organisations: []*wire.Member{{Name: "compost", Keys: []string{"k1", "k2"}}, {Name: "yatai", Keys: []string{"k3"}}},
 	}
 }
@@ -30,21 +30,20 @@
 	return &wire.Command{Kind: &wire.Command_PutDesiredState{PutDesiredState: &wire.PutDesiredState{Desired: d}}}
 }
 
-// Symptom: routes that operators had taken away are back. Sequence: version 7 is committed; a copy of 5 that was held up,
-// and another content under 7, arrive; the group restarts from a snapshot. Cause: a change that is applied in order of
-// arrival and not by its version.
-func TestHighestDesiredStateStaysInForce(t *testing.T) {
+// A delayed copy of an older version, or other content under the current version, must not replace the desired state.
+// Otherwise routes that operators have removed would return. The check must hold after a restart from a snapshot.
+func TestOlderDesiredStateIsIgnored(t *testing.T) {
 	l := newLog(t)
-	l.other = New()
+	l.replica = New()
 	l.accept(putDesired(desiredState(7)))
 	version := l.state.ConfigVersion()
 	older := desiredState(5)
 	older.Routes = older.GetRoutes()[:1]
 	other := desiredState(7)
 	other.Document = []byte("another content")
-	for _, late := range []*wire.DesiredState{older, other, desiredState(7)} {
-		l.accept(putDesired(late))
-		require.Equal(t, version, l.state.ConfigVersion(), "nothing changed")
+	for _, delayed := range []*wire.DesiredState{older, other, desiredState(7)} {
+		l.accept(putDesired(delayed))
+		require.Equal(t, version, l.state.ConfigVersion(), "the version is unchanged")
 	}
 	l.restart()
 	require.Equal(t, "as sent", string(l.state.Desired().GetDocument()))
@@ -53,7 +52,8 @@
 	require.EqualValues(t, 12, l.state.Desired().GetVersion())
 }
 
-func TestDesiredStateIsChecked(t *testing.T) {
+// A desired state that is invalid must be refused with a message that says why.
+func TestDesiredStateValidation(t *testing.T) {
 	cases := map[string]func(*wire.DesiredState){
 		"no service":      func(d *wire.DesiredState) { d.Routes[0].Pools[0].Pool = "nobody" },
 		"host and":        func(d *wire.DesiredState) { d.Routes[1].Prefix = d.Routes[0].Prefix },
@@ -67,23 +67,24 @@
 		"service \"":      func(d *wire.DesiredState) { d.Pools[1].Name = "models" },
 		"organisation \"": func(d *wire.DesiredState) { d.Organisations[1].Name = "compost" },
 	}
-	for problem, spoil := range cases {
+	for problem, invalidate := range cases {
 		l := newLog(t)
 		d := desiredState(3)
-		spoil(d)
-		require.Contains(t, l.refuse(result.InvalidDesiredState, putDesired(d)).GetMessage(), trimmed(problem))
+		invalidate(d)
+		require.Contains(t, l.refuse(result.InvalidDesiredState, putDesired(d)).GetMessage(), trimTrailingSpaces(problem))
 		require.Nil(t, l.state.Desired())
 	}
 }
 
-func trimmed(s string) string {
+func trimTrailingSpaces(s string) string {
 	for len(s) > 0 && s[len(s)-1] == ' ' {
 		s = s[:len(s)-1]
 	}
 	return s
 }
 
-func TestUpdatesCarryTheDesiredStateOnce(t *testing.T) {
+// Deltas must contain the desired state only after it has changed, and never its document, which only operators read.
+func TestDeltaContainsDesiredStateOnlyIfChanged(t *testing.T) {
 	l := newLog(t)
 	l.accept(putDesired(desiredState(1)))
 	first := l.state.ConfigSince(0)
@@ -92,8 +93,8 @@
 	l.accept(putClass(class("a"), 0, ""))
 	delta := l.state.ConfigSince(first.GetVersion())
 	require.False(t, delta.GetFull())
-	require.Nil(t, delta.GetDesired(), "the client has it")
-	require.Empty(t, delta.GetRemoved(), "the desired state is no class")
+	require.Nil(t, delta.GetDesired(), "the client has it already")
+	require.Empty(t, delta.GetRemoved(), "the desired state is not a removed class")
 	l.accept(putDesired(desiredState(2)))
 	require.EqualValues(t, 2, l.state.ConfigSince(delta.GetVersion()).GetDesired().GetVersion())
 }
--- a/state/directory.go
+++ b/state/directory.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kinds of names in the directory's history.
+// Prefixes of names in the directory history.
 const (
 	agentPrefix = "a/"
 	entryPrefix = "e/"
 )
 
-// registerAgent puts an agent with its servers into the directory. An older incarnation than the last known one is
-// refused: entries take a newer incarnation as proof that the older one's attempts are over, so the directory must
-// never go back to the older.
+// registerAgent puts an agent with its servers into the directory. An incarnation older than the last known one is
+// refused: entries take a newer incarnation as proof that the attempts of the older one are over, so the directory
+// must never return to the older one.
 func (s *State) registerAgent(agent *wire.AgentRecord) *wire.CommandResult {
 	if problem := s.checkAgent(agent); problem != "" {
 		return refuse(result.BadMessage, "%s", problem)
 	}
 	old := s.agents[agent.GetAgent()]
-	newest := max(old.GetIncarnation(), s.ended.newest(wire.Role_ROLE_AGENT, agent.GetAgent()))
+	newest := max(old.GetIncarnation(), s.ended.latest(wire.Role_ROLE_AGENT, agent.GetAgent()))
 	if agent.GetIncarnation() < newest {
 		return refuse(result.AttemptSuperseded, "incarnation %d of agent %s came before", newest, agent.GetAgent())
 	}
@@ -32,16 +32,17 @@
 	}
 	agent = proto.CloneOf(agent)
 	slices.SortFunc(agent.Servers, compareServers)
-	s.forgetLeft(old, agent)
+	s.clearDrainingOfUnlisted(old, agent)
 	s.markDraining(agent)
 	if proto.Equal(old, agent) {
 		return accepted()
 	}
 	s.agents[agent.GetAgent()] = agent
-	s.raiseDirectory(agentPrefix + agent.GetAgent())
+	s.advanceDirectoryVersion(agentPrefix + agent.GetAgent())
 	return accepted()
 }
 
+// checkAgent returns what is wrong with an agent record, or "".
 func (s *State) checkAgent(agent *wire.AgentRecord) string {
 	if problem := checkInstance(agent.GetAgent(), agent.GetIncarnation()); problem != "" {
 		return problem
@@ -59,6 +60,7 @@
 	return ""
 }
 
+// checkInstance returns what is wrong with the name or incarnation of an instance, or "".
 func checkInstance(name string, incarnation uint64) string {
 	if name == "" || len(name) > maxName {
 		return "an instance without a name, or with a long one"
@@ -73,9 +75,10 @@
 	return cmp.Compare(a.GetServer(), b.GetServer())
 }
 
-// forgetLeft ends the draining of servers that the same incarnation of their agent lists no longer: they have left.
-// A new incarnation may start with an empty list before its servers announce themselves again, and shows nothing.
-func (s *State) forgetLeft(old, agent *wire.AgentRecord) {
+// clearDrainingOfUnlisted ends the draining of servers that the same incarnation of their agent has stopped listing:
+// they have left. A new incarnation may start with an empty list before its servers announce themselves again, so its
+// list proves nothing.
+func (s *State) clearDrainingOfUnlisted(old, agent *wire.AgentRecord) {
 	if old.GetIncarnation() != agent.GetIncarnation() {
 		return
 	}
@@ -86,21 +89,23 @@
 	}
 }
 
-// markDraining keeps a server draining that its agent registers as ready, since the agent may not know yet.
+// markDraining sets the condition of draining servers that their agent registers as accepting work, since the agent
+// may not have learnt of the drain yet.
 func (s *State) markDraining(agent *wire.AgentRecord) {
 	for _, server := range agent.GetServers() {
-		if s.draining[server.GetServer()] && mayTakeWork(server.GetCondition()) {
+		if s.draining[server.GetServer()] && acceptsNewWork(server.GetCondition()) {
 			server.Condition = wire.ServerCondition_SERVER_CONDITION_DRAINING
 		}
 	}
 }
 
-func mayTakeWork(c wire.ServerCondition) bool {
+// acceptsNewWork reports whether a server in the condition may get new work.
+func acceptsNewWork(c wire.ServerCondition) bool {
 	return c <= wire.ServerCondition_SERVER_CONDITION_SUSPECT
 }
 
-// removeAgent removes only the named incarnation. The one who proposed it saw that incarnation silent; by the time
-// the command is applied a newer one may have registered.
+// removeAgent removes an agent only if its current incarnation is the named one. The proposer found that incarnation
+// silent; by the time the command is applied, a newer one may have registered.
 func (s *State) removeAgent(cmd *wire.RemoveAgent) *wire.CommandResult {
 	old := s.agents[cmd.GetAgent()]
 	if old == nil || old.GetIncarnation() != cmd.GetIncarnation() {
@@ -108,21 +113,21 @@
 	}
 	delete(s.agents, cmd.GetAgent())
 	s.ended.add(wire.Role_ROLE_AGENT, cmd.GetAgent(), cmd.GetIncarnation(), s.limits.EndedIncarnations)
-	s.raiseDirectory(agentPrefix + cmd.GetAgent())
+	s.advanceDirectoryVersion(agentPrefix + cmd.GetAgent())
 	return accepted()
 }
 
-// registerEntry puts an entry into the directory. Open records of an older incarnation may be taken over from then
-// on, see isGone.
+// registerEntry puts an entry into the directory. From then on, open records of an older incarnation may be taken
+// over, see isUnregistered.
 //
-// An incarnation that was ended doesn't come back: its requests may have been taken over, and agents that know of its
-// end refuse it for good, while those that restarted since would let it run them again.
+// An incarnation that has ended cannot register again: its requests may have been taken over, and agents that know of
+// its end refuse it permanently, while agents that have restarted since would let it run those requests again.
 func (s *State) registerEntry(entry *wire.EntryRecord) *wire.CommandResult {
 	if problem := checkInstance(entry.GetEntry(), entry.GetIncarnation()); problem != "" {
 		return refuse(result.BadMessage, "%s", problem)
 	}
 	old := s.entries[entry.GetEntry()]
-	ended := s.ended.newest(wire.Role_ROLE_ENTRY, entry.GetEntry())
+	ended := s.ended.latest(wire.Role_ROLE_ENTRY, entry.GetEntry())
 	if entry.GetIncarnation() < old.GetIncarnation() || entry.GetIncarnation() <= ended {
 		return refuse(result.AttemptSuperseded, "incarnation %d of entry %s was ended or replaced", entry.GetIncarnation(), entry.GetEntry())
 	}
@@ -133,27 +138,27 @@
 		return accepted()
 	}
 	s.entries[entry.GetEntry()] = proto.CloneOf(entry)
-	s.replaceShares(entry.GetEntry(), entry.GetIncarnation())
-	s.raiseDirectory(entryPrefix + entry.GetEntry())
+	s.endReplacedHolders(entry.GetEntry(), entry.GetIncarnation())
+	s.advanceDirectoryVersion(entryPrefix + entry.GetEntry())
 	return accepted()
 }
 
-// endEntry removes only the named incarnation, see removeAgent.
+// endEntry removes an entry only if its current incarnation is the named one, see removeAgent.
 func (s *State) endEntry(cmd *wire.EndEntry) *wire.CommandResult {
 	old := s.entries[cmd.GetEntry()]
 	if old == nil || old.GetIncarnation() != cmd.GetIncarnation() {
 		return accepted()
 	}
 	delete(s.entries, cmd.GetEntry())
-	s.endShares(cmd.GetEntry(), cmd.GetIncarnation())
+	s.endShareHolder(cmd.GetEntry(), cmd.GetIncarnation())
 	s.ended.add(wire.Role_ROLE_ENTRY, cmd.GetEntry(), cmd.GetIncarnation(), s.limits.EndedIncarnations)
-	s.raiseDirectory(entryPrefix + cmd.GetEntry())
+	s.advanceDirectoryVersion(entryPrefix + cmd.GetEntry())
 	return accepted()
 }
 
-// drainServer asks a server to leave. Its agent and the entries see the condition in the directory.
+// drainServer marks a server as draining. Its agent and the entries see the condition in the directory.
 func (s *State) drainServer(cmd *wire.DrainServer) *wire.CommandResult {
-	agent, server := s.server(cmd.GetServer())
+	agent, server := s.lookUpServer(cmd.GetServer())
 	if server == nil {
 		return refuse(result.UnknownServer, "")
 	}
@@ -167,31 +172,33 @@
 	changed := proto.CloneOf(agent)
 	s.markDraining(changed)
 	s.agents[agent.GetAgent()] = changed
-	s.raiseDirectory(agentPrefix + agent.GetAgent())
+	s.advanceDirectoryVersion(agentPrefix + agent.GetAgent())
 	return accepted()
 }
 
-// server finds a backend server and its agent. While a server moves from one agent to another, both may list it;
-// the agent with the newer incarnation has it then.
-func (s *State) server(name string) (*wire.AgentRecord, *wire.ServerRecord) {
+// lookUpServer returns a backend server and its agent, or nil. While a server moves from one agent to another, both
+// may list it; the agent with the newer incarnation then takes precedence.
+func (s *State) lookUpServer(name string) (*wire.AgentRecord, *wire.ServerRecord) {
 	var foundAgent *wire.AgentRecord
 	var found *wire.ServerRecord
 	for _, agent := range s.agents {
 		server := findServer(agent, name)
-		if server != nil && isNewer(agent, foundAgent) {
+		if server != nil && hasNewerIncarnation(agent, foundAgent) {
 			foundAgent, found = agent, server
 		}
 	}
 	return foundAgent, found
 }
 
-func isNewer(a, b *wire.AgentRecord) bool {
+// hasNewerIncarnation reports whether agent a has a newer incarnation than b. Equal incarnations are ordered by name.
+func hasNewerIncarnation(a, b *wire.AgentRecord) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
 	return a.GetAgent() > b.GetAgent()
 }
 
+// findServer returns the record of a server in that of an agent, nil if the agent does not list it.
 func findServer(agent *wire.AgentRecord, name string) *wire.ServerRecord {
 	for _, server := range agent.GetServers() {
 		if server.GetServer() == name {
@@ -201,7 +208,9 @@
 	return nil
 }
 
-func (s *State) raiseDirectory(name string) {
+// advanceDirectoryVersion makes the index of the current command the version of the directory and records the changed
+// name.
+func (s *State) advanceDirectoryVersion(name string) {
 	s.directoryHistory.add(s.directoryVersion, s.index, name)
 	s.directoryVersion = s.index
 }
--- a/state/directory_test.go
+++ b/state/directory_test.go
@@ -9,9 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: entries dial a process that died, and take its successor's attempts for over.
-// Sequence: a registration sent by the old process is committed after that of the new one, or after its removal.
-// Cause: a registration that replaces whatever is there.
+// A registration by an old process may be committed after that of its successor, or after the removal of the
+// instance. It must be refused, or entries would dial a dead process and take the attempts of its successor for
+// finished.
 func TestOlderIncarnationIsRefused(t *testing.T) {
 	cases := map[string]func(l *log){
 		"agent replaced": func(l *log) {
@@ -38,7 +38,7 @@
 			l.accept(entry("x", 2))
 			l.accept(endEntry("x", 2))
 			l.refuse(result.AttemptSuperseded, entry("x", 1))
-			// Its requests may have been taken over: it never comes back, also after a restart from a snapshot.
+			// Its requests may have been taken over, so it must not register again, also after a restart from a snapshot.
 			l.refuse(result.AttemptSuperseded, entry("x", 2))
 			l.state = Restore(l.state.Snapshot())
 			l.refuse(result.AttemptSuperseded, entry("x", 2))
@@ -50,11 +50,9 @@
 	}
 }
 
-// Symptom: a living agent is missing from the directory.
-// Sequence: the leader sees incarnation 1 silent and proposes its removal; incarnation 2 registers before that is
-// committed.
-// Cause: a removal by name only.
-func TestRemovalOfOneIncarnation(t *testing.T) {
+// The leader proposes the removal of a silent incarnation, and a newer one registers before that is committed. The
+// removal must not remove the newer one from the directory.
+func TestRemovalIsLimitedToOneIncarnation(t *testing.T) {
 	l := newLog(t)
 	l.accept(agent("x", 1))
 	l.accept(agent("x", 2))
@@ -68,18 +66,19 @@
 	require.Nil(t, l.state.Agent("x"))
 }
 
-func TestBadRegistration(t *testing.T) {
+// Registrations with missing, duplicate or too many names must be refused, and so must instances beyond the limit.
+func TestInvalidRegistrationIsRefused(t *testing.T) {
 	l := newLog(t)
 	l.refuse(result.BadMessage, agent("", 1))
 	l.refuse(result.BadMessage, agent("x", 0))
-	l.refuse(result.BadMessage, agent("x", 1, ready("s"), ready("s")))
-	l.refuse(result.BadMessage, agent("x", 1, ready("")))
+	l.refuse(result.BadMessage, agent("x", 1, readyServer("s"), readyServer("s")))
+	l.refuse(result.BadMessage, agent("x", 1, readyServer("")))
 	l.refuse(result.BadMessage, entry("", 1))
 	l.refuse(result.BadMessage, &wire.Command{})
 	limits := DefaultLimits
 	limits.Instances, limits.ServersPerAgent = 1, 1
 	l.state = newState(limits)
-	l.refuse(result.BadMessage, agent("x", 1, ready("s"), ready("t")))
+	l.refuse(result.BadMessage, agent("x", 1, readyServer("s"), readyServer("t")))
 	l.accept(agent("x", 1))
 	l.refuse(result.QueueFull, agent("y", 1))
 	l.accept(agent("x", 2))
@@ -87,14 +86,16 @@
 	l.refuse(result.QueueFull, entry("y", 1))
 }
 
-func TestSameRegistrationChangesNothing(t *testing.T) {
+// A repeated registration, also with its servers in another order, must not change the directory version.
+func TestRepeatedRegistrationKeepsVersion(t *testing.T) {
 	l := newLog(t)
-	l.accept(agent("x", 1, ready("b"), ready("a")))
+	l.accept(agent("x", 1, readyServer("b"), readyServer("a")))
 	v := l.state.DirectoryVersion()
-	l.accept(agent("x", 1, ready("a"), ready("b")))
+	l.accept(agent("x", 1, readyServer("a"), readyServer("b")))
 	require.Equal(t, v, l.state.DirectoryVersion())
 }
 
+// A directory delta that misses a change or a removal would leave a client with stale agents or entries.
 func TestDirectorySince(t *testing.T) {
 	l := newLog(t)
 	l.accept(agent("x", 1))
@@ -114,40 +115,39 @@
 }
 
 func conditionOf(l *log, server string) wire.ServerCondition {
-	_, s := l.state.server(server)
+	_, s := l.state.lookUpServer(server)
 	return s.GetCondition()
 }
 
-// Symptom: a server that an operator drains takes new work again.
-// Sequence: the drain is committed; the agent, which doesn't know yet or has started anew, registers the server as
-// ready.
-// Cause: a mark that is kept only in the agent's record.
-func TestDrainingServer(t *testing.T) {
+// An agent that has not learnt of a drain yet, or has restarted, registers the draining server as ready. The server
+// must stay draining, or it would get new work again.
+func TestDrainingSurvivesRegistration(t *testing.T) {
 	draining := wire.ServerCondition_SERVER_CONDITION_DRAINING
 	l := newLog(t)
 	l.refuse(result.UnknownServer, drain("s"))
-	l.accept(agent("x", 1, ready("s"), ready("t")))
+	l.accept(agent("x", 1, readyServer("s"), readyServer("t")))
 	l.accept(drain("s"))
 	l.accept(drain("s"))
 	require.Equal(t, draining, conditionOf(l, "s"))
-	l.accept(agent("x", 1, ready("s"), ready("t")))
+	l.accept(agent("x", 1, readyServer("s"), readyServer("t")))
 	require.Equal(t, draining, conditionOf(l, "s"))
 	l.state = Restore(l.state.Snapshot())
 	l.accept(agent("x", 2))
-	l.accept(agent("x", 2, ready("s"), ready("t")))
+	l.accept(agent("x", 2, readyServer("s"), readyServer("t")))
 	require.Equal(t, draining, conditionOf(l, "s"), "a new incarnation starts with an empty list")
 	l.accept(removeAgent("x", 2))
-	l.accept(agent("x", 3, ready("s"), ready("t")))
+	l.accept(agent("x", 3, readyServer("s"), readyServer("t")))
 	require.Equal(t, draining, conditionOf(l, "s"))
-	l.accept(agent("x", 3, ready("t")))
-	l.accept(agent("x", 3, ready("s"), ready("t")))
-	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, conditionOf(l, "s"), "it left and came again")
+	l.accept(agent("x", 3, readyServer("t")))
+	l.accept(agent("x", 3, readyServer("s"), readyServer("t")))
+	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, conditionOf(l, "s"), "the server left and was listed again")
 }
 
-func TestServerOfTwoAgents(t *testing.T) {
+// A server that is listed by two agents while it moves must belong to exactly one of them.
+func TestServerListedByTwoAgents(t *testing.T) {
 	l := newLog(t)
-	l.accept(agent("y", 2, ready("s")))
-	l.accept(agent("x", 1, ready("s")))
-	require.Equal(t, "y", l.state.AgentOf("s"), "the newer incarnation has it")
+	l.accept(agent("y", 2, readyServer("s")))
+	l.accept(agent("x", 1, readyServer("s")))
+	require.Equal(t, "y", l.state.AgentOf("s"), "the agent with the newer incarnation takes precedence")
 	require.Empty(t, l.state.AgentOf("t"))
 }
--- a/state/ended_incarnations.go
+++ b/state/ended_incarnations.go
@@ -2,27 +2,28 @@
 
 import "github.com/carawaypitch/carawaypitch/wire"
 
-// endedSet remembers the last incarnation of removed agents and entries, oldest removal first.
+// endedIncarnations holds the last incarnation of removed agents and entries, oldest removal first.
 //
-// A registration that a process sent before it died may be committed after its successor was removed. Without the
-// memory the dead incarnation would be in the directory again.
-type endedSet struct {
-	last  map[endedKey]uint64
-	order []endedKey
+// A registration that a process sent before it died may be committed after its successor was removed. Without these
+// records the dead incarnation would return to the directory.
+type endedIncarnations struct {
+	last  map[instanceKey]uint64
+	order []instanceKey
 }
 
-type endedKey struct {
+// instanceKey identifies an instance.
+type instanceKey struct {
 	role     wire.Role
 	instance string
 }
 
-func newEndedSet() endedSet {
-	return endedSet{last: make(map[endedKey]uint64)}
+func newEndedIncarnations() endedIncarnations {
+	return endedIncarnations{last: make(map[instanceKey]uint64)}
 }
 
-// add notes the end of an incarnation, and forgets the oldest beyond the limit.
-func (e *endedSet) add(role wire.Role, instance string, incarnation uint64, limit int) {
-	key := endedKey{role, instance}
+// add records the end of an incarnation and evicts the oldest records beyond the limit.
+func (e *endedIncarnations) add(role wire.Role, instance string, incarnation uint64, limit int) {
+	key := instanceKey{role, instance}
 	e.remove(key)
 	e.last[key] = incarnation
 	e.order = append(e.order, key)
@@ -32,7 +33,7 @@
 	}
 }
 
-func (e *endedSet) remove(key endedKey) {
+func (e *endedIncarnations) remove(key instanceKey) {
 	if _, ok := e.last[key]; !ok {
 		return
 	}
@@ -45,7 +46,7 @@
 	}
 }
 
-// newest returns the last ended incarnation of an instance, 0 if none is known.
-func (e *endedSet) newest(role wire.Role, instance string) uint64 {
-	return e.last[endedKey{role, instance}]
+// latest returns the last ended incarnation of an instance, 0 if none is known.
+func (e *endedIncarnations) latest(role wire.Role, instance string) uint64 {
+	return e.last[instanceKey{role, instance}]
 }
--- a/state/helpers_test.go
+++ b/state/helpers_test.go
@@ -8,13 +8,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// log applies commands at rising indexes, as a replica does. Other, if set, is another replica.
+// log applies commands at increasing indexes, as a replica does. If replica is set, it applies them to that state as
+// well and compares the results.
 type log struct {
-	t     require.TestingT
-	state *State
-	other *State
-	index uint64
-	now   uint64
+	t       require.TestingT
+	state   *State
+	replica *State
+	index   uint64
+	now     uint64
 }
 
 func newLog(t require.TestingT) *log {
@@ -24,18 +25,18 @@
 func (l *log) apply(cmd *wire.Command) *wire.CommandResult {
 	l.index++
 	cmd.UnixMs = l.now
-	var atOther *wire.CommandResult
-	if l.other != nil {
-		atOther = l.other.Apply(l.index, proto.CloneOf(cmd))
+	var replicaResult *wire.CommandResult
+	if l.replica != nil {
+		replicaResult = l.replica.Apply(l.index, proto.CloneOf(cmd))
 	}
 	res := l.state.Apply(l.index, cmd)
-	if l.other != nil {
-		require.True(l.t, proto.Equal(res, atOther), "replicas give different results:\n%v\n%v", res, atOther)
+	if l.replica != nil {
+		require.True(l.t, proto.Equal(res, replicaResult), "replicas return different results:\n%v\n%v", res, replicaResult)
 	}
 	return res
 }
 
-// restart replaces the state by one restored from its encoded snapshot.
+// restart replaces the state by one that is restored from its encoded snapshot.
 func (l *log) restart() {
 	before := l.state.Snapshot()
 	data, err := proto.Marshal(before)
@@ -43,13 +44,13 @@
 	after := new(wire.Snapshot)
 	require.NoError(l.t, proto.Unmarshal(data, after))
 	l.state = restore(after, l.state.limits)
-	require.True(l.t, proto.Equal(before, l.state.Snapshot()), "a restored state is the same")
-	if l.other != nil {
-		require.True(l.t, proto.Equal(before, l.other.Snapshot()), "replicas hold different states")
+	require.True(l.t, proto.Equal(before, l.state.Snapshot()), "the restored state differs from the original")
+	if l.replica != nil {
+		require.True(l.t, proto.Equal(before, l.replica.Snapshot()), "replicas hold different states")
 	}
 }
 
-// accept applies a command that must not be refused.
+// accept applies a command that must be accepted.
 func (l *log) accept(cmd *wire.Command) *wire.CommandResult {
 	res := l.apply(cmd)
 	require.Zero(l.t, res.GetCode(), res.GetMessage())
@@ -59,7 +60,7 @@
 	return res
 }
 
-// refuse applies a command that must be refused with the code.
+// refuse applies a command that must be refused with the given code.
 func (l *log) refuse(code result.Code, cmd *wire.Command) *wire.CommandResult {
 	res := l.apply(cmd)
 	require.Equal(l.t, code.String(), result.Code(res.GetCode()).String(), res.GetMessage())
@@ -98,7 +99,7 @@
 	return &wire.Command{Kind: &wire.Command_RemoveAgent{RemoveAgent: &wire.RemoveAgent{Agent: name, Incarnation: incarnation}}}
 }
 
-func ready(server string, models ...string) *wire.ServerRecord {
+func readyServer(server string, models ...string) *wire.ServerRecord {
 	return &wire.ServerRecord{Server: server, Models: models, Condition: wire.ServerCondition_SERVER_CONDITION_READY}
 }
 
@@ -106,7 +107,7 @@
 	return &wire.Command{Kind: &wire.Command_DrainServer{DrainServer: &wire.DrainServer{Server: server}}}
 }
 
-// begin is a keyed request of one entry; the fields that a test cares about are set by its options.
+// begin returns the begin command of a keyed request by an entry; options change fields of it.
 func begin(key, entry string, incarnation uint64, request string, options ...func(*wire.BeginOperation)) *wire.Command {
 	b := &wire.BeginOperation{
 		Organisation:     "union",
@@ -123,9 +124,9 @@
 	return &wire.Command{Kind: &wire.Command_BeginOperation{BeginOperation: b}}
 }
 
-func repeatable(b *wire.BeginOperation)   { b.Repeatable = true }
-func undispatched(b *wire.BeginOperation) { b.Candidates = nil }
-func otherBody(b *wire.BeginOperation)    { b.Digest = []byte("other") }
+func repeatable(b *wire.BeginOperation)    { b.Repeatable = true }
+func undispatched(b *wire.BeginOperation)  { b.Candidates = nil }
+func differentBody(b *wire.BeginOperation) { b.Digest = []byte("other") }
 
 func complete(key, request string, epoch uint64, body string) *wire.Command {
 	return &wire.Command{Kind: &wire.Command_CompleteOperation{CompleteOperation: &wire.CompleteOperation{
--- a/state/history.go
+++ b/state/history.go
@@ -1,18 +1,20 @@
 package state
 
-// history holds the names changed by the last versions, so that a client which is a little behind gets only what
-// changed. It is no part of the replicated state: after a restore it is empty, and clients get everything.
+// history holds the names changed by recent versions, so that a client that is slightly behind gets only the changes.
+// It is not part of the replicated state: after a restore it is empty, and clients get everything.
 type history struct {
 	limit int
 	items []historyItem
 }
 
+// historyItem is one changed name.
 type historyItem struct {
 	base, version uint64 // the version before the change, and after it
 	name          string
 }
 
-// add notes that the step from base to version changed name. One version may change several names.
+// add records that the step from version base to version changed name. One version may change several names. When the
+// limit is reached, the older half is discarded.
 func (h *history) add(base, version uint64, name string) {
 	if len(h.items) >= h.limit {
 		h.items = append(h.items[:0], h.items[len(h.items)-h.limit/2:]...)
@@ -20,8 +22,8 @@
 	h.items = append(h.items, historyItem{base, version, name})
 }
 
-// since returns the names changed after version, each once and in order of their last change. It returns false if
-// the history doesn't reach back so far.
+// since returns the names changed after a version, each once, the most recently changed first. It returns false if
+// the history does not reach back to the version.
 func (h *history) since(version uint64) ([]string, bool) {
 	if len(h.items) == 0 || version < h.items[0].base {
 		return nil, false
--- a/state/intern.go
+++ b/state/intern.go
@@ -2,8 +2,8 @@
 
 import "unique"
 
-// intern returns one copy of equal strings. Names of instances, organisations and classes stand in every record of
-// a keyed request; decoded from a command each would be a copy.
+// intern returns a shared copy of equal strings. Names of instances, organisations and classes occur in every record
+// of a keyed request; without interning, each decoded command would add its own copy.
 func intern(s string) string {
 	return unique.Make(s).Value()
 }
--- a/state/limits.go
+++ b/state/limits.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// Limits bound what the state holds. All replicas of a group need the same, so they are no settings: replicas with
-// different limits would refuse different commands and part for good.
+// Limits bound the contents of the state. All replicas of a group need the same limits, so they are not settings:
+// replicas with different limits would refuse different commands, and their states would diverge permanently.
 type Limits struct {
-	// Classes bounds the classes.
+	// Classes is the maximum number of classes.
 	Classes int
-	// Instances bounds the agents, and the entries, each.
+	// Instances is the maximum number of agents, and of entries.
 	Instances int
-	// ServersPerAgent bounds the backend servers of one agent.
+	// ServersPerAgent is the maximum number of backend servers of one agent.
 	ServersPerAgent int
-	// EndedIncarnations bounds the remembered incarnations of removed agents and entries.
+	// EndedIncarnations is the maximum number of stored incarnations of removed agents and entries.
 	EndedIncarnations int
-	// Draining bounds the backend servers that operators asked to leave.
+	// Draining is the maximum number of draining backend servers.
 	Draining int
-	// Operations bounds the records of keyed requests.
+	// Operations is the maximum number of records of keyed requests.
 	Operations int
-	// AnswerBytes bounds the body of one kept answer, in bytes.
+	// AnswerBytes is the maximum size of the body of one stored answer, in bytes.
 	AnswerBytes int
-	// TotalAnswerBytes bounds the bodies of all kept answers together, in bytes.
+	// TotalAnswerBytes is the maximum size of the bodies of all stored answers together, in bytes.
 	TotalAnswerBytes int
-	// Servers bounds the servers that one record names.
+	// Servers is the maximum number of servers that one record lists, and of requests that one crash report lists.
 	Servers int
-	// ExpiredKeys bounds the digests of expired keys, of 8 bytes each.
+	// ExpiredKeys is the maximum number of digests of expired keys, of 8 bytes each.
 	ExpiredKeys int
-	// Changes bounds the remembered changes of operators.
+	// Changes is the maximum number of stored results of operator changes.
 	Changes int
-	// ChangeRetention is how long a change of an operator is remembered.
+	// ChangeRetention is how long the result of an operator change is stored.
 	ChangeRetention time.Duration
-	// Announcements bounds the servers that announce themselves to control, EndedServers the remembered names of those
-	// that have ended. A ping is late by minutes at most, and of 4,096 servers a fleet ends far fewer in that time.
+	// Announcements is the maximum number of servers that announce themselves to control, and of advice records.
+	// EndedServers is the maximum number of stored names of ended runs, and of replaced runs. A heartbeat is delayed
+	// by minutes at most, and a fleet ends far fewer than 4,096 servers in that time.
 	Announcements, EndedServers int
-	// PoisonRecords bounds the requests under which servers have crashed, PoisonPerOrganisation those of one organisation.
+	// PoisonRecords is the maximum number of records of requests that crashed servers, PoisonPerOrganisation that of
+	// one organisation.
 	PoisonRecords, PoisonPerOrganisation int
-	// History bounds the changes that a delta can be made from; older clients get everything.
+	// History is the maximum number of changes from which deltas are made; clients with an older version get
+	// everything.
 	History int
 }
 
-// DefaultLimits are in force in every group.
+// DefaultLimits are the limits of every group.
 var DefaultLimits = Limits{
 	Classes:           4096,
 	Instances:         8192,
@@ -61,7 +64,7 @@
 	History: 1024,
 }
 
-// Bounds of single fields, in bytes.
+// Maximum lengths of single fields, in bytes.
 const (
 	maxName        = 128
 	maxKey         = 256
--- a/state/model_test.go
+++ b/state/model_test.go
@@ -12,51 +12,53 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// world plays entries and backend servers around the state. Entries keep the rules: they dispatch only after a begin
-// that allows it, a new owner first cancels at the servers that it is told of, and a cancelled server refuses what
-// arrives later. Messages may be late, begins may be committed twice, and a process that was taken for dead may go on.
-type world struct {
+// workload simulates entries and backend servers that use the state. Entries follow the protocol: they dispatch only
+// after a begin command that permits it, a new owner first cancels at the servers that it is given, and a cancelled
+// server refuses attempts that arrive later. Messages may be delayed, begin commands may be committed twice, and a
+// process that was considered dead may continue.
+type workload struct {
 	*log
-	requests int
-	permits  []*permit
-	sent     []*wire.Command       // begins, which may be committed again
-	attempts map[string][]*attempt // by key
-	buried   map[[2]string]uint64  // by server and key: cancelled up to this epoch
-	answers  map[string]string     // by key: the answer that a caller heard
-	latest   map[string]uint64     // by entry
-	ended    map[string]uint64     // incarnation of each entry that was ended last
-	epochs   map[string]uint64     // by key: the last that was given to an owner
-}
-
-// permit is what a begin allowed an entry to do.
+	requests      int
+	permits       []*permit
+	beginCommands []*wire.Command       // begin commands, which may be committed again
+	attempts      map[string][]*attempt // by key
+	cancelled     map[[2]string]uint64  // by server and key: the epoch up to which attempts are cancelled
+	observed      map[string]string     // by key: the answer that a caller received
+	incarnations  map[string]uint64     // by entry: its latest incarnation
+	ended         map[string]uint64     // by entry: its incarnation that was ended last
+	epochs        map[string]uint64     // by key: the last epoch given to an owner
+}
+
+// permit is a dispatch that a begin command permitted to an entry.
 type permit struct {
 	key, entry, server, request string
 	incarnation, epoch          uint64
-	ran                         bool
+	used                        bool
 }
 
-// attempt is one run.
+// attempt is one run of a request at a server.
 type attempt struct {
 	server, request string
 	epoch           uint64
 	isRunning       bool
 }
 
+// modelKeys returns the keys of the test, and for each whether its work is repeatable.
 func modelKeys() map[string]bool {
 	return map[string]bool{"plain": false, "other": false, uuidv7(1_000_000): false, uuidv7(9_000_000): false, "again": true, "again2": true}
 }
 
-func newWorld(t require.TestingT) *world {
+func newWorkload(t require.TestingT) *workload {
 	l := newLog(t)
-	l.other = New()
-	return &world{
-		log:      l,
-		attempts: make(map[string][]*attempt),
-		buried:   make(map[[2]string]uint64),
-		answers:  make(map[string]string),
-		latest:   make(map[string]uint64),
-		ended:    make(map[string]uint64),
-		epochs:   make(map[string]uint64),
+	l.replica = New()
+	return &workload{
+		log:          l,
+		attempts:     make(map[string][]*attempt),
+		cancelled:    make(map[[2]string]uint64),
+		observed:     make(map[string]string),
+		incarnations: make(map[string]uint64),
+		ended:        make(map[string]uint64),
+		epochs:       make(map[string]uint64),
 	}
 }
 
@@ -68,59 +70,60 @@
 	return rapid.SampledFrom([]string{"e", "f", "g"}).Draw(t, "entry")
 }
 
-func (w *world) startEntry(t *rapid.T) {
+func (w *workload) startEntry(t *rapid.T) {
 	name := drawEntry(t)
-	w.latest[name]++
-	w.accept(entry(name, w.latest[name]))
+	w.incarnations[name]++
+	w.accept(entry(name, w.incarnations[name]))
 }
 
-// comeBack registers the same incarnation again, as a process does that was only cut off. One that was ended is refused.
-func (w *world) comeBack(t *rapid.T) {
+// reregisterEntry registers the same incarnation again, as a process does that was only disconnected. An incarnation
+// that has ended must be refused.
+func (w *workload) reregisterEntry(t *rapid.T) {
 	name := drawEntry(t)
 	switch {
-	case w.latest[name] == 0:
-	case w.ended[name] == w.latest[name]:
-		w.refuse(result.AttemptSuperseded, entry(name, w.latest[name]))
+	case w.incarnations[name] == 0:
+	case w.ended[name] == w.incarnations[name]:
+		w.refuse(result.AttemptSuperseded, entry(name, w.incarnations[name]))
 	default:
-		w.accept(entry(name, w.latest[name]))
+		w.accept(entry(name, w.incarnations[name]))
 	}
 }
 
-func (w *world) endEntry(t *rapid.T) {
+func (w *workload) endEntry(t *rapid.T) {
 	name := drawEntry(t)
-	w.accept(endEntry(name, w.latest[name]))
-	w.ended[name] = w.latest[name]
+	w.accept(endEntry(name, w.incarnations[name]))
+	w.ended[name] = w.incarnations[name]
 }
 
-func (w *world) begin(t *rapid.T) {
+func (w *workload) begin(t *rapid.T) {
 	key, name := drawKey(t), drawEntry(t)
 	w.requests++
-	cmd := begin(key, name, w.latest[name], fmt.Sprint("r", w.requests), func(b *wire.BeginOperation) {
+	cmd := begin(key, name, w.incarnations[name], fmt.Sprint("r", w.requests), func(b *wire.BeginOperation) {
 		b.Repeatable = modelKeys()[key]
 		b.Candidates = []string{fmt.Sprint("server-", w.requests%4)}
 	})
-	w.sent = append(w.sent, cmd)
+	w.beginCommands = append(w.beginCommands, cmd)
 	res := w.apply(cmd)
 	switch res.GetBegin() {
-	case isBegun:
-		w.permit(cmd.GetBeginOperation(), res.GetOperation())
-	case isTakenOver:
-		w.proveOver(key, res.GetOperation())
-		w.permit(cmd.GetBeginOperation(), res.GetOperation())
-	case isDone:
-		w.hear(key, res.GetOperation())
+	case outcomeBegun:
+		w.addPermit(cmd.GetBeginOperation(), res.GetOperation())
+	case outcomeTakenOver:
+		w.cancelEarlierAttempts(key, res.GetOperation())
+		w.addPermit(cmd.GetBeginOperation(), res.GetOperation())
+	case outcomeDone:
+		w.observeAnswer(key, res.GetOperation())
 	}
 }
 
-// beginAgain commits an old begin a second time; its result reaches nobody.
-func (w *world) beginAgain(t *rapid.T) {
-	if len(w.sent) > 0 {
-		w.apply(proto.CloneOf(rapid.SampledFrom(w.sent).Draw(t, "begin")))
+// repeatBegin commits an earlier begin command a second time; its result is lost.
+func (w *workload) repeatBegin(t *rapid.T) {
+	if len(w.beginCommands) > 0 {
+		w.apply(proto.CloneOf(rapid.SampledFrom(w.beginCommands).Draw(t, "begin")))
 	}
 }
 
-func (w *world) permit(b *wire.BeginOperation, op *wire.Operation) {
-	require.Greater(w.t, op.GetEpoch(), w.epochs[b.GetKey()], "the attempts of a key use numbers twice")
+func (w *workload) addPermit(b *wire.BeginOperation, op *wire.Operation) {
+	require.Greater(w.t, op.GetEpoch(), w.epochs[b.GetKey()], "attempt numbers of a key are reused")
 	w.epochs[b.GetKey()] = op.GetEpoch()
 	w.permits = append(w.permits, &permit{
 		key:         b.GetKey(),
@@ -132,10 +135,10 @@
 	})
 }
 
-// proveOver cancels at the servers of the earlier epochs, as a new owner must.
-func (w *world) proveOver(key string, op *wire.Operation) {
+// cancelEarlierAttempts cancels at the servers of the earlier epochs, as a new owner must.
+func (w *workload) cancelEarlierAttempts(key string, op *wire.Operation) {
 	for _, server := range op.GetEarlier() {
-		w.buried[[2]string{server, key}] = op.GetEpoch() - 1
+		w.cancelled[[2]string{server, key}] = op.GetEpoch() - 1
 		for _, a := range w.attempts[key] {
 			if a.server == server && a.epoch < op.GetEpoch() {
 				a.isRunning = false
@@ -144,37 +147,39 @@
 	}
 }
 
-func (w *world) hear(key string, op *wire.Operation) {
-	heard := string(op.GetAnswer().GetBody())
-	if old, ok := w.answers[key]; ok && !w.mayChange(key) {
-		require.Equal(w.t, old, heard, "key %s", key)
+// observeAnswer records the answer that a caller receives. It must equal the previous one unless it may change.
+func (w *workload) observeAnswer(key string, op *wire.Operation) {
+	answer := string(op.GetAnswer().GetBody())
+	if old, ok := w.observed[key]; ok && !w.answerMayChange(key) {
+		require.Equal(w.t, old, answer, "key %s", key)
 	}
-	w.answers[key] = heard
+	w.observed[key] = answer
 }
 
-// mayChange tells whether a key's answer may change: repeatable work runs again once its record has expired.
-func (w *world) mayChange(key string) bool {
+// answerMayChange reports whether the answer of a key may change: repeatable work runs again once its record has expired.
+func (w *workload) answerMayChange(key string) bool {
 	return modelKeys()[key]
 }
 
-func (w *world) drawPermit(t *rapid.T) *permit {
+func (w *workload) drawPermit(t *rapid.T) *permit {
 	if len(w.permits) == 0 {
 		t.Skip("no permit")
 	}
 	return rapid.SampledFrom(w.permits).Draw(t, "permit")
 }
 
-// dispatch uses a permit once, perhaps long after it was given.
-func (w *world) dispatch(t *rapid.T) {
+// dispatch uses a permit once, possibly long after it was given.
+func (w *workload) dispatch(t *rapid.T) {
 	p := w.drawPermit(t)
-	if p.ran || w.buried[[2]string{p.server, p.key}] >= p.epoch {
+	if p.used || w.cancelled[[2]string{p.server, p.key}] >= p.epoch {
 		return
 	}
-	p.ran = true
+	p.used = true
 	w.attempts[p.key] = append(w.attempts[p.key], &attempt{p.server, p.request, p.epoch, true})
 }
 
-func (w *world) complete(t *rapid.T) {
+// complete ends the running attempts of a permit and reports their outcome.
+func (w *workload) complete(t *rapid.T) {
 	p := w.drawPermit(t)
 	for _, a := range w.attempts[p.key] {
 		if a.request == p.request && a.isRunning {
@@ -184,33 +189,33 @@
 	}
 }
 
-// release gives up a permit that wasn't used.
-func (w *world) release(t *rapid.T) {
+// release releases a permit that was not used.
+func (w *workload) release(t *rapid.T) {
 	p := w.drawPermit(t)
-	if !p.ran {
-		p.ran = true
+	if !p.used {
+		p.used = true
 		w.apply(release(p.key, p.entry, p.incarnation, p.epoch))
 	}
 }
 
-// giveBack gives a record back instead. Nothing is dispatched by the permit any more.
-func (w *world) giveBack(t *rapid.T) {
+// giveBack releases ownership of the record instead of removing it. The permit is not used afterwards.
+func (w *workload) giveBack(t *rapid.T) {
 	p := w.drawPermit(t)
-	if !p.ran {
-		p.ran = true
+	if !p.used {
+		p.used = true
 		cmd := release(p.key, p.entry, p.incarnation, p.epoch)
 		cmd.GetReleaseOperation().GiveBack = true
 		w.apply(cmd)
 	}
 }
 
-func (w *world) expire(t *rapid.T) {
+func (w *workload) expire(t *rapid.T) {
 	w.now += uint64(rapid.IntRange(0, 2_000_000).Draw(t, "ms"))
 	w.accept(expire(w.now))
 }
 
-// check holds after each step.
-func (w *world) check(*rapid.T) {
+// check verifies after each step that no key runs on two engines, and no non-repeatable key more than once.
+func (w *workload) check(*rapid.T) {
 	for key, isRepeatable := range modelKeys() {
 		running := 0
 		for _, a := range w.attempts[key] {
@@ -225,20 +230,19 @@
 	}
 }
 
-// Symptom: a pass is issued twice, or two engines work on one request.
-// Sequence: any order of deaths, takeovers, late dispatches and completions, releases, expiries and restarts.
-// Cause: any missing guard of the operation records.
+// Non-repeatable work must run at most once, and no request on two engines at the same time, in any order of deaths,
+// takeovers, delayed dispatches and completions, releases, expiries and restarts.
 func TestOperationsAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt)
+		w := newWorkload(rt)
 		rt.Repeat(map[string]func(*rapid.T){
 			"":          w.check,
 			"start":     w.startEntry,
-			"come back": w.comeBack,
+			"come back": w.reregisterEntry,
 			"end":       w.endEntry,
 			"begin":     w.begin,
 			"begin2":    w.begin,
-			"again":     w.beginAgain,
+			"again":     w.repeatBegin,
 			"dispatch":  w.dispatch,
 			"complete":  w.complete,
 			"release":   w.release,
--- a/state/operation_begin.go
+++ b/state/operation_begin.go
@@ -7,15 +7,15 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// beginOperation makes the record of a keyed request, or tells what became of the key. An entry may send the same
-// begin again; it hears the same.
+// beginOperation creates the record of a keyed request, or returns the state of the existing record. It is
+// idempotent: an entry that sends the same command again gets the same result.
 func (s *State) beginOperation(cmd *wire.BeginOperation) *wire.CommandResult {
 	if problem := checkBegin(cmd); problem != "" {
 		return refuse(result.BadMessage, "%s", problem)
 	}
-	if s.isGone(cmd.GetEntry(), cmd.GetEntryIncarnation()) {
-		// A begin of a dead entry that is committed late would leave a record that nobody serves; for work that
-		// may not be repeated the key would be unknown for good although nothing was dispatched.
+	if s.isUnregistered(cmd.GetEntry(), cmd.GetEntryIncarnation()) {
+		// A begin command of a dead entry that is committed late would create a record without an owner. For
+		// non-repeatable work the outcome of the key would stay unknown permanently, although nothing was dispatched.
 		return refuse(result.CutOffFromControl, "entry %s with incarnation %d isn't registered",
 			cmd.GetEntry(), cmd.GetEntryIncarnation())
 	}
@@ -26,9 +26,10 @@
 	if !bytes.Equal(op.digest, cmd.GetDigest()) {
 		return refuse(result.KeyReusedWithOtherBody, "")
 	}
-	return s.joinOperation(op, cmd)
+	return s.beginExisting(op, cmd)
 }
 
+// checkBegin returns what is wrong with a begin command, or "".
 func checkBegin(cmd *wire.BeginOperation) string {
 	switch {
 	case cmd.GetOrganisation() == "" || len(cmd.GetOrganisation()) > maxName:
@@ -46,12 +47,14 @@
 	}
 }
 
-// isGone tells whether an incarnation of an entry isn't registered, so that its open records may be taken over.
-func (s *State) isGone(entry string, incarnation uint64) bool {
+// isUnregistered reports whether the incarnation of an entry is not registered. Open records of such an incarnation
+// may be taken over.
+func (s *State) isUnregistered(entry string, incarnation uint64) bool {
 	e := s.entries[entry]
 	return e == nil || e.GetIncarnation() != incarnation
 }
 
+// newOperation creates the record of a key that has none, unless the key may have expired or a limit is reached.
 func (s *State) newOperation(cmd *wire.BeginOperation) *wire.CommandResult {
 	if s.operations.mayHaveExpired(cmd.GetOrganisation(), cmd.GetKey()) {
 		return refuse(result.KeyTooOld, "")
@@ -64,101 +67,106 @@
 		return refuse(result.BadMessage, "more than %d servers", s.limits.Servers)
 	}
 	op := &operation{
-		key:        operationKey{intern(cmd.GetOrganisation()), cmd.GetKey()},
-		digest:     bytes.Clone(cmd.GetDigest()),
-		class:      intern(cmd.GetClass()),
-		repeatable: cmd.GetRepeatable(),
-		state:      wire.OperationState_OPERATION_STATE_OPEN,
-		entry:      intern(cmd.GetEntry()),
-		inc:        cmd.GetEntryIncarnation(),
-		request:    cmd.GetRequest(),
-		epoch:      s.newEpoch(),
-		candidates: candidates,
-		begunMS:    s.unixMS,
+		key:              operationKey{intern(cmd.GetOrganisation()), cmd.GetKey()},
+		digest:           bytes.Clone(cmd.GetDigest()),
+		class:            intern(cmd.GetClass()),
+		repeatable:       cmd.GetRepeatable(),
+		state:            wire.OperationState_OPERATION_STATE_OPEN,
+		entry:            intern(cmd.GetEntry()),
+		entryIncarnation: cmd.GetEntryIncarnation(),
+		request:          cmd.GetRequest(),
+		epoch:            s.newEpoch(),
+		candidateServers: candidates,
+		begunUnixMS:      s.leaderUnixMS,
 	}
 	s.operations.add(op)
-	return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_BEGUN)
+	return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_BEGUN)
 }
 
-// newEpoch returns an epoch above all that any owner of any key ever had: the index of the command in the log.
+// newEpoch returns an epoch above all that any owner of any key has had: the log index of the current command.
 //
-// Were epochs counted within a record, a key that is released and begun again would use its attempt numbers a second
-// time. A late "never started" of the old record's attempt would then be taken for one about the new record's, and the
-// work would be dispatched again while it runs.
+// If epochs were counted per record, a key that is released and begun again would reuse attempt numbers. A delayed
+// "never started" for an attempt of the old record would then be taken for the new record's attempt, and the work
+// would be dispatched again while it runs.
 func (s *State) newEpoch() uint64 {
 	return s.index
 }
 
-func (s *State) joinOperation(op *operation, cmd *wire.BeginOperation) *wire.CommandResult {
+// beginExisting applies a begin command to the existing record of its key.
+func (s *State) beginExisting(op *operation, cmd *wire.BeginOperation) *wire.CommandResult {
 	switch {
 	case op.state == wire.OperationState_OPERATION_STATE_DONE:
-		return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_DONE)
+		return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_DONE)
 	case op.state == wire.OperationState_OPERATION_STATE_UNKNOWN:
-		return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_UNKNOWN)
+		return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_UNKNOWN)
 	case op.isOwner(cmd.GetEntry(), cmd.GetEntryIncarnation()) && op.request == cmd.GetRequest():
 		return s.repeatBegin(op, cmd)
-	case !s.isGone(op.entry, op.inc):
-		return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_OPEN)
-	case !op.repeatable && op.mayHaveRun():
-		s.endUnknown(op)
-		return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_UNKNOWN)
+	case !s.isUnregistered(op.entry, op.entryIncarnation):
+		return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_OPEN)
+	case !op.repeatable && op.mayHaveBeenDispatched():
+		s.closeAsUnknown(op)
+		return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_UNKNOWN)
 	default:
 		return s.takeOver(op, cmd)
 	}
 }
 
+// isOwner reports whether the incarnation of an entry owns the record.
 func (op *operation) isOwner(entry string, incarnation uint64) bool {
-	return op.entry == entry && op.inc == incarnation
+	return op.entry == entry && op.entryIncarnation == incarnation
 }
 
-// mayHaveRun tells whether the request may have been dispatched to some server.
-func (op *operation) mayHaveRun() bool {
-	return len(op.candidates) > 0 || len(op.earlier) > 0
+// mayHaveBeenDispatched reports whether the request may have been dispatched to a backend server.
+func (op *operation) mayHaveBeenDispatched() bool {
+	return len(op.candidateServers) > 0 || len(op.earlierServers) > 0
 }
 
-// repeatBegin answers a begin that was sent again after its answer was lost.
+// repeatBegin applies a begin command that its owner sends again after losing the answer.
 func (s *State) repeatBegin(op *operation, cmd *wire.BeginOperation) *wire.CommandResult {
-	candidates := union(op.candidates, cmd.GetCandidates())
+	candidates := union(op.candidateServers, cmd.GetCandidates())
 	if len(candidates) > s.limits.Servers {
 		return refuse(result.BadMessage, "more than %d servers", s.limits.Servers)
 	}
-	op.candidates = candidates
-	return begunByOwner(op)
+	op.candidateServers = candidates
+	return beginResultForOwner(op)
 }
 
-// begunByOwner answers the owner. Without earlier servers nothing was ever dispatched for the record, whoever owned it
-// before: there is nothing to prove, and what the owner says of its own attempts is all there is to say.
-func begunByOwner(op *operation) *wire.CommandResult {
-	if len(op.earlier) > 0 {
-		return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_TAKEN_OVER)
+// beginResultForOwner returns the result for the owner of a record. If no earlier servers are listed, nothing was
+// dispatched for the record by any previous owner: the owner has nothing to prove and reports on its own attempts
+// only.
+func beginResultForOwner(op *operation) *wire.CommandResult {
+	if len(op.earlierServers) > 0 {
+		return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_TAKEN_OVER)
 	}
-	return begun(op, wire.BeginOutcome_BEGIN_OUTCOME_BEGUN)
+	return beginResult(op, wire.BeginOutcome_BEGIN_OUTCOME_BEGUN)
 }
 
-// takeOver makes the caller the owner. Servers of the epochs before stay named: each of them must prove that its
-// attempt is over before the new owner dispatches, or two engines would work on the request.
+// takeOver makes the caller the owner of the record. The servers of all earlier epochs stay listed: each must prove
+// that its attempt is over before the new owner dispatches. Otherwise two engines could run the request at the same
+// time.
 func (s *State) takeOver(op *operation, cmd *wire.BeginOperation) *wire.CommandResult {
-	earlier := union(op.earlier, op.candidates)
+	earlier := union(op.earlierServers, op.candidateServers)
 	candidates := union(nil, cmd.GetCandidates())
 	if len(earlier) > s.limits.Servers || len(candidates) > s.limits.Servers {
 		return refuse(result.QueueFull, "more than %d servers to prove or to try", s.limits.Servers)
 	}
-	op.earlier = earlier
-	op.candidates = candidates
+	op.earlierServers = earlier
+	op.candidateServers = candidates
 	op.entry = intern(cmd.GetEntry())
-	op.inc = cmd.GetEntryIncarnation()
+	op.entryIncarnation = cmd.GetEntryIncarnation()
 	op.request = cmd.GetRequest()
 	op.epoch = s.newEpoch()
-	return begunByOwner(op)
+	return beginResultForOwner(op)
 }
 
-// endUnknown closes a record whose work may not be repeated and may have run. Only the agent that ran it can still
-// say how it ended, see completeOperation.
-func (s *State) endUnknown(op *operation) {
+// closeAsUnknown closes the record of non-repeatable work that may have run. Only the agent that ran it can report
+// the outcome afterwards, see completeOperation.
+func (s *State) closeAsUnknown(op *operation) {
 	op.state = wire.OperationState_OPERATION_STATE_UNKNOWN
-	op.endedMS = s.unixMS
+	op.endedUnixMS = s.leaderUnixMS
 }
 
-func begun(op *operation, outcome wire.BeginOutcome) *wire.CommandResult {
+// beginResult returns the result of a begin command with the record and the outcome.
+func beginResult(op *operation, outcome wire.BeginOutcome) *wire.CommandResult {
 	return &wire.CommandResult{Operation: op.record(), Begin: outcome}
 }
--- a/state/operation_expiry.go
+++ b/state/operation_expiry.go
@@ -10,23 +10,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxExpiryBatch bounds the records that one command visits, so that one command never holds the log up.
+// MaxExpiryBatch is the maximum number of records that one command visits, so that no command delays the log.
 const MaxExpiryBatch = 4096
 
-// expireOperations forgets records begun before the given time, oldest first. Open records of registered entries
-// stay, whatever their age.
+// expireOperations removes records begun before the given time, oldest first. Open records of registered entries are
+// kept regardless of their age.
 //
-// A key that is forgotten must not be taken for a new one where a second run is not allowed: for work that may not
-// be repeated, and for work that was open, whose last attempt may still be going on. Such a key leaves a digest
-// for good, unless its own time (see keyTime) shows that it is old.
+// An expired key must not be accepted as a new one if a second run is not allowed: for non-repeatable work, and for
+// work that was open, whose last attempt may still be running. Such a key leaves a permanent digest, unless the
+// timestamp in the key itself (see keyTimestamp) shows that it is old.
 func (s *State) expireOperations(cmd *wire.ExpireOperations) *wire.CommandResult {
-	before := min(cmd.GetBeforeUnixMs(), s.unixMS)
+	cutoff := min(cmd.GetBeforeUnixMs(), s.leaderUnixMS)
 	set := &s.operations
-	set.expiredBefore = max(set.expiredBefore, before)
+	set.expiredBeforeUnixMS = max(set.expiredBeforeUnixMS, cutoff)
 	limit := min(int(cmd.GetLimit()), MaxExpiryBatch)
 	var digests []uint64
 	visited := 0
-	for op := set.first; op != nil && op.begunMS < before && visited < limit; {
+	for op := set.first; op != nil && op.begunUnixMS < cutoff && visited < limit; {
 		next := op.next
 		visited++
 		if s.mayExpire(op, len(digests)) {
@@ -38,40 +38,42 @@
 		op = next
 	}
 	set.addDigests(digests)
-	s.changes.evict(s.limits.Changes, s.changeHorizon())
+	s.changes.evict(s.limits.Changes, s.changeEvictionCutoff())
 	return accepted()
 }
 
-// mayExpire tells whether a record may be forgotten, with so many digests to be added already. When the memory of
-// digests is full, records that need one stay: then new keys are refused for want of room, and none is run twice.
+// mayExpire reports whether a record may be removed, given the number of digests that are already to be added. When
+// the limit of digests is reached, records that need one are kept: new keys are then refused for lack of room, and no
+// request runs twice.
 func (s *State) mayExpire(op *operation, pending int) bool {
-	if op.state == wire.OperationState_OPERATION_STATE_OPEN && !s.isGone(op.entry, op.inc) {
+	if op.state == wire.OperationState_OPERATION_STATE_OPEN && !s.isUnregistered(op.entry, op.entryIncarnation) {
 		return false
 	}
-	full := len(s.operations.expired)+pending >= s.limits.ExpiredKeys
+	full := len(s.operations.expiredDigests)+pending >= s.limits.ExpiredKeys
 	return !full || !s.operations.needsDigest(op)
 }
 
+// needsDigest reports whether the key of a record has to leave a digest when the record is removed.
 func (o *operationSet) needsDigest(op *operation) bool {
 	if op.repeatable && op.state == wire.OperationState_OPERATION_STATE_DONE {
 		return false
 	}
-	ms, ok := keyTime(op.key.key)
-	// A caller's clock may run ahead of the leader's. Its key then looks younger than the horizon for a while after
-	// the record is gone, and only the digest tells that it was used.
-	return !ok || ms >= o.expiredBefore
+	ms, ok := keyTimestamp(op.key.key)
+	// A caller's clock may be ahead of the leader's. Its key then appears younger than the expiry cutoff for some
+	// time after the record has been removed, and only the digest shows that the key was used.
+	return !ok || ms >= o.expiredBeforeUnixMS
 }
 
-// The part of Limits.Operations from which on records expire before their age.
+// Fraction of Limits.Operations above which records expire before their age.
 const (
-	crowdedNumerator   = 7
-	crowdedDenominator = 8
+	highWaterNumerator   = 7
+	highWaterDenominator = 8
 )
 
-// CapacityExpiryCutoff returns the time, in milliseconds since 1970, before which records should expire since there are too
-// many of them, or 0.
+// CapacityExpiryCutoff returns the time, in milliseconds since 1970, before which records have to expire to bring
+// their number down to 7/8 of Limits.Operations, or 0 if there are no more than that.
 func (s *State) CapacityExpiryCutoff() uint64 {
-	excess := len(s.operations.byKey) - s.limits.Operations*crowdedNumerator/crowdedDenominator
+	excess := len(s.operations.byKey) - s.limits.Operations*highWaterNumerator/highWaterDenominator
 	if excess <= 0 {
 		return 0
 	}
@@ -79,43 +81,45 @@
 	for range excess - 1 {
 		op = op.next
 	}
-	return op.begunMS + 1
+	return op.begunUnixMS + 1
 }
 
-// addDigests merges new digests into the sorted ones, from the back, so that each of the many old ones moves once.
+// addDigests merges new digests into the sorted ones from the end, so that each existing digest, of which there are
+// many, moves at most once.
 func (o *operationSet) addDigests(added []uint64) {
 	slices.Sort(added)
 	added = slices.Compact(added)
-	added = slices.DeleteFunc(added, o.isExpired)
-	i := len(o.expired) - 1
-	o.expired = append(o.expired, added...)
-	for to, j := len(o.expired)-1, len(added)-1; j >= 0; to-- {
-		if i >= 0 && o.expired[i] > added[j] {
-			o.expired[to] = o.expired[i]
+	added = slices.DeleteFunc(added, o.hasDigest)
+	i := len(o.expiredDigests) - 1
+	o.expiredDigests = append(o.expiredDigests, added...)
+	for to, j := len(o.expiredDigests)-1, len(added)-1; j >= 0; to-- {
+		if i >= 0 && o.expiredDigests[i] > added[j] {
+			o.expiredDigests[to] = o.expiredDigests[i]
 			i--
 		} else {
-			o.expired[to] = added[j]
+			o.expiredDigests[to] = added[j]
 			j--
 		}
 	}
 }
 
-func (o *operationSet) isExpired(digest uint64) bool {
-	_, found := slices.BinarySearch(o.expired, digest)
+// hasDigest reports whether the digest of an expired key is stored.
+func (o *operationSet) hasDigest(digest uint64) bool {
+	_, found := slices.BinarySearch(o.expiredDigests, digest)
 	return found
 }
 
-// mayHaveExpired tells whether a key without a record may have had one that mattered. It may be wrong about a key
-// that was never used (two keys in 2^64 share a digest, and a key may be old by its own time); such a key is
-// refused, which is never a second run.
+// mayHaveExpired reports whether a key without a record may have had one that must not run again. It may be true for
+// a key that was never used (two keys in 2^64 share a digest, and a key may carry an old timestamp); such a key is
+// refused, which never causes a second run.
 func (o *operationSet) mayHaveExpired(organisation, key string) bool {
-	if ms, ok := keyTime(key); ok && ms < o.expiredBefore {
+	if ms, ok := keyTimestamp(key); ok && ms < o.expiredBeforeUnixMS {
 		return true
 	}
-	return o.isExpired(keyDigest(organisation, key))
+	return o.hasDigest(keyDigest(organisation, key))
 }
 
-// keyDigest is the digest of an expired key. The length in front keeps ("a", "bc") apart from ("ab", "c").
+// keyDigest returns the digest of an expired key. The length prefix distinguishes ("a", "bc") from ("ab", "c").
 func keyDigest(organisation, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -127,7 +131,7 @@
 	return d.Sum64()
 }
 
-// The form of a UUID of version 7 in text.
+// Text form of a version 7 UUID.
 const (
 	uuidLength      = 36
 	uuidVersionAt   = 14
@@ -138,8 +142,9 @@
 	uuidTimeLowEnd  = 13
 )
 
-// keyTime returns the time that a key carries, in milliseconds since 1970, if the key is a UUID of version 7.
-func keyTime(key string) (uint64, bool) {
+// keyTimestamp returns the time that a key contains, in milliseconds since 1970. It returns false if the key is not a
+// version 7 UUID.
+func keyTimestamp(key string) (uint64, bool) {
 	if !isUUIDv7(key) {
 		return 0, false
 	}
@@ -153,6 +158,7 @@
 	return binary.BigEndian.Uint64(ms[:]), true
 }
 
+// isUUIDv7 reports whether a key is the text form of a version 7 UUID.
 func isUUIDv7(key string) bool {
 	if len(key) != uuidLength || key[uuidVersionAt] != uuidVersion || !strings.ContainsRune(uuidVariants, rune(key[uuidVariantAt])) {
 		return false
--- a/state/operation_outcome.go
+++ b/state/operation_outcome.go
@@ -6,30 +6,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// widenOperation adds servers that the owner may dispatch to. It is committed before the dispatch, so that a new
-// owner knows whom to ask for proof.
+// widenOperation adds servers to which the owner may dispatch. It is committed before the dispatch, so that a new
+// owner knows which servers have to prove that their attempts are over.
 func (s *State) widenOperation(cmd *wire.WidenOperation) *wire.CommandResult {
 	op := s.operations.byKey[operationKey{cmd.GetOrganisation(), cmd.GetKey()}]
 	if op == nil {
 		return refuse(result.NotFound, "no record of this key")
 	}
-	if !op.isHeldBy(cmd.GetEntry(), cmd.GetEntryIncarnation(), cmd.GetEpoch()) {
-		return superseded(op)
+	if !op.isOpenAndOwnedBy(cmd.GetEntry(), cmd.GetEntryIncarnation(), cmd.GetEpoch()) {
+		return supersededResult(op)
 	}
-	candidates := union(op.candidates, cmd.GetCandidates())
+	candidates := union(op.candidateServers, cmd.GetCandidates())
 	if len(candidates) > s.limits.Servers {
 		return refuse(result.QueueFull, "more than %d servers to try", s.limits.Servers)
 	}
-	op.candidates = candidates
+	op.candidateServers = candidates
 	return &wire.CommandResult{Operation: op.record()}
 }
 
-// isHeldBy tells whether the record is open and the named owner's, in the epoch that the owner knows.
-func (op *operation) isHeldBy(entry string, incarnation, epoch uint64) bool {
+// isOpenAndOwnedBy reports whether the record is open and owned by the incarnation of the entry in the given epoch.
+func (op *operation) isOpenAndOwnedBy(entry string, incarnation, epoch uint64) bool {
 	return op.state == wire.OperationState_OPERATION_STATE_OPEN && op.isOwner(entry, incarnation) && op.epoch == epoch
 }
 
-// completeOperation commits an outcome. The first one stays: callers may have been answered with it.
+// completeOperation stores the outcome of an operation. The first outcome is final, since callers may have received
+// it.
 func (s *State) completeOperation(cmd *wire.CompleteOperation) *wire.CommandResult {
 	if len(cmd.GetAnswer().GetContentType()) > maxContentType || len(cmd.GetAnswer().GetMessage()) > maxMessage {
 		return refuse(result.BadMessage, "content type or message of the answer is too long")
@@ -39,22 +40,22 @@
 		return refuse(result.NotFound, "no record of this key")
 	}
 	if op.state == wire.OperationState_OPERATION_STATE_DONE {
-		return s.completeAgain(op, cmd)
+		return s.repeatCompletion(op, cmd)
 	}
 	if !op.mayComplete(cmd) {
-		return superseded(op)
+		return supersededResult(op)
 	}
-	op.answer = s.keepable(cmd.GetAnswer())
+	op.answer = s.answerToStore(cmd.GetAnswer())
 	op.state = wire.OperationState_OPERATION_STATE_DONE
-	op.endedMS = s.unixMS
+	op.endedUnixMS = s.leaderUnixMS
 	s.operations.answerBytes += len(op.answer.GetBody())
 	return &wire.CommandResult{Operation: op.record()}
 }
 
-// mayComplete tells whether the outcome is the request's. Of repeatable work it must come from the present owner's
-// epoch: an older attempt may end after the new owner's dispatch, and the caller would get one run's answer while
-// the other still goes on. Work that may not be repeated ran once at most, so whoever reports it is right, also
-// after the record was closed as unknown.
+// mayComplete reports whether a reported outcome may be stored as that of the request. For repeatable work it must
+// come from the current owner's epoch: an older attempt may end after the new owner has dispatched, and the caller
+// would get the answer of one run while another still runs. Non-repeatable work ran at most once, so any report of it
+// is correct, also after the record was closed as unknown.
 func (op *operation) mayComplete(cmd *wire.CompleteOperation) bool {
 	if cmd.GetEpoch() == 0 || cmd.GetEpoch() > op.epoch {
 		return false
@@ -65,24 +66,26 @@
 	return !op.repeatable
 }
 
-// completeAgain answers a completion that was sent again, and refuses another outcome.
-func (s *State) completeAgain(op *operation, cmd *wire.CompleteOperation) *wire.CommandResult {
+// repeatCompletion accepts the stored outcome again and refuses any other.
+func (s *State) repeatCompletion(op *operation, cmd *wire.CompleteOperation) *wire.CommandResult {
 	if op.mayComplete(cmd) && isSameAnswer(op.answer, cmd.GetAnswer()) {
 		return &wire.CommandResult{Operation: op.record()}
 	}
-	return superseded(op)
+	return supersededResult(op)
 }
 
-func isSameAnswer(kept, sent *wire.Answer) bool {
-	if kept.GetDropped() {
-		sent = withoutBody(sent)
+// isSameAnswer reports whether an answer equals the stored one, whose body may have been dropped.
+func isSameAnswer(stored, reported *wire.Answer) bool {
+	if stored.GetDropped() {
+		reported = withoutBody(reported)
 	}
-	return proto.Equal(kept, sent)
+	return proto.Equal(stored, reported)
 }
 
-// keepable returns the answer as it is kept: without its body if that is too large, or if too much is kept already.
-// Who sends the request again then hears that it ran.
-func (s *State) keepable(a *wire.Answer) *wire.Answer {
+// answerToStore returns the answer as it is stored: without its body if the body is larger than Limits.AnswerBytes,
+// or if all stored bodies together would exceed Limits.TotalAnswerBytes. A caller that sends the request again then
+// learns that it ran.
+func (s *State) answerToStore(a *wire.Answer) *wire.Answer {
 	size := len(a.GetBody())
 	if size > s.limits.AnswerBytes || s.operations.answerBytes+size > s.limits.TotalAnswerBytes {
 		return withoutBody(a)
@@ -93,6 +96,7 @@
 	return proto.CloneOf(a)
 }
 
+// withoutBody returns a copy of the answer with its body dropped.
 func withoutBody(a *wire.Answer) *wire.Answer {
 	return &wire.Answer{
 		Status:      a.GetStatus(),
@@ -103,36 +107,38 @@
 	}
 }
 
-// releaseOperation frees the key of work that is proved not to have run. Only the owner of the present epoch has
-// the proof; a late release of an earlier owner would free a key whose work is running.
+// releaseOperation removes the record of work that is proved not to have run, which frees its key. Only the owner of
+// the current epoch has the proof; a delayed release by an earlier owner would free a key whose work is running.
 func (s *State) releaseOperation(cmd *wire.ReleaseOperation) *wire.CommandResult {
 	op := s.operations.byKey[operationKey{cmd.GetOrganisation(), cmd.GetKey()}]
 	if op == nil {
 		return accepted()
 	}
-	if !op.isHeldBy(cmd.GetEntry(), cmd.GetEntryIncarnation(), cmd.GetEpoch()) {
-		return superseded(op)
+	if !op.isOpenAndOwnedBy(cmd.GetEntry(), cmd.GetEntryIncarnation(), cmd.GetEpoch()) {
+		return supersededResult(op)
 	}
-	if cmd.GetGiveBack() && len(op.earlier) > 0 {
-		op.giveBack()
+	if cmd.GetGiveBack() && len(op.earlierServers) > 0 {
+		op.clearOwner()
 		return accepted()
 	}
 	s.operations.remove(op)
 	return accepted()
 }
 
-// giveBack leaves the record without an owner, so that the next begin takes it over. Its owner dispatched nothing, so
-// the servers of its epoch have nothing to prove.
+// clearOwner leaves the record without an owner, so that the next begin command takes it over. The owner must not
+// have dispatched anything: the servers of its epoch are removed, since they have nothing to prove.
 //
-// Otherwise: an entry takes a record over, and its call ends before the proofs are there. The entry lives, so every
-// begin at another entry would hear "open", and callers would wait there until their deadlines.
-func (op *operation) giveBack() {
+// Without it, an entry that takes a record over and whose call ends before the proofs arrive would keep the record.
+// As the entry is alive, every begin command at another entry would get the outcome "open", and callers would wait
+// until their deadlines.
+func (op *operation) clearOwner() {
 	op.entry = ""
-	op.inc = 0
-	op.candidates = nil
+	op.entryIncarnation = 0
+	op.candidateServers = nil
 }
 
-func superseded(op *operation) *wire.CommandResult {
+// supersededResult returns a refusal that contains the current record.
+func supersededResult(op *operation) *wire.CommandResult {
 	res := refuse(result.AttemptSuperseded, "the record has another owner, epoch or outcome")
 	res.Operation = op.record()
 	return res
--- a/state/operations.go
+++ b/state/operations.go
@@ -6,40 +6,40 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// operation is the record of a keyed request, in a form that takes less memory than wire.Operation. Its key fields,
-// digest and repeatable never change.
+// operation is the record of a keyed request. It takes less memory than wire.Operation. Its key, digest, class and
+// repeatable fields never change.
 type operation struct {
-	prev, next *operation // by the time of begin
+	prev, next *operation // in the order in which they were begun
 
 	key        operationKey
 	digest     []byte
 	class      string
 	repeatable bool
 
-	state      wire.OperationState
-	entry      string
-	inc        uint64 // of the entry
-	request    string
-	epoch      uint64   // see newEpoch
-	candidates []string // sorted
-	earlier    []string // sorted
-	answer     *wire.Answer
-	begunMS    uint64
-	endedMS    uint64
+	state            wire.OperationState
+	entry            string
+	entryIncarnation uint64 // of the entry
+	request          string
+	epoch            uint64   // see newEpoch
+	candidateServers []string // sorted
+	earlierServers   []string // sorted
+	answer           *wire.Answer
+	begunUnixMS      uint64
+	endedUnixMS      uint64
 }
 
 type operationKey struct {
 	organisation, key string
 }
 
-// operationSet holds the records, in order of their begin and by key.
+// operationSet holds the records by key and in the order in which they were begun.
 type operationSet struct {
 	byKey       map[operationKey]*operation
 	first, last *operation
-	answerBytes int // bodies of all kept answers
+	answerBytes int // total size of all stored bodies
 
-	expired       []uint64 // digests of expired keys, sorted
-	expiredBefore uint64   // milliseconds; every record begun earlier may be gone
+	expiredDigests      []uint64 // digests of expired keys, sorted
+	expiredBeforeUnixMS uint64   // in milliseconds since 1970; any record begun earlier may have been removed
 }
 
 func newOperationSet() operationSet {
@@ -73,14 +73,14 @@
 	}
 }
 
-// record returns the record as it goes over the wire.
+// record returns the wire form of the record.
 func (op *operation) record() *wire.Operation {
 	r := new(wire.Operation)
 	op.fill(r)
 	return r
 }
 
-// fill sets the fields of an empty record.
+// fill sets the fields of an empty wire record.
 func (op *operation) fill(r *wire.Operation) {
 	r.Organisation = op.key.organisation
 	r.Key = op.key.key
@@ -89,37 +89,38 @@
 	r.Repeatable = op.repeatable
 	r.State = op.state
 	r.Owner = op.entry
-	r.OwnerIncarnation = op.inc
+	r.OwnerIncarnation = op.entryIncarnation
 	r.Request = op.request
 	r.Epoch = op.epoch
-	r.Candidates = op.candidates
-	r.Earlier = op.earlier
+	r.Candidates = op.candidateServers
+	r.Earlier = op.earlierServers
 	r.Answer = op.answer
-	r.BegunUnixMs = op.begunMS
-	r.EndedUnixMs = op.endedMS
+	r.BegunUnixMs = op.begunUnixMS
+	r.EndedUnixMs = op.endedUnixMS
 }
 
-func operationOf(r *wire.Operation) *operation {
+// operationFromRecord returns the record of a wire record, for example one of a snapshot.
+func operationFromRecord(r *wire.Operation) *operation {
 	return &operation{
-		key:        operationKey{r.GetOrganisation(), r.GetKey()},
-		digest:     r.GetDigest(),
-		class:      intern(r.GetClass()),
-		repeatable: r.GetRepeatable(),
-		state:      r.GetState(),
-		entry:      intern(r.GetOwner()),
-		inc:        r.GetOwnerIncarnation(),
-		request:    r.GetRequest(),
-		epoch:      r.GetEpoch(),
-		candidates: internAll(r.GetCandidates()),
-		earlier:    internAll(r.GetEarlier()),
-		answer:     r.GetAnswer(),
-		begunMS:    r.GetBegunUnixMs(),
-		endedMS:    r.GetEndedUnixMs(),
+		key:              operationKey{r.GetOrganisation(), r.GetKey()},
+		digest:           r.GetDigest(),
+		class:            intern(r.GetClass()),
+		repeatable:       r.GetRepeatable(),
+		state:            r.GetState(),
+		entry:            intern(r.GetOwner()),
+		entryIncarnation: r.GetOwnerIncarnation(),
+		request:          r.GetRequest(),
+		epoch:            r.GetEpoch(),
+		candidateServers: internAll(r.GetCandidates()),
+		earlierServers:   internAll(r.GetEarlier()),
+		answer:           r.GetAnswer(),
+		begunUnixMS:      r.GetBegunUnixMs(),
+		endedUnixMS:      r.GetEndedUnixMs(),
 	}
 }
 
-// union returns the sorted names of both lists, each once. It never changes its arguments, which records that were
-// handed out may share.
+// union returns the sorted names of both lists without duplicates. It never modifies its arguments, which may be
+// shared with records that accessors have returned.
 func union(a, b []string) []string {
 	all := slices.Concat(a, internAll(b))
 	slices.Sort(all)
--- a/state/operator_changes.go
+++ b/state/operator_changes.go
@@ -8,12 +8,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// changeSet remembers the changes of operators and their answers, oldest first.
+// changeSet holds the results of recent operator changes by change ID, oldest first.
 type changeSet struct {
 	byID  map[changeID]*wire.ChangeRecord
 	order []*wire.ChangeRecord
 }
 
+// changeID identifies a change; each operator has its own namespace of IDs.
 type changeID struct {
 	operator, id string
 }
@@ -27,10 +28,11 @@
 	c.order = append(c.order, r)
 }
 
-// evict forgets the oldest until at most limit remain and none is from before the given time.
-func (c *changeSet) evict(limit int, before uint64) {
+// evict removes the oldest records until at most limit remain and none is older than the cutoff, in milliseconds
+// since 1970.
+func (c *changeSet) evict(limit int, cutoff uint64) {
 	n := 0
-	for n < len(c.order) && (len(c.order)-n > limit || c.order[n].GetUnixMs() < before) {
+	for n < len(c.order) && (len(c.order)-n > limit || c.order[n].GetUnixMs() < cutoff) {
 		delete(c.byID, changeID{c.order[n].GetOperator(), c.order[n].GetChangeId()})
 		c.order[n] = nil
 		n++
@@ -38,25 +40,26 @@
 	c.order = c.order[n:]
 }
 
-// change runs an operator's change unless its id is known; then it gives the first answer again.
+// applyChange applies an operator's change once. If the change ID is known it returns the stored result instead.
 //
-// An operator who lost the answer sends the change again. Without the memory the resend would meet the version that
-// its own first sending made, and the operator would be told that somebody else won. With only the id compared,
-// another change under a reused id would be answered as done though it never was.
-func (s *State) change(c *wire.OperatorChange, run func() *wire.CommandResult) *wire.CommandResult {
+// An operator who lost the answer sends the change again. Without the stored result, the resent change would conflict
+// with the version that its first copy created, and the operator would be told that another change had won. The
+// digest is compared too: otherwise a different change under a reused ID would be answered as done although it was
+// never applied.
+func (s *State) applyChange(c *wire.OperatorChange, apply func() *wire.CommandResult) *wire.CommandResult {
 	if c.GetChangeId() == "" {
-		return run()
+		return apply()
 	}
 	if len(c.GetChangeId()) > maxKey || len(c.GetOperator()) > maxName || len(c.GetDigest()) > maxDigest {
 		return refuse(result.BadMessage, "change id, operator or digest is too long")
 	}
-	if known := s.changes.byID[changeID{c.GetOperator(), c.GetChangeId()}]; known != nil {
-		if !bytes.Equal(known.GetDigest(), c.GetDigest()) {
+	if stored := s.changes.byID[changeID{c.GetOperator(), c.GetChangeId()}]; stored != nil {
+		if !bytes.Equal(stored.GetDigest(), c.GetDigest()) {
 			return refuse(result.ChangeIDReused, "")
 		}
-		return proto.CloneOf(known.GetResult())
+		return proto.CloneOf(stored.GetResult())
 	}
-	res := run()
+	res := apply()
 	if res.Version == 0 {
 		res.Version = s.configVersion
 	}
@@ -65,16 +68,18 @@
 		ChangeId: c.GetChangeId(),
 		Digest:   c.GetDigest(),
 		Result:   proto.CloneOf(res),
-		UnixMs:   s.unixMS,
+		UnixMs:   s.leaderUnixMS,
 	})
-	s.changes.evict(s.limits.Changes, s.changeHorizon())
+	s.changes.evict(s.limits.Changes, s.changeEvictionCutoff())
 	return res
 }
 
-func (s *State) changeHorizon() uint64 {
-	age := uint64(s.limits.ChangeRetention.Milliseconds())
-	if s.unixMS < age {
+// changeEvictionCutoff returns the time, in milliseconds since 1970, before which records of changes are evicted, 0
+// for none.
+func (s *State) changeEvictionCutoff() uint64 {
+	retention := uint64(s.limits.ChangeRetention.Milliseconds())
+	if s.leaderUnixMS < retention {
 		return 0
 	}
-	return s.unixMS - age
+	return s.leaderUnixMS - retention
 }
--- a/state/order_test.go
+++ b/state/order_test.go
@@ -15,12 +15,11 @@
 	role   = wire.OrderKind_ORDER_KIND_ROLE
 )
 
-// Symptom: a server gets orders of two leaders.
-// Sequence: a leader is cut off while it decides; a new one raises the fence; the old one's order is committed after.
-// Cause: an order that isn't tied to a leadership.
-func TestOrderOfAnOlderLeader(t *testing.T) {
+// A leader is disconnected while it decides, a new leader raises the fence, and the old leader's order is committed
+// afterwards. It must be refused, or a server would get orders of two leaders.
+func TestOrderOfOlderLeaderIsRefused(t *testing.T) {
 	l := newLog(t)
-	l.accept(agent("x", 1, ready("s", "m")))
+	l.accept(agent("x", 1, readyServer("s", "m")))
 	l.refuse(result.FenceTooOld, putOrder(0, "s", load, "m"))
 	l.accept(raiseFence())
 	old := l.state.Fence()
@@ -28,15 +27,16 @@
 	first := l.accept(putOrder(old, "s", load, "n")).GetOrder()
 	require.True(t, first.GetCommitted())
 	l.accept(raiseFence())
-	require.Equal(t, l.state.Fence(), l.state.Orders()[0].GetFence(), "open orders go on under the new fence")
+	require.Equal(t, l.state.Fence(), l.state.Orders()[0].GetFence(), "open orders continue with the new fence number")
 	l.accept(endOrder(first.GetId()))
 	l.refuse(result.FenceTooOld, putOrder(old, "s", load, "n"))
 	l.refuse(result.FenceTooOld, putOrder(l.state.Fence()+1, "s", load, "n"))
 }
 
-func TestOneOrderForEachServer(t *testing.T) {
+// A server must have at most one open order, and order IDs must be unique.
+func TestOneOpenOrderPerServer(t *testing.T) {
 	l := newLog(t)
-	l.accept(agent("x", 1, ready("s", "m"), ready("t", "m")))
+	l.accept(agent("x", 1, readyServer("s", "m"), readyServer("t", "m")))
 	l.accept(raiseFence())
 	fence := l.state.Fence()
 	first := l.accept(putOrder(fence, "s", load, "n")).GetOrder()
@@ -46,19 +46,18 @@
 	l.accept(endOrder(first.GetId()))
 	l.accept(endOrder(first.GetId()))
 	third := l.accept(putOrder(fence, "s", load, "o")).GetOrder()
-	require.Greater(t, third.GetId(), second.GetId(), "ids aren't used again")
+	require.Greater(t, third.GetId(), second.GetId(), "order IDs are not reused")
 	l.refuse(result.UnknownServer, putOrder(fence, "u", load, "n"))
 	l.refuse(result.BadMessage, putOrder(fence, "s", 0, "n"))
 }
 
-// Symptom: a model is gone from the pool although callers want it.
-// Sequence: two copies are ready; each is ordered away while the other still counts.
-// Cause: counting copies that an open order takes away, or that are draining.
+// Two copies of a model are ready, and each is ordered to unload while the other counts as ready. The second order
+// must be refused, as must one that leaves only a draining copy, or no server would serve the model.
 func TestLastReadyCopyStays(t *testing.T) {
 	l := newLog(t)
-	draining := ready("d", "m")
+	draining := readyServer("d", "m")
 	draining.Condition = wire.ServerCondition_SERVER_CONDITION_DRAINING
-	l.accept(agent("x", 1, ready("s", "m"), ready("t", "m"), draining))
+	l.accept(agent("x", 1, readyServer("s", "m"), readyServer("t", "m"), draining))
 	l.accept(raiseFence())
 	fence := l.state.Fence()
 	first := l.accept(putOrder(fence, "s", unload, "m")).GetOrder()
--- a/state/poison.go
+++ b/state/poison.go
@@ -12,25 +12,25 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// poisonPrefix marks records of poison requests in the directory's history.
+// poisonPrefix marks records of poison requests in the directory history.
 const poisonPrefix = "p/"
 
-// poisoned holds the requests under which servers have crashed, by the text of their keys. Its records are replaced and never
-// changed: snapshots and clients share them.
+// poisonSet holds the requests that were running when servers crashed, by the text of their keys. Records are
+// replaced and never modified, since snapshots and clients share them.
 //
-// A request that crashes the servers that run it comes again at any entry. Were its crashes known where they were seen only, each
-// entry would lose three servers to it, and one that starts again three more. So they are in the replicated state, whatever entry,
-// agent or control instance dies.
-type poisoned struct {
+// A request that crashes the servers that run it may be repeated at any entry. If crashes were known only where they
+// were observed, each entry would lose three servers to it, and another three after a restart. The records are
+// therefore replicated, so that they survive the loss of any entry, agent or control instance.
+type poisonSet struct {
 	records map[string]*wire.PoisonRecord
-	counts  map[string]int // of records, by organisation
+	counts  map[string]int // number of records, by organisation
 }
 
-func newPoisoned() poisoned {
-	return poisoned{records: make(map[string]*wire.PoisonRecord), counts: make(map[string]int)}
+func newPoisonSet() poisonSet {
+	return poisonSet{records: make(map[string]*wire.PoisonRecord), counts: make(map[string]int)}
 }
 
-// noteCrash notes a crash against all requests that the server ran.
+// noteCrash records a crash for each request that the server was running.
 func (s *State) noteCrash(cmd *wire.NoteCrash) *wire.CommandResult {
 	crash := cmd.GetCrash()
 	switch {
@@ -49,53 +49,56 @@
 	return accepted()
 }
 
-// addCrash notes a crash against one request.
+// addCrash records a crash for one request.
 func (s *State) addCrash(key poison.Key, crash *wire.Crash) {
 	record := key.Record()
-	if known := s.poisoned.records[key.String()]; known != nil {
-		record = proto.CloneOf(known)
+	if existing := s.poisonRecords.records[key.String()]; existing != nil {
+		record = proto.CloneOf(existing)
 	}
-	if !poison.Add(record, crash, s.unixMS) {
+	if !poison.Add(record, crash, s.leaderUnixMS) {
 		return
 	}
-	if s.poisoned.records[key.String()] == nil {
-		s.makeRoomForPoison(key.Organisation)
+	if s.poisonRecords.records[key.String()] == nil {
+		s.evictPoisonIfFull(key.Organisation)
 	}
-	s.setPoison(key, record)
+	s.storePoisonRecord(key, record)
 }
 
-// setPoison puts a record in force, nil for none. Only watched and quarantined ones are told to clients.
-func (s *State) setPoison(key poison.Key, record *wire.PoisonRecord) {
-	p := &s.poisoned
+// storePoisonRecord stores a record, or deletes it if nil. Only watched and quarantined records are published to
+// clients, so only changes from or to one of these change the directory version.
+func (s *State) storePoisonRecord(key poison.Key, record *wire.PoisonRecord) {
+	p := &s.poisonRecords
 	name := key.String()
 	before := p.records[name]
-	isTold := poison.StandingOf(before) != poison.Clear || poison.StandingOf(record) != poison.Clear
+	isPublished := poison.StandingOf(before) != poison.Clear || poison.StandingOf(record) != poison.Clear
 	if record == nil {
 		delete(p.records, name)
-		p.count(key.Organisation, -1)
+		p.adjustCount(key.Organisation, -1)
 	} else {
 		record.Version = s.index
 		p.records[name] = record
 		if before == nil {
-			p.count(key.Organisation, 1)
+			p.adjustCount(key.Organisation, 1)
 		}
 	}
-	if isTold {
-		s.raiseDirectory(poisonPrefix + name)
+	if isPublished {
+		s.advanceDirectoryVersion(poisonPrefix + name)
 	}
 }
 
-func (p *poisoned) count(organisation string, change int) {
+// adjustCount adds change to the number of records of an organisation.
+func (p *poisonSet) adjustCount(organisation string, change int) {
 	p.counts[organisation] += change
 	if p.counts[organisation] == 0 {
 		delete(p.counts, organisation)
 	}
 }
 
-// makeRoomForPoison forgets a record where an organisation, or all of them, have as many as there may be. The organisation with the
-// most gives way, so that none can push out what is known of another's.
-func (s *State) makeRoomForPoison(organisation string) {
-	p := &s.poisoned
+// evictPoisonIfFull deletes a record if an organisation, or all of them together, has reached its limit. In the
+// latter case the record is taken from the organisation with the most records, so that no organisation can evict the
+// records of others.
+func (s *State) evictPoisonIfFull(organisation string) {
+	p := &s.poisonRecords
 	switch {
 	case p.counts[organisation] >= s.limits.PoisonPerOrganisation:
 	case len(p.records) >= s.limits.PoisonRecords:
@@ -104,17 +107,17 @@
 	default:
 		return
 	}
-	var least *wire.PoisonRecord // the same in whatever order they come
+	var evicted *wire.PoisonRecord // independent of the iteration order
 	for _, record := range p.records {
-		if record.GetOrganisation() == organisation && (least == nil || compareEvidence(record, least) < 0) {
-			least = record
+		if record.GetOrganisation() == organisation && (evicted == nil || compareForEviction(record, evicted) < 0) {
+			evicted = record
 		}
 	}
-	s.setPoison(poison.KeyOf(least), nil)
+	s.storePoisonRecord(poison.KeyOf(evicted), nil)
 }
 
-// compareEvidence orders the records of an organisation by their crashes, then by their last change.
-func compareEvidence(a, b *wire.PoisonRecord) int {
+// compareForEviction orders the records of an organisation by their number of crashes, then by their last change.
+func compareForEviction(a, b *wire.PoisonRecord) int {
 	return cmp.Or(
 		cmp.Compare(len(a.GetCrashes()), len(b.GetCrashes())),
 		cmp.Compare(a.GetVersion(), b.GetVersion()),
@@ -122,48 +125,49 @@
 	)
 }
 
-// clearPoison forgets records of requests that ended whole.
+// clearPoison deletes the records of requests that were answered completely, unless they have changed since the
+// proposer read them.
 //
-// A server that ran a request to its end shows that the request doesn't crash servers: it was beside one that does, or its
-// servers died of something else.
+// A server that ran a request to its end shows that the request does not crash servers: it ran beside one that does,
+// or the crashes had another cause.
 func (s *State) clearPoison(cmd *wire.ClearPoison) *wire.CommandResult {
 	for _, cleared := range cmd.GetCleared() {
 		key := poison.KeyOf(cleared)
-		if known := s.poisoned.records[key.String()]; known != nil && known.GetVersion() == cleared.GetVersion() {
-			s.setPoison(key, nil)
+		if current := s.poisonRecords.records[key.String()]; current != nil && current.GetVersion() == cleared.GetVersion() {
+			s.storePoisonRecord(key, nil)
 		}
 	}
 	return accepted()
 }
 
-// expirePoison steps down what is due by the highest leader's clock seen.
+// expirePoison moves each record whose time has passed one step down, by the highest leader time seen.
 func (s *State) expirePoison() *wire.CommandResult {
-	for _, record := range sorted(s.poisoned.records) {
-		if record.GetUntilUnixMs() > s.unixMS {
+	for _, record := range sortedValues(s.poisonRecords.records) {
+		if record.GetUntilUnixMs() > s.leaderUnixMS {
 			continue
 		}
 		next := proto.CloneOf(record)
-		if !poison.StepDown(next, s.unixMS) {
+		if !poison.StepDown(next, s.leaderUnixMS) {
 			next = nil
 		}
-		s.setPoison(poison.KeyOf(record), next)
+		s.storePoisonRecord(poison.KeyOf(record), next)
 	}
 	return accepted()
 }
 
-// PoisonRecords returns all requests under which servers have crashed, sorted by key.
-func (s *State) PoisonRecords() []*wire.PoisonRecord { return sorted(s.poisoned.records) }
+// PoisonRecords returns all requests that were running when servers crashed, sorted by key.
+func (s *State) PoisonRecords() []*wire.PoisonRecord { return sortedValues(s.poisonRecords.records) }
 
-// PublishedPoisonRecords returns those that are watched or quarantined, which is what clients get to know, sorted by key.
+// PublishedPoisonRecords returns the watched and quarantined records, which clients receive, sorted by key.
 func (s *State) PublishedPoisonRecords() []*wire.PoisonRecord {
 	return slices.DeleteFunc(s.PoisonRecords(), func(record *wire.PoisonRecord) bool {
 		return poison.StandingOf(record) == poison.Clear
 	})
 }
 
-// HasExpiredPoison tells whether records are to step down at a time, in milliseconds since 1970.
+// HasExpiredPoison reports whether the time of any record has passed at unixMS, in milliseconds since 1970.
 func (s *State) HasExpiredPoison(unixMS uint64) bool {
-	for _, record := range s.poisoned.records {
+	for _, record := range s.poisonRecords.records {
 		if record.GetUntilUnixMs() <= unixMS {
 			return true
 		}
@@ -171,9 +175,9 @@
 	return false
 }
 
-// addPoisonTo puts what is known of a record into an update.
-func (s *State) addPoisonTo(out *wire.DirectoryUpdate, name string) {
-	record := s.poisoned.records[name]
+// appendPoisonUpdate adds a record, or its removal, to a directory update.
+func (s *State) appendPoisonUpdate(out *wire.DirectoryUpdate, name string) {
+	record := s.poisonRecords.records[name]
 	if poison.StandingOf(record) == poison.Clear {
 		out.RemovedPoison = append(out.RemovedPoison, name)
 		return
@@ -181,9 +185,9 @@
 	out.Poison = append(out.Poison, record)
 }
 
-func (p *poisoned) restore(records []*wire.PoisonRecord) {
+func (p *poisonSet) restore(records []*wire.PoisonRecord) {
 	for _, record := range records {
 		p.records[poison.KeyOf(record).String()] = record
-		p.count(record.GetOrganisation(), 1)
+		p.adjustCount(record.GetOrganisation(), 1)
 	}
 }
--- a/state/poison_test.go
+++ b/state/poison_test.go
@@ -14,17 +14,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func printOf(organisation string, fingerprint int) *wire.PoisonRecord {
+// poisonRecord returns a record with a key and nothing else.
+func poisonRecord(organisation string, fingerprint int) *wire.PoisonRecord {
 	return poison.Key{Organisation: organisation, Fingerprint: poison.Fingerprint(fingerprint)}.Record()
 }
 
-// crash notes that a server crashed while it ran these. One that ran a single request is taken to have run it alone.
+// crash applies a crash of a server that was running the given requests. A single request is reported as having run
+// alone.
 func (l *log) crash(server string, ran ...*wire.PoisonRecord) {
 	l.accept(&wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: &wire.NoteCrash{
 		Crash: &wire.Crash{Id: fmt.Sprint("crash-", l.index), Server: server, Alone: len(ran) == 1}, Ran: ran,
 	}}})
 }
 
+// quarantine applies as many crashes of a request as lead to its quarantine.
 func (l *log) quarantine(record *wire.PoisonRecord) {
 	for i := range poison.QuarantinedAt {
 		l.crash(fmt.Sprint("server-", i), record)
@@ -32,21 +35,24 @@
 }
 
 func (l *log) standing(record *wire.PoisonRecord) poison.Standing {
-	return poison.StandingOf(l.state.poisoned.records[poison.KeyOf(record).String()])
+	return poison.StandingOf(l.state.poisonRecords.records[poison.KeyOf(record).String()])
 }
 
+// clear applies the clearance of a request, based on a version of its record.
 func (l *log) clear(version uint64, record *wire.PoisonRecord) {
 	cleared := poison.KeyOf(record).Record()
 	cleared.Version = version
 	l.accept(&wire.Command{Kind: &wire.Command_ClearPoison{ClearPoison: &wire.ClearPoison{Cleared: []*wire.PoisonRecord{cleared}}}})
 }
 
-func TestCrashesAreKeptAndToldToClients(t *testing.T) {
+// Crashes must be in snapshots and, once a request is watched, in deltas. Otherwise entries run a request that has
+// crashed servers elsewhere.
+func TestCrashesAreInSnapshotsAndDeltas(t *testing.T) {
 	l := newLog(t)
-	l.other = New()
-	a, b := printOf("org", 1), printOf("org", 2)
+	l.replica = New()
+	a, b := poisonRecord("org", 1), poisonRecord("org", 2)
 	l.crash("s1", a, b)
-	require.Zero(t, l.state.DirectoryVersion(), "one crash is nobody's business")
+	require.Zero(t, l.state.DirectoryVersion(), "a single crash is not published")
 	l.crash("s2", a)
 	watched := l.state.DirectorySince(0).GetPoison()
 	require.Len(t, watched, 1)
@@ -63,15 +69,16 @@
 
 	before = l.state.DirectoryVersion()
 	l.crash("s4", a)
-	require.Equal(t, before, l.state.DirectoryVersion(), "a crash that was on its way tells nothing new")
+	require.Equal(t, before, l.state.DirectoryVersion(), "a further crash of a quarantined request changes nothing")
 	l.restart()
 }
 
-// Symptom: a request that was answered stays refused, or one that crashed a server again since runs free. Sequence: an entry that
-// had an answer clears it; its proposal is late, and meanwhile another crash was noted. Cause: a clearance that names no version.
-func TestAnswerClearsWhatItWasAnsweredAfter(t *testing.T) {
+// An entry that received an answer proposes to clear the request, and another crash is recorded before that commits.
+// The clearance must be valid only for the version it is based on, or a request that crashed a server again would
+// run.
+func TestClearanceOfOlderVersionIsIgnored(t *testing.T) {
 	l := newLog(t)
-	a := printOf("org", 1)
+	a := poisonRecord("org", 1)
 	l.crash("s1", a)
 	l.crash("s2", a)
 	version := l.state.PoisonRecords()[0].GetVersion()
@@ -86,9 +93,10 @@
 	l.restart()
 }
 
+// A quarantine must end in steps that are all published, or a request would be refused permanently.
 func TestPoisonExpires(t *testing.T) {
 	l := newLog(t)
-	a, b := printOf("org", 1), printOf("org", 2)
+	a, b := poisonRecord("org", 1), poisonRecord("org", 2)
 	l.quarantine(a)
 	l.crash("s1", b)
 	expire := func() {
@@ -103,58 +111,59 @@
 		require.True(t, l.state.HasExpiredPoison(l.now))
 		before := l.state.DirectoryVersion()
 		expire()
-		require.Greater(t, l.state.DirectoryVersion(), before, "clients hear of each step")
+		require.Greater(t, l.state.DirectoryVersion(), before, "each step is published")
 		require.NotEqual(t, poison.Quarantined, l.standing(a))
 	}
-	require.Empty(t, l.state.poisoned.counts)
+	require.Empty(t, l.state.poisonRecords.counts)
 	l.restart()
 }
 
-// Symptom: what is known of one organisation's requests is lost, and they crash servers again. Sequence: another organisation
-// sends requests without end that are under crashes. Cause: one bound for all organisations, the oldest first.
-func TestNoOrganisationPushesOutWhatIsKnownOfOthers(t *testing.T) {
+// An organisation that keeps sending requests that crash servers must not evict the records of other organisations,
+// or their requests would crash servers again. A shared limit that evicts the oldest record would allow that.
+func TestOrganisationDoesNotEvictPoisonOfOthers(t *testing.T) {
 	limits := DefaultLimits
 	limits.PoisonRecords, limits.PoisonPerOrganisation = 12, 8
 	l := newLog(t)
 	l.state = newState(limits)
-	mine := printOf("mine", 1)
-	l.quarantine(mine)
+	victim := poisonRecord("mine", 1)
+	l.quarantine(victim)
 	for i := range 5 {
-		l.crash("s1", printOf("other", i+1))
+		l.crash("s1", poisonRecord("other", i+1))
 	}
-	theirs := printOf("rival", 1)
-	l.quarantine(theirs)
+	ofRival := poisonRecord("rival", 1)
+	l.quarantine(ofRival)
 	for i := range 100 {
-		l.crash("s1", printOf("rival", i+2))
+		l.crash("s1", poisonRecord("rival", i+2))
 		require.LessOrEqual(t, len(l.state.PoisonRecords()), limits.PoisonRecords)
-		require.LessOrEqual(t, l.state.poisoned.counts["rival"], limits.PoisonPerOrganisation)
+		require.LessOrEqual(t, l.state.poisonRecords.counts["rival"], limits.PoisonPerOrganisation)
 	}
-	require.Equal(t, poison.Quarantined, l.standing(mine))
-	require.Equal(t, poison.Quarantined, l.standing(theirs), "of its own, those with the fewest crashes go first")
-	require.Positive(t, l.state.poisoned.counts["other"])
+	require.Equal(t, poison.Quarantined, l.standing(victim))
+	require.Equal(t, poison.Quarantined, l.standing(ofRival), "of its own records, those with the fewest crashes are evicted first")
+	require.Positive(t, l.state.poisonRecords.counts["other"])
 	l.restart()
 }
 
+// Crash reports without an ID, a server or a fingerprint must not create records.
 func TestMalformedCrashesAreRefused(t *testing.T) {
 	l := newLog(t)
 	for _, crash := range []*wire.Crash{nil, {Id: "a"}, {Server: "s"}} {
 		l.refuse(result.BadMessage, &wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: &wire.NoteCrash{Crash: crash}}})
 	}
 	l.crash("s1", &wire.PoisonRecord{Organisation: "org"})
-	require.Empty(t, l.state.PoisonRecords(), "without a fingerprint it is of no request")
+	require.Empty(t, l.state.PoisonRecords(), "a report without a fingerprint identifies no request")
 }
 
-// Symptom: requests that harmed nobody have to begin alone. Sequence: three servers crash; their agents report it; an entry that is cut
-// off from control reports the same crashes five seconds later. Cause: seen on a played day: a crash that came late was taken for
-// another one, since the names of its servers tell no time of start.
-func TestCrashThatIsReportedLateIsTheSame(t *testing.T) {
+// Three servers crash and their agents report it; an entry that is cut off from control reports the same crashes 5 s
+// later. The delayed report must not count as another crash, or harmless requests are run alone. It is recognised
+// even if the server's name has no start time.
+func TestDelayedCrashReportIsDuplicate(t *testing.T) {
 	for name, crash := range map[string]*wire.Crash{
-		"by the entry that its agent told":                   {Id: "s1@5", Server: "s1", Reporter: "agent-1"},
+		"by the entry that the agent informed":               {Id: "s1@5", Server: "s1", Reporter: "agent-1"},
 		"by another agent, of a server whose name is unique": {Id: "s1@7", Server: "s1", Reporter: "agent-2", Once: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLog(t)
-			a := printOf("org", 1)
+			a := poisonRecord("org", 1)
 			note := func(crash *wire.Crash) {
 				l.accept(&wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: &wire.NoteCrash{
 					Crash: crash, Ran: []*wire.PoisonRecord{a},
@@ -168,9 +177,9 @@
 	}
 }
 
-// drawPoisonCommand draws a command about few requests and few servers, sensible or not.
+// drawPoisonCommand draws a valid or invalid command about a few requests and servers.
 func drawPoisonCommand(t *rapid.T, l *log) *wire.Command {
-	record := printOf(drawName(t, "organisation"), rapid.IntRange(0, 3).Draw(t, "fingerprint"))
+	record := poisonRecord(drawName(t, "organisation"), rapid.IntRange(0, 3).Draw(t, "fingerprint"))
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
 		return &wire.Command{Kind: &wire.Command_ExpirePoison{ExpirePoison: &wire.ExpirePoison{}}}
@@ -180,7 +189,7 @@
 	default:
 		ran := []*wire.PoisonRecord{record}
 		if rapid.Bool().Draw(t, "beside") {
-			ran = append(ran, printOf(drawName(t, "other"), rapid.IntRange(1, 3).Draw(t, "other fingerprint")))
+			ran = append(ran, poisonRecord(drawName(t, "other"), rapid.IntRange(1, 3).Draw(t, "other fingerprint")))
 		}
 		return &wire.Command{Kind: &wire.Command_NoteCrash{NoteCrash: &wire.NoteCrash{Ran: ran, Crash: &wire.Crash{
 			Id: fmt.Sprint(drawNumber(t, "id")), Server: drawName(t, "server"), Reporter: drawName(t, "reporter"),
@@ -189,15 +198,16 @@
 	}
 }
 
-// Symptom: replicas, or a client after its deltas, know of different requests. Sequence: any crashes, clearances and times, with a
-// restore at any point. Cause: something that isn't in the snapshot, an order that the log doesn't give, or a change that isn't told.
+// Replicas, and clients that apply deltas, must hold the same records after any crashes, clearances and expiries,
+// with a restore at any point. They differ if something is missing in a snapshot or a delta, or depends on an order
+// that the log does not define.
 func TestPoisonIsEqualOnReplicasAndClients(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := DefaultLimits
 		limits.PoisonRecords, limits.PoisonPerOrganisation, limits.History = 5, 2, 3
 		l := newLog(rt)
-		l.state, l.other = newState(limits), newState(limits)
-		told, version := make(map[string]*wire.PoisonRecord), uint64(0)
+		l.state, l.replica = newState(limits), newState(limits)
+		received, version := make(map[string]*wire.PoisonRecord), uint64(0)
 		for range rapid.IntRange(1, 80).Draw(rt, "length") {
 			l.now += drawNumber(rt, "hours") * uint64(time.Hour.Milliseconds()) / 2
 			l.apply(proto.CloneOf(drawPoisonCommand(rt, l)))
@@ -207,19 +217,19 @@
 			}
 			if u := l.state.DirectorySince(version); u != nil && rapid.Bool().Draw(rt, "update") {
 				if u.GetFull() {
-					clear(told)
+					clear(received)
 				}
-				replaceAll(told, u.GetPoison(), func(r *wire.PoisonRecord) string { return poison.KeyOf(r).String() }, u.GetRemovedPoison())
+				replaceAll(received, u.GetPoison(), func(r *wire.PoisonRecord) string { return poison.KeyOf(r).String() }, u.GetRemovedPoison())
 				version = u.GetVersion()
-				want, got := &wire.Snapshot{Poison: l.state.PublishedPoisonRecords()}, &wire.Snapshot{Poison: sorted(told)}
-				require.True(rt, proto.Equal(want, got), "a client after its deltas:\n%v\n%v", want, got)
+				want, got := &wire.Snapshot{Poison: l.state.PublishedPoisonRecords()}, &wire.Snapshot{Poison: sortedValues(received)}
+				require.True(rt, proto.Equal(want, got), "a client differs from the state after its deltas:\n%v\n%v", want, got)
 			}
 		}
 		l.restart()
 	})
 }
 
-// requirePoison checks what holds of all records at any time.
+// requirePoison checks the invariants of all records.
 func requirePoison(t require.TestingT, s *State) {
 	require.LessOrEqual(t, len(s.PoisonRecords()), s.limits.PoisonRecords)
 	counts := make(map[string]int)
@@ -228,7 +238,7 @@
 		ids := make(map[string]bool)
 		alone := false
 		for _, crash := range record.GetCrashes() {
-			require.False(t, ids[crash.GetId()], "a crash counts once")
+			require.False(t, ids[crash.GetId()], "a crash is counted twice")
 			ids[crash.GetId()] = true
 			alone = alone || crash.GetAlone()
 		}
@@ -239,7 +249,7 @@
 		}
 		require.Greater(t, record.GetUntilUnixMs(), record.GetCrashes()[0].GetUnixMs())
 	}
-	require.Equal(t, counts, s.poisoned.counts)
+	require.Equal(t, counts, s.poisonRecords.counts)
 	for _, n := range counts {
 		require.LessOrEqual(t, n, s.limits.PoisonPerOrganisation)
 	}
--- a/state/server_advice.go
+++ b/state/server_advice.go
@@ -12,15 +12,16 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// advicePrefix marks what servers ask of their senders in the directory's history.
+// advicePrefix marks server advice in the directory history.
 const advicePrefix = "w/"
 
-// noteAdvice notes what a server asks of its senders. Where the record has changed since the version that the proposer goes by,
-// the record stays: its proposer hears of it and judges anew.
+// noteServerAdvice stores the rate limit or drain state that a server has asked its senders to observe. A command
+// whose version is older than the stored record changes nothing; its proposer receives the newer record and decides
+// again. Advice that asks for nothing removes the record.
 //
-// A server tells only those whose requests it answers. Without a record, a sender that starts again, or one that another takes the
-// place of, would send as if nothing had been asked until its own first answer.
-func (s *State) noteAdvice(cmd *wire.NoteServerAdvice) *wire.CommandResult {
+// A server sends its advice only with answers to requests. The replicated record lets a sender that starts or takes
+// over respect the advice before it has received an answer of its own.
+func (s *State) noteServerAdvice(cmd *wire.NoteServerAdvice) *wire.CommandResult {
 	in := cmd.GetAdvice()
 	server, rate := in.GetServer(), in.GetRatePerS()
 	switch {
@@ -29,34 +30,35 @@
 	case math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0:
 		return refuse(result.BadMessage, "advice with a rate that is no number of at least 0")
 	}
-	known := s.advice[server]
+	current := s.advice[server]
 	switch {
-	case known.GetVersion() > in.GetVersion():
+	case current.GetVersion() > in.GetVersion():
 		return accepted()
 	case !in.GetRateLimited() && !in.GetDraining():
-		s.dropAdvice(server)
+		s.removeAdvice(server)
 		return accepted()
-	case known == nil:
-		s.makeRoomForAdvice()
+	case current == nil:
+		s.evictAdviceIfFull()
 	}
 	record := proto.CloneOf(in)
 	record.Version = s.index
 	s.advice[server] = record
-	s.raiseDirectory(advicePrefix + server)
+	s.advanceDirectoryVersion(advicePrefix + server)
 	return accepted()
 }
 
-// dropAdvice forgets what a server asked.
-func (s *State) dropAdvice(server string) {
+// removeAdvice deletes the advice of a server, if any.
+func (s *State) removeAdvice(server string) {
 	if s.advice[server] == nil {
 		return
 	}
 	delete(s.advice, server)
-	s.raiseDirectory(advicePrefix + server)
+	s.advanceDirectoryVersion(advicePrefix + server)
 }
 
-// makeRoomForAdvice forgets the oldest record where there are as many as there may be.
-func (s *State) makeRoomForAdvice() {
+// evictAdviceIfFull deletes the record with the lowest version if the number of records has reached
+// Limits.Announcements.
+func (s *State) evictAdviceIfFull() {
 	if len(s.advice) < s.limits.Announcements {
 		return
 	}
@@ -64,14 +66,14 @@
 	oldest := slices.MinFunc(servers, func(a, b string) int {
 		return cmp.Compare(s.advice[a].GetVersion(), s.advice[b].GetVersion())
 	})
-	s.dropAdvice(oldest)
+	s.removeAdvice(oldest)
 }
 
-// ServerAdvice returns what servers ask of their senders, sorted by server.
-func (s *State) ServerAdvice() []*wire.ServerAdvice { return sorted(s.advice) }
+// ServerAdvice returns the current advice of all servers, sorted by server.
+func (s *State) ServerAdvice() []*wire.ServerAdvice { return sortedValues(s.advice) }
 
-// addAdviceTo puts what is known of a server into an update.
-func (s *State) addAdviceTo(out *wire.DirectoryUpdate, server string) {
+// appendAdviceUpdate adds the advice of a server, or its removal, to a directory update.
+func (s *State) appendAdviceUpdate(out *wire.DirectoryUpdate, server string) {
 	if record := s.advice[server]; record != nil {
 		out.Advice = append(out.Advice, record)
 		return
--- a/state/shares.go
+++ b/state/shares.go
@@ -9,19 +9,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// shares holds who may use how much of each organisation's usage cap.
+// usageShares holds how much of each organisation's usage cap each entry may use.
 //
-// The invariant of usage caps: the shares of a cap that are held never add up to more than the cap with what operators
-// tolerate beyond it, and in any window an entry uses no more than its share. So no window sees more, whatever messages are
-// lost or late, whoever dies, and whether or not control is heard. Three guards keep it: a share is raised only as far as
-// the sum allows; it is lowered only by its holder, which uses less from before it asks for that; and one of a holder that
-// has died stays until its use has left the window, see [quota.Releases].
-type shares struct {
+// The invariant of usage caps: the shares of a cap that are held never add up to more than the cap plus the tolerance
+// that operators configure, and in any window an entry uses no more than its share. Thus no window exceeds this
+// bound, regardless of lost or delayed messages, of crashes, and of whether control is reachable. Three rules
+// maintain it: a share is raised only as far as the sum allows; it is lowered only by its holder, which reduces its
+// use before it proposes that; and the share of a holder that has died stays held until its use has left the window,
+// see [quota.Releases].
+type usageShares struct {
 	holders map[shareHolder]*heldShares
-	held    map[string]uint64 // by organisation, the sum over all holders
+	totals  map[string]uint64 // by organisation, the sum over all holders
 }
 
-// shareHolder is one start of an entry.
+// shareHolder is one incarnation of an entry.
 type shareHolder struct {
 	entry       string
 	incarnation uint64
@@ -31,20 +32,22 @@
 	return cmp.Or(cmp.Compare(h.entry, other.entry), cmp.Compare(h.incarnation, other.incarnation))
 }
 
+// heldShares are the shares of one holder.
 type heldShares struct {
-	sequence uint64 // of the last proposal that was applied
+	sequence uint64 // of the last applied proposal
 	units    map[string]uint64
 	windowMS uint32
-	ended    bool // it uses nothing any more, or stops when its lease is over
-	replaced bool // a later start of the same entry is there, so this one is dead
+	ended    bool // the entry uses nothing, or stops when its lease expires
+	replaced bool // a later incarnation of the entry is registered, so this one is dead
 }
 
-func newShares() shares {
-	return shares{holders: make(map[shareHolder]*heldShares), held: make(map[string]uint64)}
+func newUsageShares() usageShares {
+	return usageShares{holders: make(map[shareHolder]*heldShares), totals: make(map[string]uint64)}
 }
 
-// moveShares sets the shares of a listed entry. What it lowers is free for others at once, so the entry must keep to it
-// from before it proposes it.
+// moveShares sets the shares of a registered entry and returns them. Units by which a share is lowered are available
+// to other entries at once, so the entry must respect the lower share before it proposes it. A proposal that is not
+// newer than the last applied one changes nothing.
 func (s *State) moveShares(cmd *wire.MoveShares) *wire.CommandResult {
 	holder := shareHolder{cmd.GetEntry(), cmd.GetIncarnation()}
 	if listed := s.entries[holder.entry]; listed == nil || listed.GetIncarnation() != holder.incarnation {
@@ -59,7 +62,7 @@
 		held.sequence = cmd.GetSequence()
 		held.windowMS = cmd.GetTolerance().GetWindowMs()
 		for _, share := range cmd.GetShares() {
-			s.moveShare(held, share, cmd.GetTolerance())
+			s.adjustShare(held, share, cmd.GetTolerance())
 		}
 	}
 	res := accepted()
@@ -68,32 +71,33 @@
 		res.Shares = append(res.Shares, &wire.Share{
 			Organisation: name,
 			Units:        held.units[name],
-			Others:       s.shares.held[name] - held.units[name],
+			Others:       s.shares.totals[name] - held.units[name],
 		})
 	}
 	return res
 }
 
-// moveShare lowers a share as asked, or raises it as far as the sum of all shares allows.
+// adjustShare lowers a share as requested, or raises it as far as the sum of all shares allows.
 //
-// It is raised from what its holder goes by. That is less than what is held here after the cap was lowered, when each holder
-// scales its share at once: raised from what is held, shares would add up to the higher cap again.
-func (s *State) moveShare(held *heldShares, asked *wire.Share, tolerance *wire.CapTolerance) {
-	name := asked.GetOrganisation()
-	now, most := min(held.units[name], asked.GetUses()), uint64(0)
-	if member := s.member(name); member != nil {
-		most = tolerance.Bound(member)
-	}
-	units := asked.GetUnits()
-	if units > now {
-		others := s.shares.held[name] - held.units[name]
-		units = max(now, min(units, most-min(others, most)))
+// It is raised from what its holder currently goes by. After the cap was lowered that is less than what is held here,
+// because each holder scales its share at once: if it were raised from the held value, the shares would add up to the
+// higher cap again.
+func (s *State) adjustShare(held *heldShares, requested *wire.Share, tolerance *wire.CapTolerance) {
+	name := requested.GetOrganisation()
+	current, bound := min(held.units[name], requested.GetUses()), uint64(0)
+	if member := s.organisation(name); member != nil {
+		bound = tolerance.Bound(member)
+	}
+	units := requested.GetUnits()
+	if units > current {
+		others := s.shares.totals[name] - held.units[name]
+		units = max(current, min(units, bound-min(others, bound)))
 	}
 	s.shares.set(held, name, units)
 }
 
-// member is an organisation of the desired state in force, nil if it has none.
-func (s *State) member(name string) *wire.Member {
+// organisation returns an organisation of the current desired state, nil if there is none of that name.
+func (s *State) organisation(name string) *wire.Member {
 	for _, member := range s.desired.GetOrganisations() {
 		if member.GetName() == name {
 			return member
@@ -102,18 +106,19 @@
 	return nil
 }
 
-func (s *shares) set(held *heldShares, name string, units uint64) {
-	s.held[name] += units - held.units[name]
+// set sets the units of a holder and updates the total of the organisation.
+func (s *usageShares) set(held *heldShares, name string, units uint64) {
+	s.totals[name] += units - held.units[name]
 	held.units[name] = units
 	if units == 0 {
 		delete(held.units, name)
 	}
-	if s.held[name] == 0 {
-		delete(s.held, name)
+	if s.totals[name] == 0 {
+		delete(s.totals, name)
 	}
 }
 
-// releaseShares lowers what a holder that has ended still holds. It raises nothing.
+// releaseShares lowers the shares of a holder that has ended. It never raises a share.
 func (s *State) releaseShares(cmd *wire.ReleaseShares) *wire.CommandResult {
 	holder := shareHolder{cmd.GetEntry(), cmd.GetIncarnation()}
 	held := s.shares.holders[holder]
@@ -124,40 +129,41 @@
 		name := share.GetOrganisation()
 		s.shares.set(held, name, min(share.GetUnits(), held.units[name]))
 	}
-	s.shares.drop(holder)
+	s.shares.removeIfEmpty(holder)
 	return accepted()
 }
 
-// drop forgets a holder that has ended and holds nothing.
-func (s *shares) drop(holder shareHolder) {
+// removeIfEmpty removes a holder that has ended and holds nothing.
+func (s *usageShares) removeIfEmpty(holder shareHolder) {
 	if held := s.holders[holder]; held != nil && held.ended && len(held.units) == 0 {
 		delete(s.holders, holder)
 	}
 }
 
-// endShares notes that an entry has ended. Its shares stay held: its use is in the window, and it may not know of its end.
-func (s *State) endShares(entry string, incarnation uint64) {
+// endShareHolder marks an entry as ended. Its shares stay held: its use is in the current window, and it may not have
+// learnt of its end.
+func (s *State) endShareHolder(entry string, incarnation uint64) {
 	holder := shareHolder{entry, incarnation}
 	if held := s.shares.holders[holder]; held != nil {
 		held.ended = true
-		s.shares.drop(holder)
+		s.shares.removeIfEmpty(holder)
 	}
 }
 
-// replaceShares notes that all starts of an entry before this one are dead.
-func (s *State) replaceShares(entry string, incarnation uint64) {
+// endReplacedHolders marks all earlier incarnations of an entry as ended and dead.
+func (s *State) endReplacedHolders(entry string, incarnation uint64) {
 	for holder, held := range s.shares.holders {
 		if holder.entry == entry && holder.incarnation < incarnation {
 			held.ended, held.replaced = true, true
-			s.shares.drop(holder)
+			s.shares.removeIfEmpty(holder)
 		}
 	}
 }
 
-// TotalHeldUnits is how much of an organisation's cap is held in all.
-func (s *State) TotalHeldUnits(organisation string) uint64 { return s.shares.held[organisation] }
+// TotalHeldUnits returns how many units of an organisation's cap all holders hold together.
+func (s *State) TotalHeldUnits(organisation string) uint64 { return s.shares.totals[organisation] }
 
-// HeldUnits is how much of an organisation's cap one start of an entry holds.
+// HeldUnits returns how many units of an organisation's cap one incarnation of an entry holds.
 func (s *State) HeldUnits(entry string, incarnation uint64, organisation string) uint64 {
 	held := s.shares.holders[shareHolder{entry, incarnation}]
 	if held == nil {
@@ -166,8 +172,8 @@
 	return held.units[organisation]
 }
 
-// SharesOfEndedEntries returns what entries that have ended still hold, sorted. Most of the time there are none, and the leader asks
-// ten times a second.
+// SharesOfEndedEntries returns the shares that ended entries still hold, sorted by holder and organisation. Usually
+// there are none, and the leader calls it 10 times per second.
 func (s *State) SharesOfEndedEntries() []*wire.HeldShares {
 	return s.shares.records(func(held *heldShares) bool { return held.ended })
 }
@@ -177,11 +183,11 @@
 	return s.shares.records(func(*heldShares) bool { return true })
 }
 
-// records returns what the selected holders hold.
-func (s *shares) records(selects func(*heldShares) bool) []*wire.HeldShares {
+// records returns the shares of the selected holders, sorted by holder and organisation.
+func (s *usageShares) records(include func(*heldShares) bool) []*wire.HeldShares {
 	var holders []shareHolder
 	for holder, held := range s.holders {
-		if selects(held) {
+		if include(held) {
 			holders = append(holders, holder)
 		}
 	}
@@ -208,7 +214,7 @@
 	return record
 }
 
-func (s *shares) restore(records []*wire.HeldShares) {
+func (s *usageShares) restore(records []*wire.HeldShares) {
 	for _, record := range records {
 		held := &heldShares{
 			sequence: record.GetSequence(),
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -8,14 +8,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Snapshot returns the whole state. Equal states give equal snapshots: all lists are sorted, or in the order in
-// which commands were applied. The snapshot shares records with the state and must not be changed.
+// Snapshot returns the whole state. Equal states give equal snapshots: all lists are sorted, or in the order in which
+// commands were applied. The snapshot shares records with the state and must not be modified.
 func (s *State) Snapshot() *wire.Snapshot {
 	return &wire.Snapshot{
 		Index:               s.index,
 		ConfigVersion:       s.configVersion,
 		DirectoryVersion:    s.directoryVersion,
-		UnixMs:              s.unixMS,
+		UnixMs:              s.leaderUnixMS,
 		Fence:               s.fence,
 		NextOrder:           s.nextOrder,
 		Classes:             s.Classes(),
@@ -24,8 +24,8 @@
 		Operations:          s.operations.records(),
 		Orders:              s.Orders(),
 		Changes:             slices.Clone(s.changes.order),
-		ExpiredKeys:         slices.Clone(s.operations.expired),
-		ExpiredBeforeUnixMs: s.operations.expiredBefore,
+		ExpiredKeys:         slices.Clone(s.operations.expiredDigests),
+		ExpiredBeforeUnixMs: s.operations.expiredBeforeUnixMS,
 		Draining:            slices.Sorted(maps.Keys(s.draining)),
 		Ended:               s.ended.records(),
 		Desired:             s.desired,
@@ -33,14 +33,14 @@
 		Announcements:       s.Announcements(),
 		EndedServers:        slices.Clone(s.announcements.ended.order),
 		ReplacedServers:     slices.Clone(s.announcements.replaced.order),
-		Contenders:          sorted(s.announcements.contenders),
+		Contenders:          sortedValues(s.announcements.contenders),
 		Shares:              s.HeldShares(),
 		Poison:              s.PoisonRecords(),
 		Advice:              s.ServerAdvice(),
 	}
 }
 
-// Restore returns the state that a snapshot was taken of. The state shares records with the snapshot.
+// Restore returns the state of a snapshot, with DefaultLimits. The state shares records with the snapshot.
 func Restore(in *wire.Snapshot) *State {
 	return restore(in, DefaultLimits)
 }
@@ -50,7 +50,7 @@
 	s.index = in.GetIndex()
 	s.configVersion = in.GetConfigVersion()
 	s.directoryVersion = in.GetDirectoryVersion()
-	s.unixMS = in.GetUnixMs()
+	s.leaderUnixMS = in.GetUnixMs()
 	s.fence = in.GetFence()
 	s.nextOrder = max(in.GetNextOrder(), 1)
 	for _, class := range in.GetClasses() {
@@ -79,7 +79,7 @@
 	s.desiredIndex = in.GetDesiredIndex()
 	s.announcements.restore(in, limits.EndedServers)
 	s.shares.restore(in.GetShares())
-	s.poisoned.restore(in.GetPoison())
+	s.poisonRecords.restore(in.GetPoison())
 	for _, record := range in.GetAdvice() {
 		s.advice[record.GetServer()] = record
 	}
@@ -87,7 +87,7 @@
 }
 
 func (o *operationSet) records() []*wire.Operation {
-	slab := make([]wire.Operation, len(o.byKey)) // one allocation: there may be hundreds of thousands
+	slab := make([]wire.Operation, len(o.byKey)) // a single allocation, since there may be hundreds of thousands of records
 	list := make([]*wire.Operation, 0, len(o.byKey))
 	for op := o.first; op != nil; op = op.next {
 		r := &slab[len(list)]
@@ -99,13 +99,13 @@
 
 func (o *operationSet) restore(in *wire.Snapshot) {
 	for _, r := range in.GetOperations() {
-		o.add(operationOf(r))
+		o.add(operationFromRecord(r))
 	}
-	o.expired = slices.Clone(in.GetExpiredKeys())
-	o.expiredBefore = in.GetExpiredBeforeUnixMs()
+	o.expiredDigests = slices.Clone(in.GetExpiredKeys())
+	o.expiredBeforeUnixMS = in.GetExpiredBeforeUnixMs()
 }
 
-func (e *endedSet) records() []*wire.EndedIncarnation {
+func (e *endedIncarnations) records() []*wire.EndedIncarnation {
 	var list []*wire.EndedIncarnation
 	for _, key := range e.order {
 		list = append(list, &wire.EndedIncarnation{Role: key.role, Instance: key.instance, Incarnation: e.last[key]})
@@ -113,8 +113,8 @@
 	return list
 }
 
-// sorted returns the values in the order of their keys.
-func sorted[K cmp.Ordered, V any](m map[K]V) []V {
+// sortedValues returns the values of a map in the order of their keys.
+func sortedValues[K cmp.Ordered, V any](m map[K]V) []V {
 	list := make([]V, 0, len(m))
 	for _, key := range slices.Sorted(maps.Keys(m)) {
 		list = append(list, m[key])
--- a/state/state.go
+++ b/state/state.go
@@ -5,12 +5,12 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// State is the replicated state. New makes an empty one.
+// State is the replicated state. New returns an empty one. It is not safe for concurrent use.
 type State struct {
 	limits Limits
 
 	index            uint64 // of the last applied command
-	unixMS           uint64 // highest leader's clock seen
+	leaderUnixMS     uint64 // highest leader time seen, in milliseconds since 1970
 	configVersion    uint64
 	directoryVersion uint64
 	fence            uint64
@@ -19,18 +19,18 @@
 	classes    map[string]*wire.Class
 	agents     map[string]*wire.AgentRecord
 	entries    map[string]*wire.EntryRecord
-	ended      endedSet
+	ended      endedIncarnations
 	draining   map[string]bool
 	operations operationSet
-	orders     map[string]*wire.Order // by server: one at a time for each
+	orders     map[string]*wire.Order // open orders by server, at most one for each
 	changes    changeSet
 
 	desired       *wire.DesiredState
-	desiredIndex  uint64 // log index at which desired came into force
+	desiredIndex  uint64 // log index at which desired was put
 	announcements announcements
-	shares        shares
-	poisoned      poisoned
-	advice        map[string]*wire.ServerAdvice // by server; its records are replaced and never changed
+	shares        usageShares
+	poisonRecords poisonSet
+	advice        map[string]*wire.ServerAdvice // by server; records are replaced and never modified
 
 	configHistory    history
 	directoryHistory history
@@ -48,28 +48,28 @@
 		classes:          make(map[string]*wire.Class),
 		agents:           make(map[string]*wire.AgentRecord),
 		entries:          make(map[string]*wire.EntryRecord),
-		ended:            newEndedSet(),
+		ended:            newEndedIncarnations(),
 		draining:         make(map[string]bool),
 		operations:       newOperationSet(),
 		orders:           make(map[string]*wire.Order),
 		changes:          newChangeSet(),
 		announcements:    newAnnouncements(),
-		shares:           newShares(),
-		poisoned:         newPoisoned(),
+		shares:           newUsageShares(),
+		poisonRecords:    newPoisonSet(),
 		advice:           make(map[string]*wire.ServerAdvice),
 		configHistory:    history{limit: limits.History},
 		directoryHistory: history{limit: limits.History},
 	}
 }
 
-// Apply applies the command at the given index of the log and returns its result. Indexes rise; the result of a
-// command at an index that was applied already is a refusal, and changes nothing.
+// Apply applies the command at the given log index and returns its result. Indexes must increase; a command at an
+// index that is not above the last applied one is refused and changes nothing.
 func (s *State) Apply(index uint64, cmd *wire.Command) *wire.CommandResult {
 	if index <= s.index {
 		return refuse(result.Internal, "log index %d was applied before", index)
 	}
 	s.index = index
-	s.unixMS = max(s.unixMS, cmd.GetUnixMs())
+	s.leaderUnixMS = max(s.leaderUnixMS, cmd.GetUnixMs())
 	res := s.dispatch(cmd)
 	if res.Version == 0 {
 		res.Version = s.configVersion
@@ -77,14 +77,15 @@
 	return res
 }
 
+// dispatch calls the method for the kind of a command.
 func (s *State) dispatch(cmd *wire.Command) *wire.CommandResult {
 	switch kind := cmd.GetKind().(type) {
 	case *wire.Command_PutClass:
-		return s.change(kind.PutClass.GetChange(), func() *wire.CommandResult { return s.putClass(kind.PutClass) })
+		return s.applyChange(kind.PutClass.GetChange(), func() *wire.CommandResult { return s.putClass(kind.PutClass) })
 	case *wire.Command_DeleteClass:
-		return s.change(kind.DeleteClass.GetChange(), func() *wire.CommandResult { return s.deleteClass(kind.DeleteClass) })
+		return s.applyChange(kind.DeleteClass.GetChange(), func() *wire.CommandResult { return s.deleteClass(kind.DeleteClass) })
 	case *wire.Command_DrainServer:
-		return s.change(kind.DrainServer.GetChange(), func() *wire.CommandResult { return s.drainServer(kind.DrainServer) })
+		return s.applyChange(kind.DrainServer.GetChange(), func() *wire.CommandResult { return s.drainServer(kind.DrainServer) })
 	case *wire.Command_InitializeClasses:
 		return s.initializeClasses(kind.InitializeClasses)
 	case *wire.Command_RegisterAgent:
@@ -126,7 +127,7 @@
 	case *wire.Command_ClearPoison:
 		return s.clearPoison(kind.ClearPoison)
 	case *wire.Command_NoteServerAdvice:
-		return s.noteAdvice(kind.NoteServerAdvice)
+		return s.noteServerAdvice(kind.NoteServerAdvice)
 	case *wire.Command_ExpirePoison:
 		return s.expirePoison()
 	default:
@@ -134,12 +135,12 @@
 	}
 }
 
-// accepted returns a new result without a code, which the caller may fill.
+// accepted returns a new result without an error code, to be filled by the caller.
 func accepted() *wire.CommandResult {
 	return &wire.CommandResult{}
 }
 
-// refuse returns a result with the code and a message as of result.New.
+// refuse returns a result with the code and the message that result.New builds.
 func refuse(code result.Code, format string, args ...any) *wire.CommandResult {
 	return &wire.CommandResult{Code: uint32(code), Message: result.New(code, format, args...).Message}
 }
