--- a/state/announcements.go
+++ b/state/announcements.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// remove removes a name if it is in the set.
 func (n *nameSet) remove(name string) {
 	if n.has[name] {
 		delete(n.has, name)
@@ -224,9 +225,9 @@
 	return proto.Equal(a, b)
 }
 
-// endServer ends a run permanently. If the command has no start time but the current run has one, the command may be
-// a delayed one for the previous run; the current run is then removed only until it is confirmed by further
-// announcements.
+// endServer ends a run permanently. A command without a start time applies to the current run of the server. If that
+// run has a start time, the command may be a delayed one for the previous run; the current run is then removed only
+// until it is confirmed by further announcements.
 func (s *State) endServer(cmd *wire.EndServer) *wire.CommandResult {
 	a := &s.announcements
 	name := cmd.Run().String()
--- a/state/limits.go
+++ b/state/limits.go
@@ -7,7 +7,7 @@
 type Limits struct {
 	// Classes is the maximum number of classes.
 	Classes int
-	// Instances is the maximum number of agents, and of entries.
+	// Instances is the maximum number of agents, and separately that of entries.
 	Instances int
 	// ServersPerAgent is the maximum number of backend servers of one agent.
 	ServersPerAgent int
--- a/state/model_test.go
+++ b/state/model_test.go
@@ -156,7 +156,8 @@
 	w.observed[key] = answer
 }
 
-// answerMayChange reports whether the answer of a key may change: repeatable work runs again once its record has expired.
+// answerMayChange reports whether the answer of a key may change: repeatable work runs again once its record has
+// expired.
 func (w *workload) answerMayChange(key string) bool {
 	return modelKeys()[key]
 }
--- a/state/operation_expiry.go
+++ b/state/operation_expiry.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxExpiryBatch is the maximum number of records that one command visits, so that no command delays the log.
+// MaxExpiryBatch is the maximum number of records that one command visits, so that no command delays the log for long.
 const MaxExpiryBatch = 4096
 
 // expireOperations removes records begun before the given time, oldest first. Open records of registered entries are
--- a/state/replicas_test.go
+++ b/state/replicas_test.go
@@ -17,6 +17,7 @@
 // defaultSeed makes property tests reproducible; -rapid.seed selects another one.
 const defaultSeed = "20261202"
 
+// TestMain fixes the seed of the property tests, so that each run tries the same commands.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/state/server_restart_test.go
+++ b/state/server_restart_test.go
@@ -57,7 +57,7 @@
 				require.False(t, l.state.Announcements()[0].GetDraining())
 				require.Equal(t, address, l.state.Announcements()[0].GetAddress())
 				update := l.state.DirectorySince(1)
-				if !update.GetFull() { // a full update lists no removals
+				if !update.GetFull() { // a full update replaces everything and lists no removals
 					earlier := commands[0].GetAnnounceServers().GetAnnouncements()[0].Run().String()
 					require.Contains(t, update.GetRemovedAnnouncements(), earlier)
 				}
--- a/state/shares.go
+++ b/state/shares.go
@@ -36,9 +36,9 @@
 type heldShares struct {
 	sequence uint64 // of the last applied proposal
 	units    map[string]uint64
-	windowMS uint32
-	ended    bool // the entry uses nothing, or stops when its lease expires
-	replaced bool // a later incarnation of the entry is registered, so this one is dead
+	windowMS uint32 // of the usage window at the last applied proposal
+	ended    bool   // the entry uses nothing, or stops when its lease expires
+	replaced bool   // a later incarnation of the entry is registered, so this one is dead
 }
 
 func newUsageShares() usageShares {
@@ -79,7 +79,7 @@
 
 // adjustShare lowers a share as requested, or raises it as far as the sum of all shares allows.
 //
-// It is raised from what its holder currently goes by. After the cap was lowered that is less than what is held here,
+// It is raised from what its holder currently applies. After the cap was lowered that is less than what is held here,
 // because each holder scales its share at once: if it were raised from the held value, the shares would add up to the
 // higher cap again.
 func (s *State) adjustShare(held *heldShares, requested *wire.Share, tolerance *wire.CapTolerance) {
@@ -172,7 +172,7 @@
 	return held.units[organisation]
 }
 
-// SharesOfEndedEntries returns the shares that ended entries still hold, sorted by holder and organisation. Usually
+// SharesOfEndedEntries returns the shares that ended entries hold, sorted by holder and organisation. Usually
 // there are none, and the leader calls it 10 times per second.
 func (s *State) SharesOfEndedEntries() []*wire.HeldShares {
 	return s.shares.records(func(held *heldShares) bool { return held.ended })
