--- a/backpressure/advice.go
+++ b/backpressure/advice.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Advice is what a server says of itself in one answer.
+// Advice is the flow-control information that a backend server puts into the headers of one response.
 type Advice struct {
 	Rate Rate
-	// Backoff is for how long, from the arrival of the answer, the server wants nothing from the sender that it answered; 0 for no such
-	// wish.
+	// Backoff is how long the sender that received the response is asked to send nothing, counted from the arrival of
+	// the response. 0 means that the server did not ask for it.
 	Backoff time.Duration
-	// Draining: the server leaves and wants nothing new from anybody.
+	// Draining is set if the server is about to leave and accepts no new work from any sender.
 	Draining bool
 }
 
-// IsZero tells whether the answer said nothing.
+// IsZero reports whether the response carried no advice.
 func (a Advice) IsZero() bool { return a == Advice{} }
 
-// Rate is how many requests a second a server takes from all senders together. The zero value is no limit.
+// Rate is the number of requests per second that a server accepts from all senders together. The zero value means no
+// limit.
 type Rate struct {
 	Limited bool
-	// PerSecond is finite and not negative. Zero is a limit as well.
+	// PerSecond is finite and not negative. Zero is a valid limit.
 	PerSecond float64
 }
 
-// Route is the kind of call whose answer carried an advice.
+// Route is the kind of call whose response carried the advice.
 type Route string
 
 // The routes.
 const (
-	RouteRun    Route = "run"    // an attempt of a request
+	RouteRun    Route = "run"    // an attempt to run a request
 	RouteReport Route = "report" // a load report
-	RouteCall   Route = "call"   // any other call, such as a cancel
+	RouteCall   Route = "call"   // any other call, such as a cancellation
 
-	// RouteDirectory is no call: another sender heard the word, and the directory has it.
+	// RouteDirectory marks advice that another sender received and that was distributed through the directory.
 	RouteDirectory Route = "directory"
 )
 
-// Observation is one answer of a server, as far as it speaks of the server.
+// Observation is one response of a server, reduced to what it says about the server itself.
 type Observation struct {
 	Advice
 	Malformed []MalformedHeader
 	Route     Route
-	// Request is the attempt that was answered, empty for a call without one.
+	// Request is the ID of the attempt that was answered. It is empty for a call that belongs to no attempt.
 	Request string
-	// SentAt is when the call was sent, ReceivedAt when the head of its answer arrived.
+	// SentAt is when the call was sent, ReceivedAt when the head of its response arrived.
 	SentAt, ReceivedAt time.Time
-	// Refused: the server says that the call didn't run. Mismatched: the answer is to another call on the connection.
+	// Refused is set if the server states that the call did not run, Mismatched if the response belongs to another call
+	// on the same connection.
 	Refused, Mismatched bool
 }
 
-// IsEmpty tells whether the answer said nothing, not even something that can't be read.
+// IsEmpty reports whether the response carried neither advice nor a malformed advice header.
 func (o Observation) IsEmpty() bool { return o.Advice.IsZero() && len(o.Malformed) == 0 }
--- a/backpressure/backoff.go
+++ b/backpressure/backoff.go
@@ -3,79 +3,80 @@
 import "time"
 
 const (
-	// trialTimeout is how long the answer to a trial is awaited before another one is made.
+	// trialTimeout is how long a trial may stay unanswered before another one is allowed.
 	trialTimeout = time.Second
-	// firstTrials is how many sends a new sender makes before it has heard anything of the server: one that ran before it may have been
-	// asked to keep away.
-	firstTrials = 2
+	// initialTrials is how many sends a new sender may make before the first response arrives: the process that ran
+	// before it may have been asked to back off.
+	initialTrials = 2
 )
 
-// backoff keeps a sender away from a server that asked for it. After that time, trials find out whether the server takes work again:
-// all that waits would otherwise come at once, to be turned away once more.
+// backoff stops a sender from sending to a server that asked it to back off. After the requested time a limited number
+// of trials finds out whether the server accepts work again; without that limit all queued requests would be sent at
+// once and be refused again.
 type backoff struct {
-	until  time.Time // end of the time asked for
-	most   int       // trials at a time, 0 where none are needed
-	trials int       // that aren't answered
-	tried  time.Time // when the last one was made
+	until         time.Time // end of the requested time
+	maxTrials     int       // limit of unanswered trials, 0 outside the trial phase
+	pendingTrials int       // number of unanswered trials
+	lastTrial     time.Time // time of the last trial
 }
 
-// hear takes what an answer said, and tells whether that changed anything.
-func (b *backoff) hear(o Observation) bool {
+// observe applies a response and reports whether it changed the state.
+func (b *backoff) observe(o Observation) bool {
 	if o.Backoff > 0 {
-		return b.ask(o)
+		return b.extend(o)
 	}
-	isAnswer := o.Route == RouteRun && !o.Mismatched && !o.SentAt.Before(b.until)
-	if b.most == 0 || !isAnswer {
+	endsTrials := o.Route == RouteRun && !o.Mismatched && !o.SentAt.Before(b.until)
+	if b.maxTrials == 0 || !endsTrials {
 		return false
 	}
-	b.most, b.trials = 0, 0
+	b.maxTrials, b.pendingTrials = 0, 0
 	return true
 }
 
-// ask begins a time to keep away. A shorter time that overlaps a longer one ends none of it.
-func (b *backoff) ask(o Observation) bool {
+// extend starts a backoff period. A period that ends before the present one changes nothing.
+func (b *backoff) extend(o Observation) bool {
 	until := o.ReceivedAt.Add(o.Backoff)
 	if !until.After(b.until) {
 		return false
 	}
-	b.until, b.most, b.trials = until, 1, 0
+	b.until, b.maxTrials, b.pendingTrials = until, 1, 0
 	return true
 }
 
-// isAway tells whether the sender keeps away now.
-func (b *backoff) isAway(now time.Time) bool { return now.Before(b.until) }
+// isActive reports whether the requested time is not over yet.
+func (b *backoff) isActive(now time.Time) bool { return now.Before(b.until) }
 
-// ready is how many sends may be made now.
-func (b *backoff) ready(now time.Time) int {
+// available returns how many sends are allowed at the given time.
+func (b *backoff) available(now time.Time) int {
 	switch {
-	case b.isAway(now):
+	case b.isActive(now):
 		return 0
-	case b.most == 0:
+	case b.maxTrials == 0:
 		return unlimited
-	case b.trials >= b.most && now.Sub(b.tried) >= trialTimeout:
+	case b.pendingTrials >= b.maxTrials && now.Sub(b.lastTrial) >= trialTimeout:
 		return 1
 	default:
-		return max(b.most-b.trials, 0)
+		return max(b.maxTrials-b.pendingTrials, 0)
 	}
 }
 
-// wait is the time until a send may be made.
+// wait returns the time until a send is allowed.
 func (b *backoff) wait(now time.Time) time.Duration {
 	switch {
-	case b.isAway(now):
+	case b.isActive(now):
 		return b.until.Sub(now)
-	case b.ready(now) == 0:
-		return max(b.tried.Add(trialTimeout).Sub(now), 0)
+	case b.available(now) == 0:
+		return max(b.lastTrial.Add(trialTimeout).Sub(now), 0)
 	default:
 		return 0
 	}
 }
 
 func (b *backoff) take(now time.Time) {
-	if b.most > 0 {
-		b.trials = min(b.trials, b.most-1) + 1
-		b.tried = now
+	if b.maxTrials > 0 {
+		b.pendingTrials = min(b.pendingTrials, b.maxTrials-1) + 1
+		b.lastTrial = now
 	}
 }
 
-func (b *backoff) giveBack() { b.trials = max(b.trials-1, 0) }
+func (b *backoff) refund() { b.pendingTrials = max(b.pendingTrials-1, 0) }
--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// BenchmarkAnswerWithoutWords is what each answer costs whose server asks nothing.
-func BenchmarkAnswerWithoutWords(b *testing.B) {
+// BenchmarkResponseWithoutAdvice measures the cost per response of a server that sends no advice.
+func BenchmarkResponseWithoutAdvice(b *testing.B) {
 	header := http.Header{"Content-Type": {"text/event-stream"}, "X-Request-Id": {"r.1"}}
 	b.ReportAllocs()
 	for b.Loop() {
-		testNames.Read(http.StatusOK, header, start)
+		testHeaders.Read(http.StatusOK, header, start)
 	}
 }
 
-// BenchmarkLimitedSend is what a send costs at a server with a rate limit.
+// BenchmarkLimitedSend measures the cost of a send to a server with a rate limit.
 func BenchmarkLimitedSend(b *testing.B) {
 	var l Limiter
-	l.Observe(named(start, 1000))
+	l.Observe(withRate(start, 1000))
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
--- a/backpressure/doc.go
+++ b/backpressure/doc.go
@@ -1,5 +1,7 @@
-// Package backpressure holds what backend servers ask of their senders, and decides when a sender may send.
+// Package backpressure tracks the limits that backend servers impose on their senders, and decides when a sender may
+// send.
 //
-// A server speaks of itself in the heads of its answers. An adapter reads them with [HeaderNames], which gives typed values; the words of
-// a protocol stay in the adapter. The package is pure: times go in, decisions come out.
+// A server states its limits in the headers of its responses. An adapter parses them with [HeaderNames], which returns
+// typed values; the header names of a protocol are defined in the adapter. The package is pure: it uses only the times
+// passed in by the caller.
 package backpressure
--- a/backpressure/limiter.go
+++ b/backpressure/limiter.go
@@ -6,106 +6,108 @@
 )
 
 const (
-	// usedShare is the part of a rate that senders plan for. The rest covers sends that leave a little early or late.
-	usedShare = 0.97
-	// catchUp is for how long sends that were due and could not be made may be made up for, in one go.
-	catchUp = 100 * time.Millisecond
-	// leastRate is the rate, a second, that a lower one counts as: a server whose rate is zero is tried now and then, since only its
-	// answers can say that it takes more.
-	leastRate = 0.1
-	// leastInterval is the time between two sends below which a rate is no limit.
-	leastInterval = time.Microsecond
-	// unlimited is how many sends may be made where nothing limits them.
+	// targetUtilization is the fraction of a rate that senders use. The rest absorbs sends that leave slightly early or
+	// late.
+	targetUtilization = 0.97
+	// maxCatchUp bounds how far back missed sends may be made up for in one burst.
+	maxCatchUp = 100 * time.Millisecond
+	// minRate is the lowest rate that is applied, in requests per second. Lower rates are raised to it: a server with a
+	// rate of zero has to be probed occasionally, since only its responses can announce a higher rate.
+	minRate = 0.1
+	// minInterval is the interval between two sends below which a rate is not limited.
+	minInterval = time.Microsecond
+	// unlimited is the number of sends returned if no limit applies.
 	unlimited = math.MaxInt32
 )
 
-// Limiter decides when one sender may send to one run of a server. It isn't safe for concurrent use. Its times are those of
-// one monotonic clock. The zero value limits nothing.
+// Limiter decides when one sender may send to one incarnation of a server. It isn't safe for concurrent use. All times
+// passed to it must come from one monotonic clock. The zero value limits nothing.
 //
-// Within a time that the server asked to keep away for it allows nothing, and after it one send until one is answered. In any
-// window of length T it allows at most 1 + usedShare*rate*(T+catchUp) sends, of its share of the rate, and as many more as were
-// allowed before the window and left in it.
+// During a requested backoff it allows no sends, and after that one at a time until one is answered. In any window of
+// length T it allows at most 1 + targetUtilization*rate*(T+maxCatchUp) sends, where rate is this sender's share of the
+// server's rate, plus the sends that were taken before the window and left during it.
 type Limiter struct {
 	backoff backoff
 
-	rate  Rate
-	heard time.Time // when the answer came that named the rate last
-	// byReport: a load report named a rate as well, so that one without it tells that there is none.
-	byReport bool
-	senders  int       // that the rate is shared by, itself included; 0 is 1
-	next     time.Time // when the next send is due
-	schedule uint64    // number of the present schedule, which each change of the interval replaces
+	rate           Rate
+	rateReceivedAt time.Time // when the latest response that named a rate arrived
+	// rateInReports is set if a response to a load report has named a rate too, so that one without a rate ends the limit.
+	rateInReports bool
+	senders       int       // number of senders that share the rate, including this one; 0 counts as 1
+	nextSend      time.Time // time at which the next send is allowed
+	schedule      uint64    // incremented with each change of the interval
 }
 
-// Permit is a send that was counted. The zero value is none.
+// Permit identifies a send counted by [Limiter.Take]. The zero value identifies none.
 type Permit struct{ schedule uint64 }
 
-// Rate is the limit that the server named last.
+// Rate returns the limit that the server named last.
 func (l *Limiter) Rate() Rate { return l.rate }
 
-// NewLimiter returns the limiter of a sender that doesn't know what its predecessor was asked: until the first answer it makes some
-// trials only.
-func NewLimiter() Limiter { return Limiter{backoff: backoff{most: firstTrials}} }
+// NewLimiter returns the limiter of a sender that doesn't know whether the process before it was asked to back off:
+// until the first response it allows only a few trials.
+func NewLimiter() Limiter { return Limiter{backoff: backoff{maxTrials: initialTrials}} }
 
-// BackoffUntil is the end of the time that the server asked to keep away for last.
+// BackoffUntil returns the end of the latest requested backoff.
 func (l *Limiter) BackoffUntil() time.Time { return l.backoff.until }
 
-// IsActive tells whether answers that say nothing matter.
-func (l *Limiter) IsActive() bool { return l.rate.Limited || l.backoff.most > 0 }
+// IsActive reports whether a rate limit or a trial phase is in force. Only then can a response without advice change
+// the state.
+func (l *Limiter) IsActive() bool { return l.rate.Limited || l.backoff.maxTrials > 0 }
 
-// Reason is what keeps a sender from a server.
+// Reason is why a send is not allowed.
 type Reason string
 
 // The reasons.
 const (
 	ReasonNone      Reason = ""
 	ReasonRateLimit Reason = "rate_limit"
-	ReasonBackoff   Reason = "backoff" // the time that the server asked for isn't over
-	ReasonTrial     Reason = "trial"   // a trial isn't answered
+	ReasonBackoff   Reason = "backoff" // the requested backoff isn't over
+	ReasonTrial     Reason = "trial"   // the limit of unanswered trials is reached
 )
 
-// Blocked says why nothing may be sent now.
+// Blocked returns why no send is allowed at the given time, or ReasonNone if one is.
 func (l *Limiter) Blocked(now time.Time) Reason {
 	switch {
-	case l.backoff.isAway(now):
+	case l.backoff.isActive(now):
 		return ReasonBackoff
-	case l.backoff.ready(now) == 0:
+	case l.backoff.available(now) == 0:
 		return ReasonTrial
-	case l.rateReady(now) == 0:
+	case l.rateAvailable(now) == 0:
 		return ReasonRateLimit
 	default:
 		return ReasonNone
 	}
 }
 
-// Observe takes what an answer said, and tells whether that changed anything.
+// Observe applies a response and reports whether it changed the state.
 func (l *Limiter) Observe(o Observation) bool {
-	isBackoff, isRate := l.backoff.hear(o), l.hearRate(o)
-	return isBackoff || isRate
+	backoffChanged, rateChanged := l.backoff.observe(o), l.observeRate(o)
+	return backoffChanged || rateChanged
 }
 
-// hearRate takes what an answer said of the server's rate.
-func (l *Limiter) hearRate(o Observation) bool {
+// observeRate applies what a response says about the server's rate.
+func (l *Limiter) observeRate(o Observation) bool {
 	if o.Rate.Limited {
-		return l.name(o)
+		return l.setRate(o)
 	}
-	if !l.ends(o) {
+	if !l.endsRate(o) {
 		return false
 	}
-	l.rate, l.byReport = Rate{}, false
+	l.rate, l.rateInReports = Rate{}, false
 	l.schedule++
 	return true
 }
 
-// name takes a rate that an answer names.
-func (l *Limiter) name(o Observation) bool {
-	known := l.rate
-	if known.Limited && o.ReceivedAt.Before(l.heard) {
+// setRate applies a rate named in a response.
+func (l *Limiter) setRate(o Observation) bool {
+	current := l.rate
+	if current.Limited && o.ReceivedAt.Before(l.rateReceivedAt) {
 		return false
 	}
-	l.byReport = l.byReport || o.Route == RouteReport
-	l.heard = o.ReceivedAt
-	if o.Rate == known {
+	l.rateInReports = l.rateInReports || o.Route == RouteReport
+	l.rateReceivedAt = o.ReceivedAt
+	if o.Rate == current {
 		return false
 	}
 	before := l.interval()
@@ -114,16 +116,16 @@
 	return true
 }
 
-// ends tells whether an answer that names no rate shows that there is none any more. An answer to a call that was sent before
-// the rate was named, or one that the server refused without running it, doesn't.
-func (l *Limiter) ends(o Observation) bool {
-	if !l.rate.Limited || o.Refused || o.Mismatched || len(o.Malformed) > 0 || o.SentAt.Before(l.heard) {
+// endsRate reports whether a response without a rate shows that the limit has ended. A response to a call sent before
+// the rate was named doesn't, nor does one to a call that the server refused without running it.
+func (l *Limiter) endsRate(o Observation) bool {
+	if !l.rate.Limited || o.Refused || o.Mismatched || len(o.Malformed) > 0 || o.SentAt.Before(l.rateReceivedAt) {
 		return false
 	}
-	return o.Route == RouteRun || o.Route == RouteReport && l.byReport
+	return o.Route == RouteRun || o.Route == RouteReport && l.rateInReports
 }
 
-// SetSenders has the rate shared by so many senders, and tells whether that is a change.
+// SetSenders sets the number of senders that share the rate, and reports whether it changed.
 func (l *Limiter) SetSenders(now time.Time, senders int) bool {
 	senders = max(senders, 1)
 	if senders == max(l.senders, 1) {
@@ -135,35 +137,38 @@
 	return true
 }
 
-// reschedule plans the next send anew after the interval has changed: the part of the wait that is left stays the same part.
-func (l *Limiter) reschedule(now time.Time, before time.Duration) {
+// reschedule recomputes when the next send is allowed after the interval has changed: the remaining wait keeps its
+// ratio to the interval.
+func (l *Limiter) reschedule(now time.Time, previous time.Duration) {
 	l.schedule++
 	interval := l.interval()
 	wait := interval
-	if before > 0 {
-		wait = time.Duration(float64(l.next.Sub(now)) / float64(before) * float64(interval))
+	if previous > 0 {
+		wait = time.Duration(float64(l.nextSend.Sub(now)) / float64(previous) * float64(interval))
 	}
-	l.next = now.Add(min(wait, interval))
+	l.nextSend = now.Add(min(wait, interval))
 }
 
-// interval is the time between two sends of this sender, 0 if there is no limit.
+// interval returns the time between two sends of this sender, or 0 without a limit.
 func (l *Limiter) interval() time.Duration {
 	if !l.rate.Limited {
 		return 0
 	}
-	perSecond := usedShare * max(l.rate.PerSecond, leastRate) / float64(max(l.senders, 1))
+	perSecond := targetUtilization * max(l.rate.PerSecond, minRate) / float64(max(l.senders, 1))
 	interval := time.Duration(float64(time.Second) / perSecond)
-	if interval < leastInterval {
+	if interval < minInterval {
 		return 0
 	}
 	return interval
 }
 
-// Available is how many sends may be made now.
-func (l *Limiter) Available(now time.Time) int { return min(l.backoff.ready(now), l.rateReady(now)) }
+// Available returns how many sends are allowed at the given time.
+func (l *Limiter) Available(now time.Time) int {
+	return min(l.backoff.available(now), l.rateAvailable(now))
+}
 
-// rateReady is how many sends the rate allows now.
-func (l *Limiter) rateReady(now time.Time) int {
+// rateAvailable returns how many sends the rate allows at the given time.
+func (l *Limiter) rateAvailable(now time.Time) int {
 	interval := l.interval()
 	if interval == 0 {
 		return unlimited
@@ -175,15 +180,15 @@
 	return 1 + int(now.Sub(due)/interval)
 }
 
-// due is when the next send is due, with what can't be made up for left out.
+// due returns when the next send is allowed, at most maxCatchUp in the past.
 func (l *Limiter) due(now time.Time) time.Time {
-	if oldest := now.Add(-catchUp); l.next.Before(oldest) {
+	if oldest := now.Add(-maxCatchUp); l.nextSend.Before(oldest) {
 		return oldest
 	}
-	return l.next
+	return l.nextSend
 }
 
-// Wait is how long it takes until n sends could be made, 0 if they could now.
+// Wait returns the time until n sends are allowed, 0 if they already are.
 func (l *Limiter) Wait(now time.Time, n int) time.Duration {
 	return max(l.backoff.wait(now), l.rateWait(now, n))
 }
@@ -203,26 +208,27 @@
 	if interval == 0 {
 		return Permit{}
 	}
-	l.next = l.due(now).Add(interval)
+	l.nextSend = l.due(now).Add(interval)
 	return Permit{l.schedule}
 }
 
-// Refund returns a send that was counted and isn't made. One of an earlier schedule isn't in the present one.
+// Refund returns a send that was counted but not made. The rate is credited only if the permit belongs to the present
+// schedule.
 func (l *Limiter) Refund(p Permit) {
-	l.backoff.giveBack()
+	l.backoff.refund()
 	if p == (Permit{l.schedule}) {
-		l.next = l.next.Add(-l.interval())
+		l.nextSend = l.nextSend.Add(-l.interval())
 	}
 }
 
-// RecordSend notes that a send that was counted before has left now: the one after it may follow it as soon as if it had left when it
-// was due, but not sooner.
+// RecordSend records that a counted send has left at the given time. The send after it may follow as early as if this
+// one had left when it was due, but not earlier.
 func (l *Limiter) RecordSend(now time.Time) {
 	interval := l.interval()
 	if interval == 0 {
 		return
 	}
-	if earliest := now.Add(interval - catchUp); l.next.Before(earliest) {
-		l.next = earliest
+	if earliest := now.Add(interval - maxCatchUp); l.nextSend.Before(earliest) {
+		l.nextSend = earliest
 	}
 }
--- a/backpressure/parse.go
+++ b/backpressure/parse.go
@@ -10,29 +10,30 @@
 	"github.com/go-faster/errors"
 )
 
-// HeaderNames are the header fields of a protocol.
+// HeaderNames are the names of a protocol's advice headers.
 type HeaderNames struct {
-	// RateLimit holds requests a second, a decimal number.
+	// RateLimit contains requests per second as a decimal number.
 	RateLimit string
-	// Backoff holds seconds, a decimal number, or a date. It counts in refusals only: status 429 and 503.
+	// Backoff contains seconds as a decimal number, or a date. It is read only from refusals: status 429 and 503.
 	Backoff string
-	// Draining holds 1 where the server leaves, 0 where it doesn't.
+	// Draining contains 1 if the server is about to leave, 0 if it isn't.
 	Draining string
 }
 
-// MalformedHeader is a header field whose value has no meaning. It changes nothing.
+// MalformedHeader is a header field whose value can't be parsed. Its value is ignored.
 type MalformedHeader struct {
 	Name, Value string
 	Err         error
 }
 
-// maxShown bounds the bytes of a malformed value that are kept for the log.
-const maxShown = 64
+// maxLoggedValue bounds the bytes of a malformed value that are kept for the log.
+const maxLoggedValue = 64
 
-// Read gives what the head of an answer says that came now. Of several values of a field the one that asks most counts.
+// Read parses the advice in the header of a response that arrived at the given time. If a field has several values, the
+// most restrictive one applies.
 func (n HeaderNames) Read(status int, header http.Header, now time.Time) (Advice, []MalformedHeader) {
 	var advice Advice
-	malformed := each(header, n.RateLimit, func(value string) error {
+	malformed := readValues(header, n.RateLimit, func(value string) error {
 		rate, err := ParseRate(value)
 		if err == nil {
 			advice.Rate = advice.Rate.stricter(rate)
@@ -40,13 +41,13 @@
 		return err
 	})
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		malformed = append(malformed, each(header, n.Backoff, func(value string) error {
-			backoff, err := ParseBackoff(value, sentAt(header, now))
+		malformed = append(malformed, readValues(header, n.Backoff, func(value string) error {
+			backoff, err := ParseBackoff(value, sendTime(header, now))
 			advice.Backoff = max(advice.Backoff, backoff)
 			return err
 		})...)
 	}
-	malformed = append(malformed, each(header, n.Draining, func(value string) error {
+	malformed = append(malformed, readValues(header, n.Draining, func(value string) error {
 		draining, err := parseFlag(value)
 		advice.Draining = advice.Draining || draining
 		return err
@@ -54,8 +55,8 @@
 	return advice, malformed
 }
 
-// each reads all values of a field, and returns those that can't be read.
-func each(header http.Header, name string, read func(value string) error) []MalformedHeader {
+// readValues parses all values of a field and returns the malformed ones.
+func readValues(header http.Header, name string, read func(value string) error) []MalformedHeader {
 	var malformed []MalformedHeader
 	for _, value := range header.Values(name) {
 		if err := read(value); err != nil {
@@ -65,8 +66,9 @@
 	return malformed
 }
 
-// sentAt is when an answer was made by its server's clock, which a date in it goes by; now if it doesn't say.
-func sentAt(header http.Header, now time.Time) time.Time {
+// sendTime returns when the server sent a response by its own clock, which the dates in the response refer to, or now
+// if the response has no valid Date field.
+func sendTime(header http.Header, now time.Time) time.Time {
 	if sent, err := http.ParseTime(header.Get("Date")); err == nil {
 		return sent
 	}
@@ -74,10 +76,10 @@
 }
 
 func newMalformed(name, value string, err error) MalformedHeader {
-	return MalformedHeader{Name: name, Value: value[:min(len(value), maxShown)], Err: err}
+	return MalformedHeader{Name: name, Value: value[:min(len(value), maxLoggedValue)], Err: err}
 }
 
-// stricter joins two values of one answer.
+// stricter returns the more restrictive of two rates in one response.
 func (r Rate) stricter(other Rate) Rate {
 	if !r.Limited || other.Limited && other.PerSecond < r.PerSecond {
 		return other
@@ -86,15 +88,15 @@
 }
 
 var (
-	errNoDecimal = errors.New("no decimal number")
-	errNegative  = errors.New("negative")
-	errNoFlag    = errors.New("neither 0 nor 1")
+	errNotDecimal = errors.New("not a decimal number")
+	errNegative   = errors.New("negative")
+	errNotFlag    = errors.New("neither 0 nor 1")
 )
 
-// MaxBackoff bounds how long a sender keeps away from a server for one answer.
+// MaxBackoff bounds the backoff that a single response can request.
 const MaxBackoff = 10 * time.Minute
 
-// ParseRate reads a rate in requests a second: a decimal number of at least zero, with spaces round it at most.
+// ParseRate parses a rate in requests per second: a decimal number of at least zero, optionally surrounded by spaces.
 func ParseRate(text string) (Rate, error) {
 	value, err := parseDecimal(text)
 	if err != nil {
@@ -103,8 +105,8 @@
 	return Rate{Limited: true, PerSecond: value}, nil
 }
 
-// ParseBackoff reads a time to keep away: a decimal number of seconds of at least zero, or a date, from which the time since the answer
-// was sent counts. A date that has passed is no time at all, and no time is longer than MaxBackoff.
+// ParseBackoff parses a backoff: a decimal number of seconds of at least zero, or a date, which is taken relative to
+// the time at which the response was sent. A date in the past gives 0, and no result is longer than MaxBackoff.
 func ParseBackoff(text string, sent time.Time) (time.Duration, error) {
 	if date, err := http.ParseTime(strings.TrimSpace(text)); err == nil {
 		return min(max(date.Sub(sent), 0), MaxBackoff), nil
@@ -116,7 +118,7 @@
 	return time.Duration(min(seconds, MaxBackoff.Seconds()) * float64(time.Second)), nil
 }
 
-// parseFlag reads a yes or no.
+// parseFlag parses a boolean, 1 or 0.
 func parseFlag(text string) (bool, error) {
 	switch strings.TrimSpace(text) {
 	case "1":
@@ -124,22 +126,22 @@
 	case "0":
 		return false, nil
 	default:
-		return false, errNoFlag
+		return false, errNotFlag
 	}
 }
 
-// parseDecimal reads a decimal number of at least zero. One too large for a float64 is the largest.
+// parseDecimal parses a decimal number of at least zero. A number too large for a float64 gives the largest float64.
 func parseDecimal(text string) (float64, error) {
 	text = strings.TrimSpace(text)
 	if strings.Trim(text, "0123456789.eE+-") != "" {
-		return 0, errNoDecimal
+		return 0, errNotDecimal
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	switch {
 	case errors.Is(err, strconv.ErrRange):
 		value = math.Copysign(math.MaxFloat64, value)
 	case err != nil:
-		return 0, errNoDecimal
+		return 0, errNotDecimal
 	}
 	if value < 0 || math.Signbit(value) {
 		return 0, errNegative
--- a/backpressure/parse_test.go
+++ b/backpressure/parse_test.go
@@ -11,9 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testNames = HeaderNames{RateLimit: "Rate-Limit", Backoff: "Retry-After", Draining: "Draining"}
+var testHeaders = HeaderNames{RateLimit: "Rate-Limit", Backoff: "Retry-After", Draining: "Draining"}
 
-func TestRates(t *testing.T) {
+// Only decimal numbers of at least zero are rates. What the standard library parses beyond that must be rejected.
+func TestParseRate(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want float64
@@ -27,17 +28,17 @@
 		{text: "0", want: 0},
 		{text: "0.0000000001", want: 1e-10},
 		{text: "1e999", want: math.MaxFloat64},
-		{text: "", err: errNoDecimal},
+		{text: "", err: errNotDecimal},
 		{text: "-1", err: errNegative},
 		{text: "-0", err: errNegative},
 		{text: "-1e999", err: errNegative},
-		{text: "NaN", err: errNoDecimal},
-		{text: "+Inf", err: errNoDecimal},
-		{text: "0x10", err: errNoDecimal},
-		{text: "1_000", err: errNoDecimal},
-		{text: "1 2", err: errNoDecimal},
-		{text: "2,5", err: errNoDecimal},
-		{text: "Thu, 01 Jan 1970 00:00:00 GMT", err: errNoDecimal},
+		{text: "NaN", err: errNotDecimal},
+		{text: "+Inf", err: errNotDecimal},
+		{text: "0x10", err: errNotDecimal},
+		{text: "1_000", err: errNotDecimal},
+		{text: "1 2", err: errNotDecimal},
+		{text: "2,5", err: errNotDecimal},
+		{text: "Thu, 01 Jan 1970 00:00:00 GMT", err: errNotDecimal},
 	} {
 		rate, err := ParseRate(c.text)
 		if c.err != nil {
@@ -50,26 +51,30 @@
 	}
 }
 
-func TestLowestOfTwoRatesCounts(t *testing.T) {
+// If a response has several rates, the lowest valid one applies, in whichever order they come.
+func TestLowestOfSeveralRatesApplies(t *testing.T) {
 	for _, values := range [][]string{{"5", "2"}, {"2", "5"}, {"2", "x"}, {"x", "2"}} {
-		advice, _ := testNames.Read(200, http.Header{"Rate-Limit": values}, start)
+		advice, _ := testHeaders.Read(200, http.Header{"Rate-Limit": values}, start)
 		require.Equal(t, Rate{Limited: true, PerSecond: 2}, advice.Rate, "%q", values)
 	}
 }
 
-func TestMalformedRateIsReportedAndChangesNothing(t *testing.T) {
-	advice, malformed := testNames.Read(200, http.Header{"Rate-Limit": {strings.Repeat("x", 1000)}}, start)
+// A malformed rate must not limit anything, and its value is truncated for the log.
+func TestMalformedRateIsReportedAndIgnored(t *testing.T) {
+	advice, malformed := testHeaders.Read(200, http.Header{"Rate-Limit": {strings.Repeat("x", 1000)}}, start)
 	require.True(t, advice.IsZero())
 	require.Len(t, malformed, 1)
-	require.Len(t, malformed[0].Value, maxShown)
+	require.Len(t, malformed[0].Value, maxLoggedValue)
 }
 
-func TestAnswerWithoutHeadersSaysNothing(t *testing.T) {
-	advice, malformed := testNames.Read(200, http.Header{"Content-Type": {"text/plain"}}, start)
+// A response without advice headers must not be taken for advice.
+func TestResponseWithoutHeadersHasNoAdvice(t *testing.T) {
+	advice, malformed := testHeaders.Read(200, http.Header{"Content-Type": {"text/plain"}}, start)
 	require.True(t, advice.IsZero())
 	require.Empty(t, malformed)
 }
 
+// An accepted rate must be finite and not negative, whatever the header contains.
 func FuzzRate(f *testing.F) {
 	for _, text := range []string{"1", "0", "-1", "1e400", "NaN", " 2.5 ", "0x1p-2", "", "1,2"} {
 		f.Add(text)
@@ -85,7 +90,8 @@
 	})
 }
 
-func TestBackoffs(t *testing.T) {
+// A backoff is a number of seconds or a date, never negative and never longer than MaxBackoff.
+func TestParseBackoff(t *testing.T) {
 	sent := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		text string
@@ -102,11 +108,11 @@
 		{text: "Fri, 02 Jan 2026 03:00:00 GMT", want: 0},
 		{text: "Fri, 02 Jan 2099 03:00:00 GMT", want: MaxBackoff},
 		{text: "-1", err: errNegative},
-		{text: "NaN", err: errNoDecimal},
-		{text: "Infinity", err: errNoDecimal},
-		{text: "soon", err: errNoDecimal},
-		{text: "", err: errNoDecimal},
-		{text: "3 s", err: errNoDecimal},
+		{text: "NaN", err: errNotDecimal},
+		{text: "Infinity", err: errNotDecimal},
+		{text: "soon", err: errNotDecimal},
+		{text: "", err: errNotDecimal},
+		{text: "3 s", err: errNotDecimal},
 	} {
 		backoff, err := ParseBackoff(c.text, sent)
 		if c.err != nil {
@@ -119,31 +125,35 @@
 	}
 }
 
-func TestBackoffCountsInRefusalsOnly(t *testing.T) {
+// A backoff header in a response other than 429 and 503 must be ignored.
+func TestBackoffIsReadFromRefusalsOnly(t *testing.T) {
 	header := http.Header{"Retry-After": {"2", "5", "soon"}}
 	for status, want := range map[int]time.Duration{200: 0, 500: 0, 504: 0, 503: 5 * time.Second, 429: 5 * time.Second} {
-		advice, _ := testNames.Read(status, header, start)
+		advice, _ := testHeaders.Read(status, header, start)
 		require.Equal(t, want, advice.Backoff, "status %d", status)
 	}
-	_, malformed := testNames.Read(503, header, start)
+	_, malformed := testHeaders.Read(503, header, start)
 	require.Len(t, malformed, 1)
 }
 
-// The server's clock and this one may differ by seconds; a date is taken by the clock that it was written by.
-func TestDateOfABackoffGoesByTheServersClock(t *testing.T) {
+// The clocks of server and sender may differ by seconds. A date must be taken relative to the clock of the server that
+// wrote it.
+func TestBackoffDateIsRelativeToServerClock(t *testing.T) {
 	header := http.Header{"Date": {"Fri, 02 Jan 2026 03:04:05 GMT"}, "Retry-After": {"Fri, 02 Jan 2026 03:04:15 GMT"}}
-	advice, _ := testNames.Read(503, header, start)
+	advice, _ := testHeaders.Read(503, header, start)
 	require.Equal(t, 10*time.Second, advice.Backoff)
 }
 
-func TestDraining(t *testing.T) {
+// Only 1 means that the server is draining. Values other than 0 and 1 are reported as malformed.
+func TestParseDraining(t *testing.T) {
 	for value, want := range map[string]bool{"1": true, " 1 ": true, "0": false, "true": false, "": false, "2": false} {
-		advice, malformed := testNames.Read(200, http.Header{"Draining": {value}}, start)
+		advice, malformed := testHeaders.Read(200, http.Header{"Draining": {value}}, start)
 		require.Equal(t, want, advice.Draining, "%q", value)
 		require.Equal(t, !want && value != "0", len(malformed) == 1, "%q", value)
 	}
 }
 
+// A backoff must be between 0 and MaxBackoff, and 0 if the header can't be parsed.
 func FuzzBackoff(f *testing.F) {
 	for _, text := range []string{"3", "0", "-1", "1e400", "NaN", "Fri, 02 Jan 2026 03:04:05 GMT", "Fri, 02 Jan 0001 00:00:00 GMT"} {
 		f.Add(text)
--- a/backpressure/window.go
+++ b/backpressure/window.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// MaxInWindow is the largest number of times in any window of a length. The times are in order.
+// MaxInWindow returns the largest number of times that fall into any window of the given length. The times must be in
+// ascending order.
 func MaxInWindow(times []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
