--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -1,5 +1,5 @@
-// Package poison tells apart the requests that crash the backend servers that run them, known as poison requests or
-// queries of death, from those that were only beside one.
+// Package poison identifies requests that crash the backend servers running them, known as poison requests or queries
+// of death, and distinguishes them from requests that only ran on the same server at the time.
 package poison
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies a request over its repeats, which come with the same method, host, target and body and with another
-// id each time. 0 is none.
+// Fingerprint identifies a request across its repetitions, which have the same method, host, target and body but a
+// different request ID each time. 0 means none.
 type Fingerprint uint64
 
-// String gives the sixteen hexadecimal digits that stand in logs.
+// String returns the sixteen hexadecimal digits used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Content is what stays the same when a caller repeats a request.
+// Content is the part of a request that stays the same when a caller repeats it.
 type Content struct {
 	Method string
-	// Host is the Host header, or the model or service that was asked for.
+	// Host is the Host header, or the requested model or service.
 	Host string
-	// Target is the path with its query.
+	// Target is the path including its query.
 	Target string
-	// BodyDigest is the xxhash64 of the body, BodySize its bytes.
+	// BodyDigest is the xxhash64 of the body, BodySize its length in bytes.
 	BodyDigest uint64
 	BodySize   int
 }
 
-// Fingerprint is the digest of the content, never 0.
+// Fingerprint returns the digest of the content, which is never 0.
 func (c Content) Fingerprint() Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -37,7 +37,7 @@
 		binary.LittleEndian.PutUint64(number[:], n)
 		_, _ = digest.Write(number[:])
 	}
-	// Each text comes after its length, which keeps ("a", "bc") apart from ("ab", "c").
+	// Each string is preceded by its length, so that ("a", "bc") and ("ab", "c") differ.
 	for _, text := range []string{c.Method, c.Host, c.Target} {
 		write(uint64(len(text)))
 		_, _ = digest.WriteString(text)
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// Requests that differ in any part, or only in where one part ends and the next begins, must have different
+// fingerprints.
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	one := Content{Method: "POST", Host: "a.example", Target: "/chat/1", BodyDigest: 7, BodySize: 3}
 	require.Equal(t, one.Fingerprint(), one.Fingerprint())
 	require.NotZero(t, Content{}.Fingerprint())
@@ -26,10 +28,12 @@
 	}
 }
 
-func TestFingerprintIsWrittenWithAllDigits(t *testing.T) {
+// A small fingerprint must be padded with zeros, since logs are searched for all sixteen digits.
+func TestFingerprintStringIsPadded(t *testing.T) {
 	require.Equal(t, "000000000000002a", Fingerprint(42).String())
 }
 
+// BenchmarkFingerprint measures the cost of a fingerprint per request.
 func BenchmarkFingerprint(b *testing.B) {
 	content := Content{Method: "POST", Host: "a.example", Target: "/review/31/be06", BodyDigest: 7, BodySize: 900}
 	for b.Loop() {
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -26,24 +26,24 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// The fleet of these tests.
+// Size and timing of the deployment in these tests.
 const (
 	controls = 3
 	entries  = 3
 	engines  = 6
-	// contact is how long a process has to learn what another one knows.
-	contact = 3 * time.Second
-	// down is how long a crashed engine takes to come back.
-	down = 2 * time.Second
-	// callerPause is how long a caller waits between two requests.
+	// propagationDelay bounds the time until a process learns what another one knows.
+	propagationDelay = 3 * time.Second
+	// engineDowntime is how long a crashed engine takes to restart.
+	engineDowntime = 2 * time.Second
+	// callerPause is the time between two requests of a caller.
 	callerPause = 20 * time.Millisecond
-	// killer is the text whose requests crash the engines.
-	killer = "poison"
-	pill   = "a " + killer + " pill"
+	// crashText is the text that makes an engine crash when it begins to run a request containing it.
+	crashText    = "poison"
+	poisonPrompt = "a " + crashText + " pill"
 )
 
-// fleet is a whole deployment on an in-memory network, in a synctest bubble: the product's own daemons, and stand-ins of
-// engines that crash when they begin to run a request with the killer text.
+// fleet is a complete deployment on an in-memory network in a synctest bubble: the real daemons, and simulated engines
+// that crash when they begin to run a request containing crashText.
 type fleet struct {
 	t        *testing.T
 	net      *memory.Network
@@ -51,10 +51,10 @@
 	entries  []*process
 	engines  []*standin.Server
 	client   *http.Client
-	ends     []func()
+	stops    []func()
 }
 
-// process is a daemon that runs.
+// process is a running daemon.
 type process struct {
 	name string
 	host string
@@ -62,7 +62,7 @@
 	stop func()
 }
 
-func inFleet(t *testing.T, test func(f *fleet)) {
+func runFleet(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, net: memory.New()}
@@ -71,7 +71,7 @@
 			return caller.Dial(ctx, address)
 		}}
 		f.client = &http.Client{Transport: transport}
-		defer f.end(transport)
+		defer f.stopAll(transport)
 		for i := range controls {
 			f.controls = append(f.controls, &process{name: fmt.Sprint("control-", i), host: fmt.Sprint("10.0.0.", i+1), fs: journaltest.New()})
 		}
@@ -85,22 +85,23 @@
 			f.startEntry(i)
 		}
 		for i := range entries {
-			f.serves(i)
+			f.awaitEntry(i)
 		}
 		test(f)
 	})
 }
 
-// end stops all daemons, the last one first.
-func (f *fleet) end(transport *http.Transport) {
+// stopAll stops all daemons in reverse order of their start.
+func (f *fleet) stopAll(transport *http.Transport) {
 	transport.CloseIdleConnections()
-	for _, end := range slices.Backward(f.ends) {
-		end()
+	for _, stop := range slices.Backward(f.stops) {
+		stop()
 	}
 	transport.CloseIdleConnections()
 }
 
-// launch runs a daemon and returns what kills it: its connections are lost, and nobody hears why.
+// launch runs a daemon and returns a function that kills it: its connections are reset, without any notice to its
+// peers.
 func (f *fleet) launch(host string, run func(context.Context) error) (kill func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -112,7 +113,7 @@
 		cancel()
 		<-done
 	})
-	f.ends = append(f.ends, end)
+	f.stops = append(f.stops, end)
 	return func() {
 		f.net.Refuse(host, true)
 		f.net.Reset(host)
@@ -121,7 +122,7 @@
 	}
 }
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.FatalLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.FatalLevel} }
 
 var organisations = []settings.Organisation{
 	{Name: "compost", DefaultClass: "review", KeyDigests: []string{settings.NewDigest("key-of-compost", settings.NewSalt())}},
@@ -149,7 +150,7 @@
 	p.stop = f.launch(p.host, c.Run)
 }
 
-func (f *fleet) links() []string {
+func (f *fleet) controlAddresses() []string {
 	var links []string
 	for _, c := range f.controls {
 		links = append(links, c.host+":7000")
@@ -164,8 +165,8 @@
 	a.AvailabilityZone = fmt.Sprint("zone-", i%3)
 	a.Listen = settings.AgentListen{HTTP: host + ":7100", Links: host + ":9100"}
 	a.Advertise = a.Listen.Links
-	a.Controls = f.links()
-	daemon, err := agent.New(a, agent.Options{Network: f.net.Host(host), Log: quiet()})
+	a.Controls = f.controlAddresses()
+	daemon, err := agent.New(a, agent.Options{Network: f.net.Host(host), Log: discardLog()})
 	require.NoError(f.t, err)
 	f.launch(host, daemon.Run)
 	options := standin.ModelDefaults()
@@ -174,7 +175,7 @@
 	options.Listen = host + ":7200"
 	options.Agent = "http://" + host + ":7100"
 	options.LeaveTimeout = time.Second
-	options.Faults = standin.Faults{CrashOn: killer, DownMs: down.Milliseconds()}
+	options.Faults = standin.Faults{CrashOn: crashText, DownMs: engineDowntime.Milliseconds()}
 	server := standin.New(options)
 	f.engines = append(f.engines, server)
 	f.launch(host, server.Run)
@@ -186,10 +187,10 @@
 	s.Instance = fmt.Sprint("entry-", i)
 	s.AvailabilityZone = fmt.Sprint("zone-", i%3)
 	s.Listen.Callers = host + ":8080"
-	s.Controls = f.links()
+	s.Controls = f.controlAddresses()
 	s.Organisations = organisations
 	s.Timing.Drain = time.Second
-	daemon, err := entry.New(s, entry.Options{Network: f.net.Host(host), Log: quiet(), Seed: uint64(i) + 1})
+	daemon, err := entry.New(s, entry.Options{Network: f.net.Host(host), Log: discardLog(), Seed: uint64(i) + 1})
 	require.NoError(f.t, err)
 	p := &process{name: s.Instance, host: host, stop: f.launch(host, daemon.Run)}
 	if i < len(f.entries) {
@@ -199,22 +200,23 @@
 	f.entries = append(f.entries, p)
 }
 
-// answer is what a caller got; a status of 0 says that the connection was lost.
+// answer is the response that a caller received. A status of 0 means that the connection was lost.
 type answer struct {
 	status int
 	body   string
 }
 
-// isQuarantined tells whether an answer says that the request is refused since servers crashed under it, and has not run.
+// isQuarantined reports whether the request was refused because servers had crashed while running it, with the
+// assurance that it did not run.
 func (a answer) isQuarantined() bool {
 	return a.status == http.StatusUnprocessableEntity && strings.Contains(a.body, "request_quarantined") &&
 		strings.Contains(a.body, `"ran":"no"`)
 }
 
-// chat asks an entry for an answer to a text.
-func (f *fleet) chat(at int, organisation, text string) answer {
+// chat sends a chat completion request with the given text to an entry.
+func (f *fleet) chat(index int, organisation, text string) answer {
 	body := fmt.Sprintf(`{"model":"sample","max_tokens":24,"messages":[{"role":"user","content":%q}]}`, text)
-	request, err := http.NewRequest(http.MethodPost, "http://"+f.entries[at].host+":8080/v1/chat/completions", strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+f.entries[index].host+":8080/v1/chat/completions", strings.NewReader(body))
 	require.NoError(f.t, err)
 	request.Header.Set("Authorization", "Bearer key-of-"+organisation)
 	response, err := f.client.Do(request)
@@ -229,19 +231,19 @@
 	return answer{response.StatusCode, string(data)}
 }
 
-func (f *fleet) eventually(what string, holds func() bool) {
+func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, holds, time.Minute, 20*time.Millisecond, what)
+	require.Eventually(f.t, condition, time.Minute, 20*time.Millisecond, what)
 }
 
-// serves waits until an entry serves.
-func (f *fleet) serves(at int) {
+// awaitEntry waits until an entry answers requests.
+func (f *fleet) awaitEntry(index int) {
 	f.t.Helper()
-	f.eventually("the entry serves", func() bool { return f.chat(at, "yatai", "hello").status == http.StatusOK })
+	f.eventually("the entry answers requests", func() bool { return f.chat(index, "yatai", "hello").status == http.StatusOK })
 }
 
-// leads waits until control has a leader, which shows by a change that it commits.
-func (f *fleet) leads() {
+// awaitLeader waits until one of the control instances reports that it is ready, which needs a leader.
+func (f *fleet) awaitLeader() {
 	f.t.Helper()
 	f.eventually("control has a leader", func() bool {
 		for _, c := range f.controls {
@@ -258,17 +260,17 @@
 	})
 }
 
-// repair ends the fault of all engines, and waits until they are back.
-func (f *fleet) repair() {
+// disableFaults removes the crash fault from all engines, and waits until they have restarted.
+func (f *fleet) disableFaults() {
 	f.t.Helper()
 	for _, e := range f.engines {
 		require.NoError(f.t, e.SetFaults(standin.Faults{}))
 	}
-	time.Sleep(down + contact)
+	time.Sleep(engineDowntime + propagationDelay)
 }
 
-// crashes is how often engines have crashed.
-func (f *fleet) crashes() int {
+// crashCount returns the total number of engine crashCount.
+func (f *fleet) crashCount() int {
 	total := 0
 	for _, e := range f.engines {
 		total += int(e.Stats().Crashes)
@@ -276,8 +278,8 @@
 	return total
 }
 
-// crashTimes notes when engines crash, until the returned function is called.
-func (f *fleet) crashTimes() func() []time.Time {
+// recordCrashTimes records the times of engine crashes until the returned function is called, which returns them.
+func (f *fleet) recordCrashTimes() func() []time.Time {
 	var times []time.Time
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -287,7 +289,7 @@
 			case <-stop:
 				return
 			case now := <-time.After(5 * time.Millisecond):
-				for range f.crashes() - len(times) {
+				for range f.crashCount() - len(times) {
 					times = append(times, now)
 				}
 			}
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -8,42 +8,45 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// How many crashes it takes. A request may have been beside the one that caused them, also twice. So it then begins to run alone,
-// and a crash there makes a quarantine.
+// Numbers of crashes that raise the standing of a request. A request may have run on a server that crashed because of
+// another request, even twice. It is therefore watched first, which makes it start alone at its server, and quarantined
+// after a crash that happened while it ran alone.
 const (
 	WatchThreshold      = 2
 	QuarantineThreshold = 3
-	// quarantinedBeside is how many it takes of a request that was never alone. It may crash servers only after it has run for
-	// a while, when others are beside it again; one that is innocent isn't at so many in a row without an answer.
-	quarantinedBeside = 6
+	// sharedQuarantineThreshold is the number of crashes that quarantine a request that never ran alone at a crash.
+	// Such a request may crash servers only after running for a while, when other requests have been started next to
+	// it. A harmless request isn't running at that many crashes in a row without completing.
+	sharedQuarantineThreshold = 6
 )
 
-// Times by the leader's clock.
+// Durations, measured by the clock of the control leader.
 const (
-	// WatchPeriod is how long crashes that don't make a quarantine are remembered, from the last one on.
+	// WatchPeriod is how long crashes without a quarantine are remembered, counted from the latest one.
 	WatchPeriod = time.Hour
-	// firstQuarantine is how long a request is first refused. Then one more crash is enough, and each further quarantine is
-	// twice as long: a request that goes on to come back reaches three more servers within a day.
-	firstQuarantine = 2 * time.Hour
-	longestDoubling = 4
-	// sameCrash is within which time crashes of one server are one, as told by several who were connected to it. A server
-	// that crashed takes longer to come back.
-	sameCrash = 2 * time.Second
+	// initialQuarantine is the length of the first quarantine. After it a single further crash quarantines the request
+	// again, each time for twice as long, with at most maxDoublings doublings. A request that is repeated all the time
+	// thus reaches at most three more servers within a day.
+	initialQuarantine = 2 * time.Hour
+	maxDoublings      = 4
+	// duplicateCrashWindow is the time within which crashes of one server count as one, since several peers connected
+	// to it may report the same crash. A crashed server takes longer than that to restart.
+	duplicateCrashWindow = 2 * time.Second
 )
 
-// Standing says what may be done with a request.
+// Standing is how a request is treated because of the crashes recorded for it.
 type Standing uint8
 
 const (
-	// Clear requests run as any other.
+	// Clear requests run without restrictions.
 	Clear Standing = iota
-	// Watched ones begin to run alone at their server.
+	// Watched requests start alone at their server.
 	Watched
-	// Quarantined ones are refused.
+	// Quarantined requests are refused.
 	Quarantined
 )
 
-// String gives the standing's name in a log line.
+// String returns the standing's name as used in logs.
 func (s Standing) String() string {
 	switch s {
 	case Watched:
@@ -55,11 +58,11 @@
 	}
 }
 
-// StandingOf is the standing by a record, nil for none.
+// StandingOf returns the standing that follows from a record, nil for none.
 func StandingOf(record *wire.PoisonRecord) Standing {
-	crashes, beside := len(record.GetCrashes()), besideOthers(record)
+	crashes, shared := len(record.GetCrashes()), sharedCrashes(record)
 	switch {
-	case crashes >= QuarantineThreshold && beside < crashes, beside >= quarantinedBeside:
+	case crashes >= QuarantineThreshold && shared < crashes, shared >= sharedQuarantineThreshold:
 		return Quarantined
 	case crashes >= WatchThreshold:
 		return Watched
@@ -68,27 +71,27 @@
 	}
 }
 
-// Key names a request over its repeats by the same caller. What another organisation sends is another request: what one
-// of the rivals does never has a request of another refused.
+// Key identifies a request across its repetitions by the same organisation. The same content from another organisation
+// has another key: no organisation can cause requests of another one to be refused.
 type Key struct {
 	Organisation string
 	Fingerprint  Fingerprint
 }
 
-// KeyOf is the key of a record.
+// KeyOf returns the key of a record.
 func KeyOf(record *wire.PoisonRecord) Key {
 	return Key{Organisation: record.GetOrganisation(), Fingerprint: Fingerprint(record.GetFingerprint())}
 }
 
-// String is unique to the key, and its form in logs.
+// String returns the form of the key used in logs, which is unique to the key.
 func (k Key) String() string { return k.Organisation + "/" + k.Fingerprint.String() }
 
-// NewRecord is a record that names the key and nothing else.
+// NewRecord returns a record of the key without crashes.
 func (k Key) NewRecord() *wire.PoisonRecord {
 	return &wire.PoisonRecord{Organisation: k.Organisation, Fingerprint: uint64(k.Fingerprint)}
 }
 
-// CrashedServers are the servers that crashed, the oldest crash first.
+// CrashedServers returns the servers in a record's crashes, in the order in which the crashes were recorded.
 func CrashedServers(record *wire.PoisonRecord) []string {
 	var servers []string
 	for _, crash := range record.GetCrashes() {
@@ -97,31 +100,31 @@
 	return servers
 }
 
-// AddCrash notes a crash in a record at a time, in milliseconds since 1970, and tells whether that changes the record. One that is known
-// already doesn't, nor does one of a request that is quarantined, which was on its way when that was decided. The order in which
-// crashes are noted makes no difference.
+// AddCrash adds a crash to a record at the given time, in milliseconds since 1970, and reports whether the record
+// changed. A crash that is already known doesn't change it, nor does a crash of a request that is quarantined: that
+// request was dispatched before the quarantine. The standing doesn't depend on the order in which crashes are added.
 func AddCrash(record *wire.PoisonRecord, crash *wire.Crash, nowMS uint64) bool {
 	if StandingOf(record) == Quarantined {
 		return false
 	}
 	for _, known := range record.GetCrashes() {
-		if isSame(known, crash, nowMS) {
+		if isDuplicate(known, crash, nowMS) {
 			return false
 		}
 	}
-	noted := proto.CloneOf(crash)
-	noted.UnixMs = nowMS
-	record.Crashes = append(record.Crashes, noted)
+	added := proto.CloneOf(crash)
+	added.UnixMs = nowMS
+	record.Crashes = append(record.Crashes, added)
 	record.UntilUnixMs = nowMS + milliseconds(WatchPeriod)
 	if StandingOf(record) == Quarantined {
 		record.Quarantines++
-		record.UntilUnixMs = nowMS + milliseconds(quarantineTime(record))
+		record.UntilUnixMs = nowMS + milliseconds(quarantineDuration(record))
 	}
 	return true
 }
 
-// besideOthers counts the crashes of a record at which other requests ran as well.
-func besideOthers(record *wire.PoisonRecord) int {
+// sharedCrashes counts the crashes in a record at which other requests ran on the server too.
+func sharedCrashes(record *wire.PoisonRecord) int {
 	n := 0
 	for _, crash := range record.GetCrashes() {
 		if !crash.GetAlone() {
@@ -131,9 +134,10 @@
 	return n
 }
 
-// isSame tells whether a crash is one that was noted before. Several agents may report it, and one of them may have been cut off from
-// control meanwhile. A server whose name is of one start crashes once; another one may crash again under its name.
-func isSame(known, crash *wire.Crash, nowMS uint64) bool {
+// isDuplicate reports whether a crash is one that is already recorded. Several agents may report the same crash, some
+// of them late because they were disconnected from control, but two reports with different IDs from one agent are two
+// crashes. A server whose name is unique to one start crashes once under that name; any other server may crash again.
+func isDuplicate(known, crash *wire.Crash, nowMS uint64) bool {
 	switch {
 	case known.GetId() == crash.GetId():
 		return true
@@ -142,13 +146,14 @@
 	case known.GetReporter() != "" && known.GetReporter() == crash.GetReporter():
 		return false
 	default:
-		apart := max(nowMS, known.GetUnixMs()) - min(nowMS, known.GetUnixMs())
-		return crash.GetOnce() || apart < milliseconds(sameCrash)
+		interval := max(nowMS, known.GetUnixMs()) - min(nowMS, known.GetUnixMs())
+		return crash.GetOnce() || interval < milliseconds(duplicateCrashWindow)
 	}
 }
 
-// Downgrade takes a record whose time is over one step back, and tells whether anything is left of it. A quarantine becomes a watch
-// of the same length, within which one more crash is enough for the next one.
+// Downgrade lowers the standing of a record whose time is over, and reports whether the record is still needed. A
+// quarantined request becomes watched for as long as its quarantine lasted; one more crash in that time quarantines it
+// again.
 func Downgrade(record *wire.PoisonRecord, nowMS uint64) bool {
 	if StandingOf(record) != Quarantined {
 		return false
@@ -157,17 +162,17 @@
 	record.Crashes = nil
 	for _, crash := range kept {
 		crash = proto.CloneOf(crash)
-		crash.Alone = false // the next one has to be alone again
+		crash.Alone = false // another crash alone is needed for the next quarantine
 		record.Crashes = append(record.Crashes, crash)
 	}
-	record.UntilUnixMs = nowMS + milliseconds(quarantineTime(record))
+	record.UntilUnixMs = nowMS + milliseconds(quarantineDuration(record))
 	return true
 }
 
-// quarantineTime is how long the present quarantine of a record lasts, or its last one lasted.
-func quarantineTime(record *wire.PoisonRecord) time.Duration {
-	doublings := min(max(record.GetQuarantines(), 1)-1, longestDoubling)
-	return firstQuarantine << doublings
+// quarantineDuration returns the length of the present quarantine of a record, or of its latest one.
+func quarantineDuration(record *wire.PoisonRecord) time.Duration {
+	doublings := min(max(record.GetQuarantines(), 1)-1, maxDoublings)
+	return initialQuarantine << doublings
 }
 
 func milliseconds(d time.Duration) uint64 { return uint64(d.Milliseconds()) }
--- a/poison/quarantine_test.go
+++ b/poison/quarantine_test.go
@@ -10,75 +10,75 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: engines crash one after the other, and with each the answers of all requests beside the one that crashes it are lost.
-// Sequence: a request crashes each engine that begins to run it. Its caller repeats it every second, with another id, at one
-// entry after the other.
-// Cause: each repeat is a new request to the entry that it comes to, and nothing remembered what its predecessors did: neither an
-// entry its own servers' ends, nor all entries those of the others. Evidence: at each of some fifty crashes of a played day one request
-// ran that had run at the crash before, under another id and mostly at another entry, each time at its first attempt.
-func TestRequestThatCrashesServersIsHeldBack(t *testing.T) {
-	inFleet(t, func(f *fleet) {
-		seen := f.crashTimes()
+// A request that crashes every engine that runs it, repeated every second with a new request ID at changing entries,
+// must be refused by all entries after its third crash. Each repetition is a new request to its entry, so crashes have
+// to be known to all entries by the request's content. Otherwise it goes on: in a simulated day, at each of some 50
+// crashes one request runs that also ran at the crash before, under another ID and mostly at another entry, each time
+// at its first attempt.
+func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
+	runFleet(t, func(f *fleet) {
+		stopRecording := f.recordCrashTimes()
 		for i := range 20 {
-			f.chat(i%entries, "compost", pill)
+			f.chat(i%entries, "compost", poisonPrompt)
 			time.Sleep(time.Second)
 		}
-		times := seen()
-		require.GreaterOrEqual(f.t, len(times), 3, "the request reaches engines until it is known")
+		times := stopRecording()
+		require.GreaterOrEqual(f.t, len(times), 3, "the request reaches engines until its crashes are known")
 		retries := 0
 		for _, at := range times[3:] {
-			if at.Sub(times[2]) > contact {
+			if at.Sub(times[2]) > propagationDelay {
 				retries++
 			}
 		}
-		require.LessOrEqual(f.t, retries, 3, "retries later than contact after the third crash; crashes at %v", times)
+		require.LessOrEqual(f.t, retries, 3, "retries later than the propagation delay after the third crash; crashes at %v", times)
 
-		f.repair()
+		f.disableFaults()
 		for i := range entries {
-			require.True(f.t, f.chat(i, "compost", pill).isQuarantined(), "its caller hears so at once")
-			require.Equal(f.t, http.StatusOK, f.chat(i, "compost", pill+" of another kind").status, "another body")
-			require.Equal(f.t, http.StatusOK, f.chat(i, "yatai", pill).status, "another caller")
+			require.True(f.t, f.chat(i, "compost", poisonPrompt).isQuarantined(), "the request is refused at once")
+			require.Equal(f.t, http.StatusOK, f.chat(i, "compost", poisonPrompt+" of another kind").status, "another body")
+			require.Equal(f.t, http.StatusOK, f.chat(i, "yatai", poisonPrompt).status, "another caller")
 		}
 	})
 }
 
-// quarantine repeats the killer at one entry until all of them refuse it, and returns how often engines have crashed by then.
-func (f *fleet) quarantine(at int) int {
+// quarantine repeats the poison request at one entry until all entries refuse it, and returns the number of engine
+// crashes by then.
+func (f *fleet) quarantine(index int) int {
 	f.t.Helper()
-	for before := f.crashes(); f.crashes() < before+3; {
-		f.chat(at, "compost", pill)
-		time.Sleep(down)
+	for before := f.crashCount(); f.crashCount() < before+3; {
+		f.chat(index, "compost", poisonPrompt)
+		time.Sleep(engineDowntime)
 	}
-	time.Sleep(contact)
-	f.refusedEverywhere()
-	return f.crashes()
+	time.Sleep(propagationDelay)
+	f.requireRefusedByAll()
+	return f.crashCount()
 }
 
-func (f *fleet) refusedEverywhere() {
+func (f *fleet) requireRefusedByAll() {
 	f.t.Helper()
 	for i := range f.entries {
-		require.True(f.t, f.chat(i, "compost", pill).isQuarantined(), "entry %d", i)
+		require.True(f.t, f.chat(i, "compost", poisonPrompt).isQuarantined(), "entry %d", i)
 	}
 }
 
-// Symptom: what crashed servers before crashes them again after a fault. Sequence: a request is quarantined; the entry that saw
-// all of its crashes dies and starts again, so do the control instances one after the other, and in the end all of them at once.
-// Cause: what is known of crashes kept by one process, or in memory only.
-func TestQuarantineOutlivesEntriesAndControl(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// A quarantine must survive the restart of the entry that saw the crashes, a rolling restart of the control instances,
+// and a restart of all of them at once. It is lost if the crashes are known to one process only, or are kept only in
+// memory.
+func TestQuarantineSurvivesRestarts(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		crashes := f.quarantine(0)
 
 		f.entries[0].stop()
 		f.startEntry(0)
-		f.serves(0)
-		f.refusedEverywhere()
+		f.awaitEntry(0)
+		f.requireRefusedByAll()
 
 		for i := range f.controls {
 			f.controls[i].stop()
-			time.Sleep(contact)
-			f.refusedEverywhere()
+			time.Sleep(propagationDelay)
+			f.requireRefusedByAll()
 			f.startControl(i)
-			time.Sleep(contact)
+			time.Sleep(propagationDelay)
 		}
 		for _, c := range f.controls {
 			c.stop()
@@ -88,48 +88,46 @@
 		}
 		f.entries[1].stop()
 		f.startEntry(1)
-		f.serves(1)
-		f.refusedEverywhere()
-		require.Equal(f.t, crashes, f.crashes())
+		f.awaitEntry(1)
+		f.requireRefusedByAll()
+		require.Equal(f.t, crashes, f.crashCount())
 	})
 }
 
-// Symptom: each entry loses servers to a request that another one knows. Sequence: control is gone while servers crash; the entry
-// that sees it goes by what it knows itself. Then control comes back. Cause: crashes told once, or not at all, while nobody can
-// commit them.
-func TestCrashesSeenWithoutControlAreKnownOnceItIsBack(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Crashes that an entry saw while control was unavailable must be reported once control is back. Otherwise every other
+// entry would lose servers to the same request again.
+func TestCrashesSeenWithoutControlAreReportedLater(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		for _, c := range f.controls {
 			c.stop()
 		}
 		for range 3 {
-			f.chat(0, "compost", pill)
+			f.chat(0, "compost", poisonPrompt)
 		}
-		seen := f.crashes()
+		seen := f.crashCount()
 		require.GreaterOrEqual(f.t, seen, 1)
 		for i := range f.controls {
 			f.startControl(i)
 		}
-		f.leads()
-		time.Sleep(contact)
+		f.awaitLeader()
+		time.Sleep(propagationDelay)
 		for range 3 {
-			f.chat(1, "compost", pill)
-			time.Sleep(down)
+			f.chat(1, "compost", poisonPrompt)
+			time.Sleep(engineDowntime)
 		}
-		require.LessOrEqual(f.t, f.crashes(), max(seen, 3), "what was seen without control counts")
-		f.refusedEverywhere()
+		require.LessOrEqual(f.t, f.crashCount(), max(seen, 3), "crashes seen without control count")
+		f.requireRefusedByAll()
 	})
 }
 
-// Symptom: requests that did no harm are refused. Sequence: answers run on all engines while another request crashes one engine
-// after the other; each of them loses its engine once or more, and is sent again. Cause: each of the requests at a crash taken
-// for its cause.
-func TestRequestsBesideAPoisonRequestAreServed(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// Harmless requests must not be refused because they ran on engines that another request crashed, each of them losing
+// its engine once or more. This happens if every request that runs at a crash counts as its cause.
+func TestRequestsNextToPoisonRequestAreServed(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
 		var mu sync.Mutex
-		asked := make(map[string]int)
+		requested := make(map[string]int)
 		refused := make(map[string]int)
 		for c := range 18 {
 			callers.Go(func() {
@@ -143,7 +141,7 @@
 					time.Sleep(callerPause)
 					got := f.chat(c%entries, "compost", text)
 					mu.Lock()
-					asked[text]++
+					requested[text]++
 					if got.isQuarantined() {
 						refused[text]++
 					}
@@ -152,27 +150,27 @@
 			})
 		}
 		for i := range 8 {
-			f.chat(i%entries, "compost", pill)
-			f.chat((i+1)%entries, "compost", fmt.Sprint(pill, " number ", i%2))
+			f.chat(i%entries, "compost", poisonPrompt)
+			f.chat((i+1)%entries, "compost", fmt.Sprint(poisonPrompt, " number ", i%2))
 			time.Sleep(time.Second)
 		}
 		close(stop)
 		callers.Wait()
-		require.GreaterOrEqual(f.t, f.crashes(), 6)
-		require.Empty(f.t, refused, "of %d", len(asked))
-		f.repair()
-		for text := range asked {
+		require.GreaterOrEqual(f.t, f.crashCount(), 6)
+		require.Empty(f.t, refused, "of %d distinct requests", len(requested))
+		f.disableFaults()
+		for text := range requested {
 			require.Equal(f.t, http.StatusOK, f.chat(0, "compost", text).status, text)
 		}
-		f.refusedEverywhere()
+		f.requireRefusedByAll()
 	})
 }
 
-// Symptom: a request that many send is refused after a rack has lost power. Sequence: it runs on all engines; half of them end at
-// once, then the other half, and so on: more than three engines end under it, none of them because of it. Cause: crashes counted
-// against a request that was answered a moment ago.
-func TestServersThatDieOtherwiseHoldNobodyBack(t *testing.T) {
-	inFleet(t, func(f *fleet) {
+// A request that many callers send must not be refused because many engines fail at once for another reason, such as a
+// rack losing power. It runs on more than three of the failed engines; a crash must not count against a request that
+// was answered a moment before.
+func TestUnrelatedServerFailuresDoNotQuarantine(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
 		var mu sync.Mutex
@@ -201,7 +199,7 @@
 		for i := range 8 {
 			time.Sleep(time.Second)
 			for j := range engines / 2 {
-				f.engines[(i%2)*engines/2+j].Crash(down / 2)
+				f.engines[(i%2)*engines/2+j].Crash(engineDowntime / 2)
 			}
 		}
 		close(stop)
