--- a/quota/cap_test.go
+++ b/quota/cap_test.go
@@ -9,60 +9,59 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: an organisation uses its cap twice within one window. Sequence: it has used up its cap when all processes are
-// killed; the entries are back, and admit what they may before any of them knows what was used before. Cause: an entry that
-// knew nothing kept to its equal part, as one does that is cut off, on top of all that had been used. A start of an entry
-// holds nothing until the state has given it a share.
+// An entry that restarts must not admit anything before the replicated state has given it a share. Otherwise, after all
+// processes are killed, entries that don't know the earlier use admit the cap a second time within one window.
 func TestNothingIsAdmittedBeforeTheFirstShare(t *testing.T) {
 	f := newFleet(t, 8, windowOnly)
 	_, _, ok := f.org[0].Take(1, onlyClass)
 	require.False(t, ok)
 	_, helps := f.org[0].AwaitShare(1)
-	require.True(t, helps, "it is held until the share comes")
+	require.True(t, helps, "the request waits for the share")
 	require.Equal(t, 1000, f.fillUp(0))
 
 	for i := range 8 {
 		f.start(i)
 	}
 	for i := range 8 {
-		require.Zero(t, f.fillUp(i), "the shares of the starts before are held")
+		require.Zero(t, f.fillUp(i), "the shares of the earlier incarnations are still reserved")
 	}
 }
 
+// Used units must not become available again before they have left the window.
 func TestCapHoldsInAnyWindow(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.Equal(t, 1000, f.fillUp(0))
 	_, wait, ok := f.org[0].Take(1, onlyClass)
 	require.False(t, ok)
-	require.Greater(t, wait, 7*time.Second, "all of it leaves the window at the same time")
-	f.clock.pass(4 * time.Second)
+	require.Greater(t, wait, 7*time.Second, "all of the use leaves the window at the same time")
+	f.clock.advance(4 * time.Second)
 	require.Zero(t, f.fillUp(0))
-	f.clock.pass(4*time.Second + f.org[0].step())
-	f.tellAll()
+	f.clock.advance(4*time.Second + f.org[0].slotDuration())
+	f.exchangeReports()
 	require.Equal(t, 1000, f.fillUp(0))
 }
 
-// Symptom: an organisation has more than its cap on machines whose clocks are set. Sequence: it has used up its cap; the time of
-// day is set forward by some seconds, and what was used seems to have left the window. Cause: a window counted by the time of
-// day. It is counted by the time since boot, which nobody sets, and which goes on while the machine is suspended.
-func TestClockOfTheDayMovesNoWindow(t *testing.T) {
+// Setting the time of day must not move the window, or use seems to have left it early when the clock is set forward.
+// The window is measured by the time since boot, which can't be set and continues while the machine is suspended.
+func TestTimeOfDayDoesNotMoveWindow(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.Equal(t, 1000, f.fillUp(0))
-	f.clock.step(time.Hour)
+	f.clock.setForward(time.Hour)
 	require.Zero(t, f.fillUp(0))
-	f.clock.step(-2 * time.Hour)
-	f.clock.pass(8*time.Second + f.org[0].step())
-	f.tellAll()
+	f.clock.setForward(-2 * time.Hour)
+	f.clock.advance(8*time.Second + f.org[0].slotDuration())
+	f.exchangeReports()
 	require.Equal(t, 1000, f.fillUp(0))
 }
 
+// Under a constant overload an entry must admit the cap's rate plus its burst, spread over the windows.
 func TestCapAdmitsAtItsRate(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	admitted := 0
-	for range 400 { // 40 s at 200 a second
-		f.clock.pass(100 * time.Millisecond)
-		f.tellAll()
-		f.move(0)
+	for range 400 { // 40 s at 200 per second
+		f.clock.advance(100 * time.Millisecond)
+		f.exchangeReports()
+		f.commitProposals(0)
 		if f.request(0, 20, onlyClass) {
 			admitted += 20
 		}
@@ -70,24 +69,24 @@
 	require.InDelta(t, 40*(100+200/8), admitted, 400)
 }
 
-func TestCapTakesBackWhatDidNotRun(t *testing.T) {
+// Units of requests that did not run must be available again.
+func TestRefundedUnitsAreAvailableAgain(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.Equal(t, 1000, f.fillUp(0))
-	f.clock.pass(9 * time.Second)
+	f.clock.advance(9 * time.Second)
 	g, _, ok := f.org[0].Take(900, onlyClass)
 	require.True(t, ok)
 	g.Refund()
 	require.Equal(t, 1000, f.fillUp(0))
 }
 
-// Symptom: an organisation that asks for several times its cap is refused though two thirds of the cap have run.
-// Sequence: a burst fills the servers; requests are admitted, wait for most of a second and are refused for want of room;
-// meanwhile the entry takes little else of that organisation.
-// Cause: what they gave back was taken from the slot of that moment, which held less, and cut off at nothing.
-func TestUnitsGivenBackLaterCountNoMore(t *testing.T) {
+// A refund must go to the slot from which the units were taken. Requests admitted in a burst may be refused up to a
+// second later for lack of free servers; refunds to the present slot, which holds less, are truncated at zero, and the
+// organisation is refused at two thirds of its cap.
+func TestRefundGoesToOriginalSlot(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.Equal(t, 1000, f.fillUp(0))
-	f.clock.pass(9 * time.Second)
+	f.clock.advance(9 * time.Second)
 	u := f.org[0]
 	var waiting []Grant
 	for range 9 {
@@ -95,32 +94,32 @@
 		require.True(t, ok)
 		waiting = append(waiting, g)
 	}
-	f.clock.pass(700 * time.Millisecond)
+	f.clock.advance(700 * time.Millisecond)
 	_, _, ok := u.Take(10, onlyClass)
 	require.True(t, ok)
 	for _, g := range waiting {
 		g.Refund()
 	}
-	require.InDelta(t, 10, u.own(), 0.1)
-	f.clock.pass(8200 * time.Millisecond)
-	f.tellAll()
+	require.InDelta(t, 10, u.localUse(), 0.1)
+	f.clock.advance(8200 * time.Millisecond)
+	f.exchangeReports()
 	require.Equal(t, 1000, f.fillUp(0))
 	waiting[0].Refund()
-	require.InDelta(t, 1000, u.own(), 0.1, "what has left the window is not given back once more")
+	require.InDelta(t, 1000, u.localUse(), 0.1, "units that have left the window are not refunded")
 }
 
-// Symptom: callers over a cap are told to come back much later than there is room. Sequence: most of the cap was used at
-// other entries. Cause: the wait counted only what leaves the window here.
-func TestWaitCountsWhatLeavesElsewhere(t *testing.T) {
+// The wait returned with a refusal must include the use at other entries that leaves the window. Otherwise callers are
+// told to retry much too late if most of the cap was used elsewhere.
+func TestWaitIncludesUseOfOtherEntries(t *testing.T) {
 	f := newFleet(t, 8, windowOnly)
 	require.True(t, f.request(0, 10, onlyClass))
-	f.org[0].takeState(&wire.CapState{Organisation: "org", Used: 985, Held: 990})
+	f.org[0].applyState(&wire.CapState{Organisation: "org", Used: 985, Held: 990})
 	_, wait, ok := f.org[0].Take(uint64(f.org[0].share)+15, onlyClass)
 	require.False(t, ok)
 	require.InDelta(t, 200, wait.Milliseconds(), 80)
 }
 
-// One request of more than the whole cap used to be admitted when nothing else was. No cap that lets it pass holds.
+// A request larger than the whole cap must not be admitted, even if nothing else has been.
 func TestRequestAboveTheWholeCapIsNeverAdmitted(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.False(t, f.request(0, 1001, onlyClass))
@@ -128,17 +127,18 @@
 	require.False(t, f.request(0, 1, onlyClass))
 }
 
-// A lower cap holds at an entry as soon as it knows of it, and the shares held before are within it together.
-func TestLowerLimitHoldsAtOnce(t *testing.T) {
+// A lowered cap must apply at an entry as soon as the entry learns of it, and the shares held before must together stay
+// within it.
+func TestLoweredCapAppliesAtOnce(t *testing.T) {
 	f := newFleet(t, 4, windowOnly)
 	for i := range 4 {
 		for range 150 {
 			require.True(t, f.request(i, 1, onlyClass))
 		}
-		f.clock.pass(raiseGap)
-		f.tellAll()
+		f.clock.advance(minRaiseInterval)
+		f.exchangeReports()
 		for j := range 4 {
-			f.move(j)
+			f.commitProposals(j)
 		}
 	}
 	f.setCap(10, 20)
@@ -147,7 +147,7 @@
 		_, _, ok := f.org[i].Take(1, onlyClass)
 		require.False(t, ok)
 	}
-	f.clock.pass(9 * time.Second)
+	f.clock.advance(9 * time.Second)
 	used := 0
 	for i := range 4 {
 		for {
@@ -159,19 +159,18 @@
 	}
 	require.LessOrEqual(t, used, 100, "without any proposal")
 	for range 4 {
-		f.tellAll()
+		f.exchangeReports()
 		for i := range 4 {
-			f.move(i)
+			f.commitProposals(i)
 			used += f.fillUp(i)
 		}
 	}
-	require.InDelta(t, 100, used, 4, "and all of it can be used")
+	require.InDelta(t, 100, used, 4, "the whole cap can be used")
 }
 
-// Symptom: an organisation has more than its lower cap. Sequence: an entry proposes a larger share; the cap is lowered, and the
-// entry learns of it, before it hears that it was given the share of the cap from before. Cause: only shares that were held
-// at that moment were scaled.
-func TestShareGivenOfAHigherCapIsScaled(t *testing.T) {
+// A share granted under the earlier cap must be scaled if the cap is lowered while the outcome of the proposal is in
+// flight. Scaling only the shares held at that moment exceeds the lower cap.
+func TestShareGrantedBeforeCapIsLoweredIsScaled(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	f.org[0].RecordDemand(1000, onlyClass)
 	_, helps := f.org[0].AwaitShare(1000)
@@ -184,47 +183,46 @@
 	require.LessOrEqual(t, f.org[0].allowed(), 100.0)
 }
 
-func TestUseElsewhereCounts(t *testing.T) {
+// Two entries must together stay within the cap, and one must be able to use what the other one doesn't need.
+func TestEntriesTogetherStayWithinCap(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	require.Equal(t, 1000, f.fillUp(0)+f.fillUp(1))
-	f.clock.pass(9 * time.Second)
-	f.tellAll()
-	f.move(0)
-	f.move(1)
+	f.clock.advance(9 * time.Second)
+	f.exchangeReports()
+	f.commitProposals(0)
+	f.commitProposals(1)
 	require.Positive(t, f.fillUp(1))
 	f.fillUp(0)
 	require.LessOrEqual(t, f.used(), 1000.0)
-	require.Greater(t, f.used(), 990.0, "what one doesn't need the other gets")
+	require.Greater(t, f.used(), 990.0, "units that one entry doesn't need are available to the other")
 }
 
-// Symptom: a cap is overrun just after a control instance was restarted. Sequence: of two instances one knows what all
-// entries use, the other has just begun and heard of none; its word comes last. Cause: the last word taken for the
-// newest truth. What a control instance tells of the others now says how much to hold, never how much may be used.
-func TestInstanceThatKnowsLessIsNotBelieved(t *testing.T) {
+// A control instance that has just restarted doesn't know the use of all entries, and its response may come last. It
+// must only influence how much an entry proposes to hold, never how much it may use.
+func TestOutdatedStateDoesNotRaiseUse(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	for range 600 {
 		require.True(t, f.request(1, 1, onlyClass))
 	}
-	f.org[0].takeState(&wire.CapState{Organisation: "org"})
+	f.org[0].applyState(&wire.CapState{Organisation: "org"})
 	require.LessOrEqual(t, f.fillUp(0), 400)
 	require.LessOrEqual(t, f.used(), 1000.0)
 }
 
-// Symptom: an organisation uses several times its cap while the network is cut. Sequence: entries lose control; each goes
-// on as if what it heard last still held, and none knows of the others' use. Cause: an old word that counts for ever. An entry
-// that is cut off keeps to the share that it holds, which is held for it alone, and has none once its lease is over.
-func TestEntryThatHearsNothingKeepsToItsShare(t *testing.T) {
+// An entry that is disconnected from control must stay within its share, which is reserved for it alone, and stop
+// admitting when its lease expires. Otherwise the entries would together exceed the cap during a network partition.
+func TestDisconnectedEntryStaysWithinShare(t *testing.T) {
 	f := newFleet(t, 4, windowOnly)
 	for i := range 4 {
 		for range 150 {
 			require.True(t, f.request(i, 1, onlyClass))
 		}
 	}
-	f.tellAll()
+	f.exchangeReports()
 	for i := range 4 {
-		f.move(i)
+		f.commitProposals(i)
 	}
-	alone := func(i int) (n int) {
+	takeAll := func(i int) (n int) {
 		for {
 			if _, _, ok := f.org[i].Take(1, onlyClass); !ok {
 				return n
@@ -233,21 +231,22 @@
 		}
 	}
 	share := f.org[0].share
-	for range 2 { // two windows long nobody hears anything
+	for range 2 { // no entry has contact with control for two windows
 		for i := range 4 {
-			alone(i)
+			takeAll(i)
 		}
 		require.LessOrEqual(t, f.used(), 1000.0)
-		require.InDelta(t, share, f.org[0].own(), 1, "callers of a cut-off entry are served on")
-		f.clock.pass(8*time.Second + f.org[0].step())
+		require.InDelta(t, share, f.org[0].localUse(), 1, "a disconnected entry continues to serve its callers")
+		f.clock.advance(8*time.Second + f.org[0].slotDuration())
 	}
-	f.clock.pass(ShareLease)
-	require.Zero(t, alone(0))
+	f.clock.advance(ShareLease)
+	require.Zero(t, takeAll(0))
 	f.caps[0].RenewLease(f.clock.sinceBoot())
-	require.Positive(t, alone(0))
+	require.Positive(t, takeAll(0))
 }
 
-// A machine that was suspended may have been ended meanwhile. The time counts though the process saw none of it.
+// Control may have ended an entry while its machine was suspended. The suspended time must count towards the lease,
+// although the process did not run.
 func TestLeaseCountsSuspendedTime(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.True(t, f.request(0, 10, onlyClass))
@@ -257,6 +256,7 @@
 	require.False(t, ok)
 }
 
+// The entries together may use the cap plus the tolerated fraction and allowance, and no more.
 func TestToleratedOverrunIsPartOfTheCap(t *testing.T) {
 	f := newFleet(t, 3, Tolerance{Window: 8 * time.Second, Overrun: 0.1, Allowance: 100})
 	used := 0
@@ -266,12 +266,12 @@
 	require.Equal(t, 1200, used)
 }
 
-// Symptom: requests are refused although the cap isn't used up. Cause: a guess taken for an answer where the answer is one
-// question away: whether there is more of the cap, the state knows.
-func TestLargerShareIsAskedForBeforeARefusal(t *testing.T) {
+// An entry must propose a larger share before it refuses a request. Its information about the other entries may be
+// outdated, and only the replicated state knows whether more of the cap is free.
+func TestLargerShareIsProposedBeforeRefusal(t *testing.T) {
 	f := newFleet(t, 7, windowOnly)
 	require.True(t, f.request(0, 10, onlyClass))
-	f.org[0].takeState(&wire.CapState{Organisation: "org", Used: 900, Held: 990}) // which is wrong
+	f.org[0].applyState(&wire.CapState{Organisation: "org", Used: 900, Held: 990}) // more than the others hold
 	units := uint64(f.org[0].share)
 	_, _, ok := f.org[0].Take(units, onlyClass)
 	require.False(t, ok)
@@ -279,7 +279,7 @@
 	require.True(t, helps)
 	<-f.caps[0].Wake()
 	move := f.caps[0].NextProposal()
-	require.Nil(t, f.caps[0].NextProposal(), "one is on its way")
+	require.Nil(t, f.caps[0].NextProposal(), "a proposal is outstanding")
 	f.caps[0].ProposalEnded(move, f.commit(move))
 	require.NotPanics(t, func() { <-changed })
 	_, _, ok = f.org[0].Take(units, onlyClass)
@@ -290,17 +290,17 @@
 	for f.request(0, 10, onlyClass) {
 	}
 	_, helps = f.org[0].AwaitShare(10)
-	require.False(t, helps, "it is known to be used up")
-	f.clock.pass(raiseGap)
+	require.False(t, helps, "the cap is known to be used up")
+	f.clock.advance(minRaiseInterval)
 	_, helps = f.org[0].AwaitShare(10)
-	require.True(t, helps, "something may have been freed")
+	require.True(t, helps, "shares may have been released meanwhile")
 	_, helps = f.org[0].AwaitShare(1001)
-	require.False(t, helps, "no share is that large")
+	require.False(t, helps, "no share can be that large")
 }
 
-// Symptom: an entry uses what another may use. Sequence: a proposal to raise a share is held up; its outcome is taken for lost;
-// the share is lowered by the next; then the outcome of the first comes. Cause: an outcome that was taken for the present.
-func TestLateOutcomeRaisesNothing(t *testing.T) {
+// The outcome of a proposal that arrives after a later proposal has lowered the share must be ignored. Applying it
+// would let the entry use units that are available to another entry.
+func TestLateOutcomeDoesNotRaiseShare(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.True(t, f.request(0, 100, onlyClass))
 	f.org[0].RecordDemand(500, onlyClass)
@@ -309,103 +309,102 @@
 	late := f.commit(raise)
 	f.caps[0].ProposalEnded(raise, nil)
 	require.Positive(t, f.fillUp(0))
-	f.clock.pass(9 * time.Second)
-	f.tellAll()
-	require.Positive(t, f.move(0), "it is lowered")
+	f.clock.advance(9 * time.Second)
+	f.exchangeReports()
+	require.Positive(t, f.commitProposals(0), "the share is lowered")
 	share := f.org[0].share
 	f.caps[0].ProposalEnded(raise, late)
 	require.Equal(t, share, f.org[0].share)
 	require.LessOrEqual(t, share, float64(f.state.HeldBy("e1", 1, "org")))
 }
 
-// Symptom: callers of an entry that has just started are refused for as long as an overload lasts, those of the others are
-// served. Sequence: an organisation asks for several times its cap, of which the others hold all; they use all that they
-// hold, so nothing is ever free. Cause: shares that are given to who asks first.
-func TestEntryThatStartsGetsItsPartOfAContestedCap(t *testing.T) {
+// An entry that starts while an organisation requests several times its cap must get a share. The other entries hold
+// and use all of the cap, so nothing becomes free unless they yield.
+func TestNewEntryGetsShareOfOverloadedCap(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	f.fillUp(0)
 	require.Zero(t, f.fillUp(1))
 	for range 160 { // 40 s at several times the cap
-		f.clock.pass(250 * time.Millisecond)
-		f.tellAll()
+		f.clock.advance(250 * time.Millisecond)
+		f.exchangeReports()
 		for i := range 2 {
-			f.move(i)
+			f.commitProposals(i)
 			f.fillUp(i)
 		}
 		require.LessOrEqual(t, f.used(), 1000.0)
 	}
-	require.InDelta(t, 500, f.org[1].own(), 120)
-	require.Greater(t, f.used(), 900.0, "and the cap is used")
+	require.InDelta(t, 500, f.org[1].localUse(), 120)
+	require.Greater(t, f.used(), 900.0, "the cap is used")
 }
 
-func TestControlHearsWhatIsWanted(t *testing.T) {
+// An entry must report the units that it was not granted, and stop reporting them once enough are free.
+func TestReportIncludesUngrantedUnits(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	f.fillUp(0)
 	f.fillUp(1)
 	require.Positive(t, f.caps[1].Usage()[0].GetWanted())
-	f.clock.pass(9 * time.Second)
-	f.tellAll()
-	f.move(0)
-	f.move(1)
-	require.Zero(t, f.caps[1].Usage()[0].GetWanted(), "there is enough now")
+	f.clock.advance(9 * time.Second)
+	f.exchangeReports()
+	f.commitProposals(0)
+	f.commitProposals(1)
+	require.Zero(t, f.caps[1].Usage()[0].GetWanted(), "enough units are free")
 }
 
-// The word of an entry tells when its use leaves the window once a good part of the cap is used.
-func TestWordTellsWhenAllOfItsUseLeaves(t *testing.T) {
+// Once a large part of the cap is used, a report must state when the use leaves the window, so that control can release
+// a dead entry's share gradually.
+func TestReportStatesWhenUseLeavesWindow(t *testing.T) {
 	f := newFleet(t, 1, windowOnly)
 	require.True(t, f.request(0, 100, onlyClass))
-	word := f.caps[0].Usage()[0]
-	require.Empty(t, word.GetLeaving(), "little is used")
-	require.EqualValues(t, 100, word.LeftAtMost(7*time.Second, f.tolerance.Window))
-	f.clock.pass(5 * time.Second)
+	report := f.caps[0].Usage()[0]
+	require.Empty(t, report.GetLeaving(), "only a small part of the cap is used")
+	require.EqualValues(t, 100, report.LeftAtMost(7*time.Second, f.tolerance.Window))
+	f.clock.advance(5 * time.Second)
 	require.True(t, f.request(0, 700, onlyClass))
-	f.clock.pass(time.Second)
-	word = f.caps[0].Usage()[0]
-	require.EqualValues(t, 800, word.GetUsed())
+	f.clock.advance(time.Second)
+	report = f.caps[0].Usage()[0]
+	require.EqualValues(t, 800, report.GetUsed())
 	for age, want := range map[time.Duration]uint64{time.Second: 800, 3 * time.Second: 700, 6 * time.Second: 700, 8 * time.Second: 0} {
-		require.Equal(t, want, word.LeftAtMost(age, f.tolerance.Window), age.String())
-		require.LessOrEqual(t, word.LeftAtLeast(age, f.tolerance.Window), want, age.String())
+		require.Equal(t, want, report.LeftAtMost(age, f.tolerance.Window), age.String())
+		require.LessOrEqual(t, report.LeftAtLeast(age, f.tolerance.Window), want, age.String())
 	}
 }
 
-// Symptom: an organisation has half again as much as its lower cap for as long as it asks for it. Sequence: entries hold all of a
-// cap; it is lowered, and each uses a smaller share at once; before its first proposal after that, the state has the larger one;
-// it proposes less than that, which is more than it uses, and gets it. Cause: a proposal that was taken for lowering a share
-// because the state held more than the entry did.
-func TestShareThatShrankByALowerCapIsRaisedOnlyWithinIt(t *testing.T) {
+// A share that was scaled down because the cap was lowered must not be raised beyond the lower cap. The replicated
+// state still has the larger share, so that a proposal between the two sizes raises the share that the entry uses,
+// although it lowers the stored one.
+func TestShareScaledByLoweredCapStaysWithinIt(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	for i := range 2 {
 		for range 350 {
 			require.True(t, f.request(i, 1, onlyClass))
 		}
-		f.clock.pass(raiseGap)
-		f.tellAll()
-		f.move(0)
-		f.move(1)
+		f.clock.advance(minRaiseInterval)
+		f.exchangeReports()
+		f.commitProposals(0)
+		f.commitProposals(1)
 	}
 	f.setCap(60, 120)
 	for i := range 2 {
 		f.caps[i].Configure(f.member)
 	}
-	f.clock.pass(9 * time.Second)
+	f.clock.advance(9 * time.Second)
 	for range 40 {
 		for i := range 2 {
 			f.fillUp(i)
 			require.LessOrEqual(t, f.used(), 600.0)
 		}
-		f.clock.pass(raiseGap)
+		f.clock.advance(minRaiseInterval)
 	}
 }
 
-// Symptom: each entry has a proposal committed four times a second that changes nothing. Sequence: an entry yields a part of its
-// share while others lack some; what it may use then lies between two whole units. Cause: the share to propose is rounded up, to
-// the one that is held.
-func TestYieldingByLessThanAUnitProposesNothing(t *testing.T) {
+// Yielding less than one unit must not be proposed. The share is rounded up to a whole unit, so the proposal would
+// change nothing but be repeated four times per second.
+func TestYieldBelowOneUnitIsNotProposed(t *testing.T) {
 	f := newFleet(t, 2, windowOnly)
 	u := f.org[0]
 	require.True(t, f.request(0, 600, onlyClass))
-	f.move(0)
+	f.commitProposals(0)
 	f.org[0].share = 700.0
-	u.others.wanted, u.yielded, u.ceiling = 1, f.clock.now, u.share-0.5
+	u.others.wanted, u.lastYield, u.ceiling = 1, f.clock.now, u.share-0.5
 	require.Nil(t, f.caps[0].NextProposal())
 }
--- a/quota/caps.go
+++ b/quota/caps.go
@@ -11,14 +11,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Tolerance is over which time caps count, and what operators tolerate beyond them.
+// Tolerance is the window in which caps count use, and the overrun that operators tolerate.
 type Tolerance struct {
 	Window    time.Duration
-	Overrun   float64 // share beyond a cap
-	Allowance float64 // units beyond that
+	Overrun   float64 // tolerated fraction of a cap beyond it
+	Allowance float64 // tolerated units beyond that
 }
 
-// message is the tolerance as proposals carry it. A share of the overrun that isn't a whole permille is dropped.
+// message returns the tolerance as sent in proposals. The overrun is rounded down to a whole permille.
 func (t Tolerance) message() *wire.CapTolerance {
 	return &wire.CapTolerance{
 		WindowMs:        uint32(t.Window.Milliseconds()),
@@ -27,31 +27,31 @@
 	}
 }
 
-// Caps holds the caps of all organisations at one start of an entry, also over changes of the desired state.
+// Caps holds the caps of all organisations for one incarnation of an entry, across changes of the desired state.
 type Caps struct {
 	Tolerance
 
 	now         func() time.Time
-	sinceBoot   func() time.Duration // goes on while the machine is suspended
+	sinceBoot   func() time.Duration // continues while the machine is suspended
 	entry       string
 	incarnation uint64
-	entries     atomic.Int64 // of the deployment, as far as known
+	entries     atomic.Int64 // number of entries in the deployment, as far as known
 	wake        chan struct{}
-	leaseEnd    atomic.Int64 // of sinceBoot, in nanoseconds
+	leaseEnd    atomic.Int64 // in nanoseconds of sinceBoot
 
-	mu       sync.Mutex
-	byName   map[string]*Cap
-	sequence uint64 // of the last proposal
-	moving   bool   // its outcome isn't known yet
+	mu        sync.Mutex
+	byName    map[string]*Cap
+	sequence  uint64 // number of the last proposal
+	proposing bool   // a proposal is outstanding
 }
 
-// Clock is where times come from: the steady clock, and the time since the machine's boot.
+// Clock is the source of time: the monotonic clock, and the time since the machine's boot.
 type Clock struct {
 	Now       func() time.Time
 	SinceBoot func() time.Duration
 }
 
-// NewCaps returns the caps of one start of an entry, which knows of no organisation yet.
+// NewCaps returns the caps of one incarnation of an entry. It knows no organisation yet.
 func NewCaps(entry string, incarnation uint64, clock Clock, tolerance Tolerance) *Caps {
 	c := &Caps{
 		Tolerance:   tolerance,
@@ -66,13 +66,14 @@
 	return c
 }
 
-// SetEntries says how many entries the deployment has, as far as known.
+// SetEntries sets the number of entries in the deployment, as far as known.
 func (c *Caps) SetEntries(n int) {
 	c.entries.Store(int64(n))
 	c.signal()
 }
 
-// Wake tells when a share has run short, so that Moves should be asked at once.
+// Wake returns a channel that receives a value when a share has run short, so that NextProposal should be called at
+// once.
 func (c *Caps) Wake() <-chan struct{} { return c.wake }
 
 func (c *Caps) signal() {
@@ -82,10 +83,10 @@
 	}
 }
 
-// valid tells whether the lease on shares holds.
-func (c *Caps) valid() bool { return c.sinceBoot() < time.Duration(c.leaseEnd.Load()) }
+// leaseValid reports whether the lease on shares is valid.
+func (c *Caps) leaseValid() bool { return c.sinceBoot() < time.Duration(c.leaseEnd.Load()) }
 
-// Configure returns the cap of an organisation with its rate and burst as they are now, nil if it has none.
+// Configure applies the present rate and burst of an organisation and returns its cap, or nil if it has none.
 func (c *Caps) Configure(spec *wire.Member) *Cap {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,32 +97,32 @@
 	u := c.byName[spec.GetName()]
 	if u == nil {
 		u = &Cap{
-			Tolerance: c.Tolerance,
-			now:       c.now,
-			sinceBoot: c.sinceBoot,
-			entries:   &c.entries,
-			valid:     c.valid,
-			wake:      c.signal,
-			changed:   make(chan struct{}),
-			ceiling:   math.Inf(1),
-			order:     newCapOrder(c.Window),
+			Tolerance:    c.Tolerance,
+			now:          c.now,
+			sinceBoot:    c.sinceBoot,
+			entries:      &c.entries,
+			leaseValid:   c.leaseValid,
+			wake:         c.signal,
+			shareChanged: make(chan struct{}),
+			ceiling:      math.Inf(1),
+			order:        newClassOrder(c.Window),
 		}
 		c.byName[spec.GetName()] = u
 		c.signal()
 	}
-	u.set(spec)
+	u.configure(spec)
 	return u
 }
 
-func (c *Caps) all() map[string]*Cap {
+func (c *Caps) copyCaps() map[string]*Cap {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.byName)
 }
 
-// Usage reports to control what each organisation has used here.
+// Usage returns the reports to control on each organisation's use at this entry.
 func (c *Caps) Usage() []*wire.Usage {
-	caps := c.all()
+	caps := c.copyCaps()
 	out := make([]*wire.Usage, 0, len(caps))
 	for _, name := range slices.Sorted(maps.Keys(caps)) {
 		report := caps[name].report()
@@ -131,10 +132,10 @@
 	return out
 }
 
-// RenewLease extends the lease on shares. The answer that a quorum confirmed was asked for at the given time since boot: what
-// control decided since isn't known.
-func (c *Caps) RenewLease(asked time.Duration) {
-	end := int64(asked + ShareLease)
+// RenewLease extends the lease on shares. requestedAt is the time since boot at which the response that a quorum
+// confirmed was requested: later decisions of control may not be included in it.
+func (c *Caps) RenewLease(requestedAt time.Duration) {
+	end := int64(requestedAt + ShareLease)
 	for {
 		now := c.leaseEnd.Load()
 		if end <= now || c.leaseEnd.CompareAndSwap(now, end) {
@@ -143,27 +144,28 @@
 	}
 }
 
-// ApplyStates takes what a control instance says of the other entries.
+// ApplyStates applies what a control instance says about the other entries.
 func (c *Caps) ApplyStates(states []*wire.CapState) {
-	caps := c.all()
-	for _, one := range states {
-		if u := caps[one.GetOrganisation()]; u != nil {
-			u.takeState(one)
+	caps := c.copyCaps()
+	for _, state := range states {
+		if u := caps[state.GetOrganisation()]; u != nil {
+			u.applyState(state)
 		}
 	}
 }
 
-// NextProposal returns a proposal for the shares that should be held now, nil if they are held or the last outcome isn't known yet.
-// A share that shrinks does so at once here: once the proposal is committed, others may use it.
+// NextProposal returns a proposal for the shares that should be held, nil if no share has to change or a proposal is
+// outstanding. A share that is lowered is reduced here at once: other entries may use it as soon as the proposal is
+// committed.
 func (c *Caps) NextProposal() *wire.MoveShares {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.moving {
+	if c.proposing {
 		return nil
 	}
 	move := &wire.MoveShares{Entry: c.entry, Incarnation: c.incarnation, Tolerance: c.Tolerance.message()}
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
-		if share := c.byName[name].move(); share != nil {
+		if share := c.byName[name].proposeShare(); share != nil {
 			share.Organisation = name
 			move.Shares = append(move.Shares, share)
 		}
@@ -172,30 +174,30 @@
 		return nil
 	}
 	c.sequence++
-	c.moving = true
+	c.proposing = true
 	move.Sequence = c.sequence
 	return move
 }
 
-// ProposalEnded takes the outcome of a proposal, nil if it is not known. What was to be raised stays as it was then: the state may
-// hold more for this entry than it uses, never less. For the same reason the outcome of any but the last proposal is dropped:
-// a share may have been lowered since.
+// ProposalEnded applies the outcome of a proposal, nil if it is unknown. A share that was to be raised then keeps its
+// size: the replicated state may reserve more for this entry than it uses, never less. For the same reason the outcome
+// of any proposal but the last one is ignored: a share may have been lowered since.
 func (c *Caps) ProposalEnded(move *wire.MoveShares, res *wire.CommandResult) {
 	c.mu.Lock()
 	isLast := move.GetSequence() == c.sequence
-	c.moving = c.moving && !isLast
+	c.proposing = c.proposing && !isLast
 	c.mu.Unlock()
 	if !isLast {
 		return
 	}
-	caps := c.all()
+	caps := c.copyCaps()
 	granted := make(map[string]*wire.Share, len(move.GetShares()))
 	for _, share := range res.GetShares() {
 		granted[share.GetOrganisation()] = share
 	}
-	for _, asked := range move.GetShares() {
-		if u := caps[asked.GetOrganisation()]; u != nil {
-			u.moved(asked.GetUnits(), granted[asked.GetOrganisation()])
+	for _, proposed := range move.GetShares() {
+		if u := caps[proposed.GetOrganisation()]; u != nil {
+			u.applyOutcome(proposed.GetUnits(), granted[proposed.GetOrganisation()])
 		}
 	}
 }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -11,31 +11,31 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// capClock is a clock that a test moves.
+// capClock is a clock that the test controls.
 type capClock struct {
-	now     time.Time
-	stepped time.Duration // by which the time of day was set forward
+	now    time.Time
+	offset time.Duration // how far the time of day has been set forward
 }
 
 func (c *capClock) Now() time.Time { return c.now }
 
-func (c *capClock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *capClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// step sets the time of day, and nothing else.
-func (c *capClock) step(d time.Duration) {
+// setForward changes the time of day without any time passing.
+func (c *capClock) setForward(d time.Duration) {
 	c.now = c.now.Add(d)
-	c.stepped += d
+	c.offset += d
 }
 
-func (c *capClock) sinceBoot() time.Duration { return c.now.Sub(time.Unix(0, 0)) - c.stepped }
+func (c *capClock) sinceBoot() time.Duration { return c.now.Sub(time.Unix(0, 0)) - c.offset }
 
-// windowOnly is a window of 8 s in which nothing beyond a cap is tolerated.
+// windowOnly is a window of 8 s without any tolerated overrun.
 var windowOnly = Tolerance{Window: 8 * time.Second}
 
-// onlyClass is the class of tests in which the order of classes plays no part.
+// onlyClass is used where the precedence of classes doesn't matter.
 var onlyClass = Class{Name: "only"}
 
-// fleet is some entries over one replicated state, joined by nothing: a proposal is applied when the test says so.
+// fleet is a set of entries that share one replicated state. A proposal is applied when the test calls for it.
 type fleet struct {
 	t         *testing.T
 	clock     *capClock
@@ -44,11 +44,12 @@
 	index     uint64
 	starts    uint64
 	caps      []*Caps
-	org       []*Cap // of the one organisation, by entry
+	org       []*Cap // cap of the only organisation, by entry
 	member    *wire.Member
 }
 
-// newFleet returns entries with a cap of 100 a second with a burst of 200 over a window of 8 s, that is 1000 in any window.
+// newFleet returns entries with a cap of 100 per second and a burst of 200 over a window of 8 s, which is 1000 in any
+// window.
 func newFleet(t *testing.T, entries int, tolerance Tolerance) *fleet {
 	f := &fleet{t: t, clock: &capClock{now: time.Unix(1_700_000_000, 0)}, tolerance: tolerance, state: state.New()}
 	f.setCap(100, 200)
@@ -63,7 +64,7 @@
 	return f.state.Apply(f.index, command)
 }
 
-// setCap sets the organisation's cap, which no entry knows yet.
+// setCap sets the organisation's cap in the replicated state, without telling the entries.
 func (f *fleet) setCap(rate, burst uint64) {
 	f.member = &wire.Member{Name: "org", Keys: []string{"k"}, RatePerS: rate, Burst: burst}
 	res := f.apply(&wire.Command{Kind: &wire.Command_PutDesiredState{PutDesiredState: &wire.PutDesiredState{
@@ -74,7 +75,7 @@
 
 func entryName(i int) string { return fmt.Sprintf("e%d", i+1) }
 
-// start begins a new start of an entry.
+// start starts a new incarnation of an entry.
 func (f *fleet) start(i int) {
 	f.starts++
 	name := entryName(i)
@@ -95,14 +96,14 @@
 	f.org[i] = caps.Configure(f.member)
 }
 
-// move has an entry's shares moved, as often as it proposes to. It returns how often that was.
-func (f *fleet) move(i int) int {
+// commitProposals commits an entry's proposals until it has none, and returns their number.
+func (f *fleet) commitProposals(i int) int {
 	for n := 0; ; n++ {
 		move := f.caps[i].NextProposal()
 		if move == nil {
 			return n
 		}
-		require.Less(f.t, n, 100, "shares settle")
+		require.Less(f.t, n, 100, "the shares don't reach a stable size")
 		f.caps[i].ProposalEnded(move, f.commit(move))
 	}
 }
@@ -111,12 +112,12 @@
 	return f.apply(&wire.Command{Kind: &wire.Command_MoveShares{MoveShares: move}})
 }
 
-// tellAll has all entries hear how the others stand.
-func (f *fleet) tellAll() {
+// exchangeReports exchanges reports and states between all entries and a new ledger.
+func (f *fleet) exchangeReports() {
 	ledger := NewLedger(func(string, time.Duration) float64 { return 1000 }, func(from Incarnation, name string) uint64 {
 		return f.state.HeldOf(name) - f.state.HeldBy(from.Instance, from.Number, name)
 	})
-	for range 2 { // the first words are answered before the others have spoken
+	for range 2 { // in the first round some entries have not reported yet
 		for _, c := range f.caps {
 			poll := &wire.Poll{Usage: c.Usage(), UsageWindowMs: uint32(f.tolerance.Window.Milliseconds())}
 			states := ledger.Record(Incarnation{c.entry, c.incarnation}, poll, f.clock.now)
@@ -126,7 +127,8 @@
 	}
 }
 
-// request does with a request what an entry does: where a larger share could let it in, that is asked for.
+// request handles a request like an entry does: if Take refuses and a larger share could help, it commits a proposal
+// and tries again.
 func (f *fleet) request(i int, units uint64, class Class) bool {
 	u := f.org[i]
 	u.RecordDemand(units, class)
@@ -136,12 +138,12 @@
 	if _, helps := u.AwaitShare(units); !helps {
 		return false
 	}
-	f.move(i)
+	f.commitProposals(i)
 	_, _, ok := u.Take(units, class)
 	return ok
 }
 
-// fillUp asks for one unit after the other until one is refused, and returns how many were admitted.
+// fillUp requests single units until one is refused, and returns how many were admitted.
 func (f *fleet) fillUp(i int) int {
 	n := 0
 	for f.request(i, 1, onlyClass) {
@@ -150,11 +152,11 @@
 	return n
 }
 
-// used is what all entries have used in the window that ends now.
+// used returns the use of all entries in the window that ends now.
 func (f *fleet) used() float64 {
 	total := 0.0
 	for _, u := range f.org {
-		total += u.own()
+		total += u.localUse()
 	}
 	return total
 }
--- a/quota/main_test.go
+++ b/quota/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run tries the same; -rapid.seed tries others.
+// TestMain fixes the seed of the property tests, so that each run tries the same cases; -rapid.seed selects another
+// seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
--- a/quota/order.go
+++ b/quota/order.go
@@ -6,134 +6,139 @@
 )
 
 const (
-	// capDemandTime is over which time the demand of a class is taken: some requests of a busy class at one entry.
-	capDemandTime = 2 * time.Second
-	// capMinor is the part of all units asked for below which a class is never refused for the sake of another: it would free
-	// nothing to speak of. Calls of plain services that count as 200 tokens each stand beside prompts of 10,000.
-	capMinor = 0.05
-	// capStarvedShare is the share admitted of all classes' units below which a class is no longer refused for the sake of
-	// another. It is that of the scheduler's order, see sched.
-	capStarvedShare = 0.35
+	// classDemandTimeConstant is the time constant of the recent demand of a class. It covers a few requests of a busy
+	// class at one entry.
+	classDemandTimeConstant = 2 * time.Second
+	// minorShare is the fraction of all requested units below which a class is never refused in favour of another one:
+	// refusing it would free almost nothing. Calls of plain services that count as 200 tokens each compete with prompts
+	// of 10,000.
+	minorShare = 0.05
+	// starvedShare is a fraction of the admission ratio of all classes. A class whose own ratio is below it is not
+	// refused in favour of another one. The scheduler uses the same value to order its queue.
+	starvedShare = 0.35
 )
 
-// Class is the class of a request that takes from a cap.
+// Class is the class of a request that takes units from a cap.
 type Class struct {
 	Name string
-	// Precedence is the class's order among its organisation's: the lower number goes first.
+	// Precedence orders the classes of an organisation: the lower number goes first.
 	Precedence uint32
 }
 
-// capDemand is what one class asks of a cap at this entry. The sums fade, by the time in their name.
-type capDemand struct {
+// classDemand is the demand of one class at this entry. The sums decay exponentially.
+type classDemand struct {
 	precedence uint32
-	at         time.Time
-	lately     float64 // units asked for, over capDemandTime
-	asked      float64 // over the window
-	taken      float64 // of those
+	updatedAt  time.Time
+	recent     float64 // requested units, time constant classDemandTimeConstant
+	requested  float64 // requested units, time constant of one window
+	taken      float64 // admitted units, time constant of one window
 }
 
-func (d *capDemand) fade(now time.Time, window time.Duration) {
-	gone := now.Sub(d.at)
-	d.at = now
-	d.lately *= math.Exp(-gone.Seconds() / capDemandTime.Seconds())
-	keep := math.Exp(-gone.Seconds() / window.Seconds())
-	d.asked *= keep
-	d.taken *= keep
+func (d *classDemand) decay(now time.Time, window time.Duration) {
+	elapsed := now.Sub(d.updatedAt)
+	d.updatedAt = now
+	d.recent *= math.Exp(-elapsed.Seconds() / classDemandTimeConstant.Seconds())
+	factor := math.Exp(-elapsed.Seconds() / window.Seconds())
+	d.requested *= factor
+	d.taken *= factor
 }
 
-// missing is how many units more the class will probably want in the window than it has.
-func (d *capDemand) missing(window time.Duration) float64 {
-	return max(d.lately*window.Seconds()/capDemandTime.Seconds()-d.taken, 0)
+// expectedShortfall returns how many more units the class will probably request in a window than it has taken.
+func (d *classDemand) expectedShortfall(window time.Duration) float64 {
+	return max(d.recent*window.Seconds()/classDemandTimeConstant.Seconds()-d.taken, 0)
 }
 
-// capOrder decides which classes of an organisation are refused first once its cap is nearly used up.
+// classOrder decides which classes of an organisation are refused first once its cap is nearly used up.
 //
-// Requests that are admitted in the order of their arrival leave an organisation at several times its usual without its
-// most urgent work: of one at six times its usual, with two thirds of its units in the most urgent class, 579 requests of
-// that class were refused while 656 of the least urgent were answered. What the urgent classes will probably still ask for
-// in the window is set aside for them, so that the others get what is left over. The whole window counts: use that came in
-// a burst leaves in a burst, and a class that is urgent later would find the cap used up again. One would notice by
-// over_usage_cap refusals of the class with the highest precedence while others of its organisation are served.
-type capOrder struct {
+// Admitting requests in the order of their arrival leaves an organisation at several times its usual load without its
+// most urgent work: at six times the usual load, with two thirds of the units in the most urgent class, 579 requests of
+// that class are refused while 656 of the least urgent are answered. Therefore the units that urgent classes will
+// probably still request in the window are reserved for them, and the other classes get the rest. The reservation
+// covers the whole window: use that came in a burst leaves in a burst, and an urgent class that requests units later
+// would find the cap used up again. A fault in this shows as over_usage_cap refusals of the class with the highest
+// precedence while other classes of its organisation are served.
+type classOrder struct {
 	window  time.Duration
-	classes map[string]*capDemand
+	classes map[string]*classDemand
 }
 
-func newCapOrder(window time.Duration) *capOrder {
-	return &capOrder{window: window, classes: make(map[string]*capDemand)}
+func newClassOrder(window time.Duration) *classOrder {
+	return &classOrder{window: window, classes: make(map[string]*classDemand)}
 }
 
-// maxCapClasses bounds the classes remembered of one organisation. Beyond it the one that asked longest ago is forgotten.
-const maxCapClasses = 64
+// maxClasses bounds the number of classes remembered per organisation. Beyond it the class with the oldest request is
+// evicted.
+const maxClasses = 64
 
-// ask notes that a request of the class asks for units, whether or not it gets them.
-func (o *capOrder) ask(now time.Time, class Class, units float64) {
+// recordDemand records that a request of the class needs units, whether or not it gets them.
+func (o *classOrder) recordDemand(now time.Time, class Class, units float64) {
 	d := o.classes[class.Name]
 	if d == nil {
-		d = &capDemand{at: now}
+		d = &classDemand{updatedAt: now}
 		o.classes[class.Name] = d
-		o.forget()
+		o.evict()
 	}
 	d.precedence = class.Precedence
-	d.fade(now, o.window)
-	d.lately += units
-	d.asked += units
+	d.decay(now, o.window)
+	d.recent += units
+	d.requested += units
 }
 
-// took notes that a request of the class got units, or gave them back.
-func (o *capOrder) took(class Class, units float64) {
+// recordTaken records that a request of the class took units, or returned them if units is negative.
+func (o *classOrder) recordTaken(class Class, units float64) {
 	if d := o.classes[class.Name]; d != nil {
 		d.taken = max(d.taken+units, 0)
 	}
 }
 
-func (o *capOrder) forget() {
-	if len(o.classes) <= maxCapClasses {
+func (o *classOrder) evict() {
+	if len(o.classes) <= maxClasses {
 		return
 	}
 	oldest := ""
 	for name, d := range o.classes {
 		known := o.classes[oldest]
-		if known == nil || d.at.Before(known.at) || d.at.Equal(known.at) && name < oldest {
+		if known == nil || d.updatedAt.Before(known.updatedAt) || d.updatedAt.Equal(known.updatedAt) && name < oldest {
 			oldest = name
 		}
 	}
 	delete(o.classes, oldest)
 }
 
-// capGrowth is by how much the classes that go first are taken to want more of a cap in the coming window than they wanted in the
-// last one.
-const capGrowth = 2
+// demandGrowth is the assumed ratio between the demand of the classes of higher precedence in the coming window and in
+// the last one.
+const demandGrowth = 2
 
-// reserve is how many units, over so many entries with a demand like here, a request of the class must leave to those that
-// go first. used is what all entries have used of the cap.
+// reserve returns how many units a request of the class must leave to the classes of higher precedence, assuming that
+// all entries have the same demand as this one. used is what all entries have used of the cap.
 //
-// One entry of many sees few requests of an organisation, so what it foretells of all is mostly chance: of a request in three
-// seconds, one urgent request looked like twice the whole cap. It is therefore bounded by what they all have used: of that the
-// classes that go first have had, or wanted, a part as here.
-func (o *capOrder) reserve(now time.Time, class Class, entries, used, limit float64) float64 {
+// One of many entries receives few requests of an organisation, so that an extrapolation from its own demand is mostly
+// noise: with one request every three seconds, a single urgent request extrapolates to twice the whole cap. The result
+// is therefore bounded by the use of all entries, multiplied by the ratio at this entry between the demand of the
+// classes of higher precedence and the units taken by all classes.
+func (o *classOrder) reserve(now time.Time, class Class, entries, used, limit float64) float64 {
 	own := o.classes[class.Name]
 	if own == nil {
 		return 0
 	}
-	asked, taken, ahead, wanted := 0.0, 0.0, 0.0, 0.0
+	requested, taken, higherShortfall, higherDemand := 0.0, 0.0, 0.0, 0.0
 	for _, d := range o.classes {
-		d.fade(now, o.window)
-		asked += d.asked
+		d.decay(now, o.window)
+		requested += d.requested
 		taken += d.taken
 		if d.precedence < own.precedence {
-			ahead += d.missing(o.window)
-			wanted += max(capGrowth*d.asked-d.taken, 0)
+			higherShortfall += d.expectedShortfall(o.window)
+			higherDemand += max(demandGrowth*d.requested-d.taken, 0)
 		}
 	}
-	minor := own.asked < capMinor*asked
-	starved := own.taken*asked < capStarvedShare*taken*own.asked
+	minor := own.requested < minorShare*requested
+	starved := own.taken*requested < starvedShare*taken*own.requested
 	if minor || starved {
 		return 0
 	}
-	foretold := entries * ahead
+	extrapolated := entries * higherShortfall
 	if taken > 0 {
-		foretold = min(foretold, used*wanted/taken)
+		extrapolated = min(extrapolated, used*higherDemand/taken)
 	}
-	return min(foretold, limit)
+	return min(extrapolated, limit)
 }
--- a/quota/overrun_test.go
+++ b/quota/random_faults_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawPlan draws a play: an organisation that asks for up to eight times its cap, and up to four faults.
+// drawPlan draws a simulation of an organisation that requests up to eight times its cap, with up to four faults.
 func drawPlan(t *rapid.T) simPlan {
 	plan := simPlan{
 		seed:     rapid.Uint64Max(1<<20).Draw(t, "seed"),
@@ -19,21 +19,21 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "faults") {
 		plan.faults = append(plan.faults, simFault{
-			kind:  rapid.SampledFrom(simFaults).Draw(t, "kind"),
-			at:    time.Duration(rapid.IntRange(1000, 20000).Draw(t, "at")) * time.Millisecond,
-			span:  time.Duration(rapid.IntRange(200, 6000).Draw(t, "for")) * time.Millisecond,
-			which: rapid.IntRange(0, 7).Draw(t, "which"),
+			kind:     rapid.SampledFrom(simFaults).Draw(t, "kind"),
+			at:       time.Duration(rapid.IntRange(1000, 20000).Draw(t, "at")) * time.Millisecond,
+			duration: time.Duration(rapid.IntRange(200, 6000).Draw(t, "for")) * time.Millisecond,
+			index:    rapid.IntRange(0, 7).Draw(t, "which"),
 		})
 	}
 	return plan
 }
 
-// TestNoCapIsOverrun plays drawn schedules of faults. Thousands are played by hand with -rapid.checks.
-func TestNoCapIsOverrun(t *testing.T) {
+// The cap must hold in every window under random schedules of faults. Use -rapid.checks to run thousands of them.
+func TestCapHoldsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(drawPlan(t))
-		s.play()
-		if over, found := s.worst(); found {
+		s.run()
+		if over, found := s.worstOverrun(); found {
 			t.Fatalf("%s", over)
 		}
 	})
--- a/quota/release.go
+++ b/quota/release.go
@@ -6,36 +6,37 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// releaseStep is the part of a share, one in so many, by which it shrinks at least with each release: a command for each
-// would be more than what it frees.
-const releaseStep = 32
+// releaseDivisor sets the smallest release: a share shrinks by more than 1/releaseDivisor of its size each time, or to
+// nothing. A command for each smaller change would cost more than the units it frees.
+const releaseDivisor = 32
 
-// Releaser frees the shares of entries that have ended as their use leaves the window. It belongs to the leader.
+// Releaser releases the shares of entries that have ended, as their use leaves the window. The control leader owns it.
 //
-// A dead entry's share can't be freed at once: what it has used is in the window, and callers of the others would use it
-// again. Freed only after a whole window, the others would have nothing of it for that long, though use leaves the window
-// all the time: after a loss of all processes an organisation near its cap would be refused for eight seconds.
+// A dead entry's share can't be released at once: its use is still in the window, and the other entries would add
+// theirs to it. Releasing all of it only after a whole window would withhold units whose use leaves the window earlier:
+// after a loss of all processes, an organisation close to its cap would be refused for eight seconds.
 //
-// What has left the window follows from the entry's last report. What it used after that isn't known, and counts as used in
-// the last moment before its death at the latest: all of its share that the report doesn't cover. So a share shrinks by what
-// has left the window of the last report since the death, and is gone a window after it.
+// What has left the window follows from the entry's latest report. Use after that report isn't known: the part of the
+// share that the report doesn't cover counts as used at the latest possible moment before the entry's death. So a share
+// shrinks by the reported use that has left the window since the death, and is fully released one window after the
+// death.
 type Releaser struct {
-	ledger *Ledger
-	seen   map[Incarnation]*endedEntry
+	ledger  *Ledger
+	holders map[Incarnation]*endedEntry
 }
 
 // endedEntry is a holder of shares that has ended.
 type endedEntry struct {
-	dead  time.Time         // by then it used nothing any more
-	units map[string]uint64 // that it held when it was first seen here
+	deadBy time.Time         // latest time at which it may have used units
+	units  map[string]uint64 // units held when it was first seen as ended, by organisation
 }
 
-// NewReleaser returns the releases of a leader that begins.
+// NewReleaser returns the releaser of a new leader.
 func NewReleaser(ledger *Ledger) *Releaser {
-	return &Releaser{ledger: ledger, seen: make(map[Incarnation]*endedEntry)}
+	return &Releaser{ledger: ledger, holders: make(map[Incarnation]*endedEntry)}
 }
 
-// Due returns the commands that free what may be freed by now, of the given holders that have ended.
+// Due returns the commands that release what may be released at the given time, of the given holders that have ended.
 func (r *Releaser) Due(now time.Time, ended []*wire.HeldShares) []*wire.ReleaseShares {
 	var due []*wire.ReleaseShares
 	present := make(map[Incarnation]bool, len(ended))
@@ -46,22 +47,22 @@
 			due = append(due, command)
 		}
 	}
-	for from := range r.seen {
+	for from := range r.holders {
 		if !present[from] {
-			delete(r.seen, from)
+			delete(r.holders, from)
 		}
 	}
 	return due
 }
 
 func (r *Releaser) release(now time.Time, from Incarnation, holder *wire.HeldShares) *wire.ReleaseShares {
-	entry := r.note(now, from, holder)
+	entry := r.track(now, from, holder)
 	window := time.Duration(holder.GetWindowMs()) * time.Millisecond
 	command := &wire.ReleaseShares{Entry: from.Instance, Incarnation: from.Number}
 	for _, share := range holder.GetShares() {
-		keep := r.keep(now, from, entry, share.GetOrganisation(), window)
-		if keep == 0 || keep+share.GetUnits()/releaseStep < share.GetUnits() {
-			command.Shares = append(command.Shares, &wire.Share{Organisation: share.GetOrganisation(), Units: keep})
+		units := r.remaining(now, from, entry, share.GetOrganisation(), window)
+		if units == 0 || units+share.GetUnits()/releaseDivisor < share.GetUnits() {
+			command.Shares = append(command.Shares, &wire.Share{Organisation: share.GetOrganisation(), Units: units})
 		}
 	}
 	if len(command.Shares) == 0 {
@@ -70,35 +71,35 @@
 	return command
 }
 
-// note remembers when a holder was first seen ended. One that a later start has replaced is dead by then; another may be cut
-// off and go on until its lease is over.
-func (r *Releaser) note(now time.Time, from Incarnation, holder *wire.HeldShares) *endedEntry {
-	dead := now
+// track records when a holder was first seen as ended. A holder replaced by a later incarnation is dead by then; any
+// other may be disconnected and keep using its share until its lease expires.
+func (r *Releaser) track(now time.Time, from Incarnation, holder *wire.HeldShares) *endedEntry {
+	deadBy := now
 	if !holder.GetReplaced() {
-		dead = now.Add(ShareLease)
+		deadBy = now.Add(ShareLease)
 	}
-	entry := r.seen[from]
+	entry := r.holders[from]
 	if entry == nil {
-		entry = &endedEntry{dead: dead, units: make(map[string]uint64, len(holder.GetShares()))}
+		entry = &endedEntry{deadBy: deadBy, units: make(map[string]uint64, len(holder.GetShares()))}
 		for _, share := range holder.GetShares() {
 			entry.units[share.GetOrganisation()] = share.GetUnits()
 		}
-		r.seen[from] = entry
+		r.holders[from] = entry
 	}
-	if dead.Before(entry.dead) {
-		entry.dead = dead
+	if deadBy.Before(entry.deadBy) {
+		entry.deadBy = deadBy
 	}
 	return entry
 }
 
-// keep is how much of an organisation's cap a holder may have used in the window that ends now.
-func (r *Releaser) keep(now time.Time, from Incarnation, entry *endedEntry, organisation string, window time.Duration) uint64 {
+// remaining returns how much of an organisation's cap a holder may have used in the window that ends now.
+func (r *Releaser) remaining(now time.Time, from Incarnation, entry *endedEntry, organisation string, window time.Duration) uint64 {
 	units := entry.units[organisation]
 	switch {
-	case !now.Before(entry.dead.Add(window)):
+	case !now.Before(entry.deadBy.Add(window)):
 		return 0
-	case !now.After(entry.dead):
+	case !now.After(entry.deadBy):
 		return units
 	}
-	return units - min(units, r.ledger.gone(from, organisation, entry.dead, now))
+	return units - min(units, r.ledger.leftWindow(from, organisation, entry.deadBy, now))
 }
--- a/quota/report_test.go
+++ b/quota/report_test.go
@@ -10,29 +10,31 @@
 	"time"
 )
 
-// reportPlays is the variable that holds how many plays of each kind the report makes; without it there is none.
-const reportPlays = "CARAWAYPITCH_QUOTA_REPORT"
+// reportRuns is the environment variable with the number of simulations of each kind in the report. The report is
+// skipped if it is unset.
+const reportRuns = "CARAWAYPITCH_QUOTA_REPORT"
 
-// belowCap is a demand by phase, as a multiple of the cap's rate, of which nothing should be refused.
+// belowCap is a demand by phase, as a multiple of the cap's rate, that is always within the cap.
 var belowCap = []float64{0.9, 0.9, 0.9, 0.5, 1, 0.5, 1, 0.5, 1, 0.5, 1, 0.5, 1}
 
-// TestReport prints how often and by how much caps are overrun, what is refused under a demand beyond the cap and under one
-// below it, and the commits a second, for each kind of fault alone and for mixes. It is started by hand.
+// TestReport prints, for each kind of fault alone and for combinations, how often and by how much caps are overrun, the
+// refused fraction under a demand beyond the cap and under one within it, and the commits per second. It is run by
+// hand.
 func TestReport(t *testing.T) {
-	plays, err := strconv.Atoi(os.Getenv(reportPlays))
+	runs, err := strconv.Atoi(os.Getenv(reportRuns))
 	if err != nil {
-		t.Skipf("%s holds no number of plays", reportPlays)
+		t.Skipf("%s is not a number of simulations", reportRuns)
 	}
-	fmt.Printf("%-40s %6s %9s %9s %9s %9s %9s\n", "faults", "plays", "overrun", "worst", "refused", "below", "commits")
+	fmt.Printf("%-40s %6s %9s %9s %9s %9s %9s\n", "faults", "runs", "overrun", "worst", "refused", "below", "commits")
 	for _, kind := range append([]string{"none"}, simFaults...) {
-		reportKind(kind, plays, func(rng *rand.Rand) []simFault {
+		reportKind(kind, runs, func(rng *rand.Rand) []simFault {
 			if kind == "none" {
 				return nil
 			}
 			return []simFault{drawFault(rng, kind)}
 		})
 	}
-	reportKind("four of any kind", 4*plays, func(rng *rand.Rand) []simFault {
+	reportKind("four of any kind", 4*runs, func(rng *rand.Rand) []simFault {
 		var faults []simFault
 		for range 4 {
 			faults = append(faults, drawFault(rng, simFaults[rng.IntN(len(simFaults))]))
@@ -43,25 +45,25 @@
 
 func drawFault(rng *rand.Rand, kind string) simFault {
 	return simFault{
-		kind:  kind,
-		at:    5*time.Second + time.Duration(rng.IntN(15000))*time.Millisecond,
-		span:  200*time.Millisecond + time.Duration(rng.IntN(6000))*time.Millisecond,
-		which: rng.IntN(8),
+		kind:     kind,
+		at:       5*time.Second + time.Duration(rng.IntN(15000))*time.Millisecond,
+		duration: 200*time.Millisecond + time.Duration(rng.IntN(6000))*time.Millisecond,
+		index:    rng.IntN(8),
 	}
 }
 
-// reportKind makes plays side by side and prints one line.
-func reportKind(name string, plays int, faults func(*rand.Rand) []simFault) {
+// reportKind runs simulations in parallel and prints one line.
+func reportKind(name string, runs int, faults func(*rand.Rand) []simFault) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	over, worst, refused, below, commits := 0, 0.0, 0.0, 0.0, 0
-	free := make(chan struct{}, 4)
-	for i := range plays {
+	overruns, worst, refused, below, commits := 0, 0.0, 0.0, 0.0, 0
+	slots := make(chan struct{}, 4)
+	for i := range runs {
 		wg.Add(1)
-		free <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			rng := rand.New(rand.NewPCG(uint64(i), 7))
 			plan := simPlan{
 				seed: uint64(i), entries: 4 + rng.IntN(5), controls: 3,
@@ -72,24 +74,24 @@
 			}
 			calm := plan
 			calm.demand = belowCap
-			underneath := newSim(calm)
-			underneath.play()
+			calmSim := newSim(calm)
+			calmSim.run()
 			s := newSim(plan)
-			s.play()
-			found, is := s.worst()
+			s.run()
+			overrun, found := s.worstOverrun()
 			mu.Lock()
 			defer mu.Unlock()
-			refused += s.refused / s.asked
-			below += underneath.refused / underneath.asked
+			refused += s.refused / s.requested
+			below += calmSim.refused / calmSim.requested
 			commits += s.commits
-			if is {
-				over++
-				worst = max(worst, found.used/found.most-1)
+			if found {
+				overruns++
+				worst = max(worst, overrun.used/overrun.allowed-1)
 			}
 		}()
 	}
 	wg.Wait()
-	fmt.Printf("%-40s %6d %8.1f%% %8.1f%% %8.2f%% %8.2f%% %9.1f\n", name, plays,
-		100*float64(over)/float64(plays), 100*worst, 100*refused/float64(plays), 100*below/float64(plays),
-		float64(commits)/float64(plays)/simLength.Seconds())
+	fmt.Printf("%-40s %6d %8.1f%% %8.1f%% %8.2f%% %8.2f%% %9.1f\n", name, runs,
+		100*float64(overruns)/float64(runs), 100*worst, 100*refused/float64(runs), 100*below/float64(runs),
+		float64(commits)/float64(runs)/simLength.Seconds())
 }
--- a/quota/share.go
+++ b/quota/share.go
@@ -7,74 +7,79 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// How large a share an entry holds. It is what is used, and something ahead of it, so that requests needn't wait for a
-// proposal. While a cap is far from used up, that may be generous: it lets an entry serve through an election or a cut. Near
-// the cap what is held ahead is missing elsewhere.
+// The size of an entry's share is its use plus headroom, so that requests needn't wait for a proposal. While a cap is
+// far from its limit the headroom is generous, which lets an entry keep serving during an election or a network
+// partition. Close to the limit, headroom held by one entry is missing at the others.
 const (
-	// aheadMost and aheadLeast are for how long the present demand is held ahead, at most and at least.
-	aheadMost  = 2 * time.Second
-	aheadLeast = 300 * time.Millisecond
-	// aheadPart is the part of what is unused of a cap that all entries together hold ahead of their use, and floorPart the part
-	// that they hold whether or not they use anything.
-	aheadPart = 0.3
-	floorPart = 0.25
-	// MoveTimeout is after which the outcome of a proposal is taken for lost: some times what a sync of a slow disk takes. A
-	// later proposal makes an earlier one void, so it needn't be long.
+	// maxHeadroom and minHeadroom bound the headroom, as the time for which it covers the present demand.
+	maxHeadroom = 2 * time.Second
+	minHeadroom = 300 * time.Millisecond
+	// headroomFraction is the fraction of the unused part of a cap that all entries together hold as headroom, and
+	// floorFraction the fraction that they hold even without any use.
+	headroomFraction = 0.3
+	floorFraction    = 0.25
+	// MoveTimeout is after which time the outcome of a proposal counts as unknown. It is several times as long as a
+	// disk sync takes on a slow disk. It can be short because a later proposal invalidates an earlier one.
 	MoveTimeout = 300 * time.Millisecond
-	// MoveInterval is how often an entry looks whether its shares fit, besides when one runs short.
+	// MoveInterval is how often an entry checks the size of its shares, in addition to when one runs short.
 	MoveInterval = 250 * time.Millisecond
-	// slack is how much larger than wanted a share may be before it is lowered, by what is held ahead.
-	slack = 1.0
-	// raiseGap is the least time between two proposals for a larger share of a cap of which nothing was left.
-	raiseGap = 200 * time.Millisecond
-	// yieldGap and yieldPart: while others lack some of a cap, an entry with more than an equal part of it gives up this part
-	// of its share each time.
-	yieldGap  = 500 * time.Millisecond
-	yieldPart = 0.1
+	// lowerMargin is the excess of a share, as a multiple of its headroom, above which the share is lowered.
+	lowerMargin = 1.0
+	// minRaiseInterval is the least time between two proposals for a larger share after one that was not granted in
+	// full.
+	minRaiseInterval = 200 * time.Millisecond
+	// yieldInterval and yieldFraction: while other entries need more of the cap, an entry that holds more than an equal
+	// share gives up this fraction of its share each interval.
+	yieldInterval = 500 * time.Millisecond
+	yieldFraction = 0.1
 )
 
-// fading is what is left after a time of a sum that fades over another.
-func fading(gone, over time.Duration) float64 { return math.Exp(-gone.Seconds() / over.Seconds()) }
+// decay returns the factor by which an exponentially decaying sum shrinks in a time.
+func decay(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
+}
 
-// ahead is how much is held beyond what is used, and the least share. While somebody lacks some of the cap, little is.
-func (u *Cap) ahead() (reserve, floor float64) {
-	demand := u.demandNow()
-	least, most := demand*aheadLeast.Seconds(), demand*aheadMost.Seconds()
-	if u.others.wanted > 0 || u.short > 0 {
+// headroom returns how much is held beyond the use, and the smallest share. While any entry lacks units of the cap,
+// both are minimal.
+func (u *Cap) headroom() (reserve, floor float64) {
+	demand := u.currentDemand()
+	least, most := demand*minHeadroom.Seconds(), demand*maxHeadroom.Seconds()
+	if u.others.wanted > 0 || u.ungranted > 0 {
 		return least, 0
 	}
-	used := u.own() + u.others.used
-	unused := max(u.bound-used, 0)
-	part := 1 / u.parts()
+	used := u.localUse() + u.others.used
+	unused := max(u.limit-used, 0)
+	fraction := 1 / u.entryCount()
 	if used > 0 {
-		part = u.own() / used
+		fraction = u.localUse() / used
 	}
-	return min(max(unused*aheadPart*part, least), most), unused * floorPart / u.parts()
+	return min(max(unused*headroomFraction*fraction, least), most), unused * floorFraction / u.entryCount()
 }
 
-// move returns the share that should be held, nil if the one that is fits. A smaller one holds at once.
-func (u *Cap) move() *wire.Share {
+// proposeShare returns the share that should be held, nil if the present one is suitable. A smaller share takes effect
+// at once.
+func (u *Cap) proposeShare() *wire.Share {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.yield()
-	reserve, floor := u.ahead()
-	own, blocked := u.own(), u.blocked
-	u.blocked = 0 // whoever still waits says so again
-	most := u.bound
+	reserve, floor := u.headroom()
+	own, waiting := u.localUse(), u.waiting
+	u.waiting = 0 // requests that still wait add their units again
+	maxShare := u.limit
 	if u.others.wanted > 0 {
-		most = max(u.bound/u.parts(), u.share)
+		maxShare = max(u.limit/u.entryCount(), u.share)
 	}
-	want := math.Ceil(min(max(own+reserve+blocked, floor), most))
-	isShort := u.share < min(max(own+blocked+reserve/2, floor/2), u.bound)
+	want := math.Ceil(min(max(own+reserve+waiting, floor), maxShare))
+	isShort := u.share < min(max(own+waiting+reserve/2, floor/2), u.limit)
 	if !isShort {
-		u.short = 0
+		u.ungranted = 0
 	}
 	switch {
-	case isShort && want > u.share && u.ceiling >= u.share && !u.now().Before(u.raiseAt):
-		u.expected, u.expectedUntil = blocked, u.now().Add(MaxShareWait)
-		u.askedOf = u.bound
+	case isShort && want > u.share && u.ceiling >= u.share && !u.now().Before(u.nextRaise):
+		u.expectedUnits, u.expectedUntil = waiting, u.now().Add(MaxShareWait)
+		u.proposedLimit = u.limit
 		return &wire.Share{Units: uint64(want), Uses: uint64(u.share)}
-	case u.share > want+slack*reserve+floor/2+u.expectedNow():
+	case u.share > want+lowerMargin*reserve+floor/2+u.expectedUnitsNow():
 		return u.lower(max(want, math.Ceil(own)))
 	case math.Ceil(u.ceiling) < u.share && own <= u.ceiling:
 		return u.lower(math.Ceil(u.ceiling))
@@ -82,41 +87,41 @@
 	return nil
 }
 
-// lower has less of the cap used here from now on, and returns the share to propose.
+// lower reduces the share at once, and returns the share to propose.
 func (u *Cap) lower(share float64) *wire.Share {
 	u.share = share
 	return &wire.Share{Units: uint64(share), Uses: uint64(share)}
 }
 
-// expectedNow is what requests that waited for a larger share are about to take of it. Lowered in that moment, it would be
-// there for none of them.
-func (u *Cap) expectedNow() float64 {
+// expectedUnitsNow returns the units that requests waiting for a larger share are about to take from it. Lowering the
+// share in that moment would refuse them.
+func (u *Cap) expectedUnitsNow() float64 {
 	if u.now().After(u.expectedUntil) {
 		return 0
 	}
-	return u.expected
+	return u.expectedUnits
 }
 
-// yield lowers what may be used here while others lack some of the cap, down to an equal part of it.
+// yield lowers the usable part of the share while other entries need more of the cap, down to an equal share.
 //
-// Shares are given to who asks first, and one who uses all of its own never needs to ask again. An entry that starts while
-// an organisation asks for several times its cap would have nothing for it: its callers are refused, those of all other
-// entries are served, for as long as the load lasts.
+// Shares are granted in the order of the proposals, and an entry that uses all of its share never needs to propose
+// again. Without yielding, an entry that starts while an organisation requests several times its cap would get nothing
+// for as long as the overload lasts: its callers would be refused while those of all other entries are served.
 func (u *Cap) yield() {
-	equal := u.bound / u.parts()
+	equal := u.limit / u.entryCount()
 	if u.others.wanted <= 0 || u.share <= equal {
 		u.ceiling = math.Inf(1)
 		return
 	}
-	if u.now().Sub(u.yielded) < yieldGap {
+	if u.now().Sub(u.lastYield) < yieldInterval {
 		return
 	}
-	u.yielded = u.now()
-	u.ceiling = max(u.share*(1-yieldPart), equal)
+	u.lastYield = u.now()
+	u.ceiling = max(u.share*(1-yieldFraction), equal)
 }
 
-// moved takes what the state has for this entry after a proposal, nil if the outcome isn't known.
-func (u *Cap) moved(asked uint64, held *wire.Share) {
+// applyOutcome applies what the replicated state holds for this entry after a proposal, nil if the outcome isn't known.
+func (u *Cap) applyOutcome(proposed uint64, held *wire.Share) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	defer u.notify()
@@ -124,35 +129,36 @@
 		return
 	}
 	u.others.held = float64(held.GetOthers())
-	if float64(asked) <= u.share {
-		u.short = 0
-		return // it was lowered, and held here from before the proposal
+	if float64(proposed) <= u.share {
+		u.ungranted = 0
+		return // a lowered share took effect before the proposal
 	}
-	// Of a cap that was lowered while the proposal was on its way the share is scaled like one that was held before.
-	lowered := min(u.bound/u.askedOf, 1)
-	u.share = max(u.share, float64(held.GetUnits())*lowered)
-	u.short = max(float64(asked)-float64(held.GetUnits()), 0)
-	if u.short > 0 {
-		u.raiseAt = u.now().Add(raiseGap)
+	// If the cap was lowered while the proposal was in flight, the granted share is scaled like one that was held
+	// before.
+	scale := min(u.limit/u.proposedLimit, 1)
+	u.share = max(u.share, float64(held.GetUnits())*scale)
+	u.ungranted = max(float64(proposed)-float64(held.GetUnits()), 0)
+	if u.ungranted > 0 {
+		u.nextRaise = u.now().Add(minRaiseInterval)
 	}
 }
 
-// notify lets those look again who wait for a larger share.
+// notify wakes the requests that wait for a larger share.
 func (u *Cap) notify() {
-	close(u.changed)
-	u.changed = make(chan struct{})
+	close(u.shareChanged)
+	u.shareChanged = make(chan struct{})
 }
 
-func (u *Cap) takeState(state *wire.CapState) {
+func (u *Cap) applyState(state *wire.CapState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.others = othersUse{
+	u.others = otherEntries{
 		used:   float64(state.GetUsed()),
 		held:   float64(state.GetHeld()),
 		wanted: float64(state.GetWanted()),
 	}
-	if u.others.held+u.share < u.bound && u.short > 0 {
-		u.raiseAt = time.Time{}
+	if u.others.held+u.share < u.limit && u.ungranted > 0 {
+		u.nextRaise = time.Time{}
 		u.wake()
 	}
 }
--- a/quota/sim_control_test.go
+++ b/quota/sim_control_test.go
@@ -9,11 +9,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func (c *simControl) begin() {
+func (c *simControl) start() {
 	s := c.s
 	c.up = true
-	c.start++
-	start := c.start
+	c.incarnation++
+	incarnation := c.incarnation
 	c.ledger = quota.NewLedger(
 		func(string, time.Duration) float64 {
 			last := s.caps[len(s.caps)-1]
@@ -23,24 +23,24 @@
 			return s.state.HeldOf(name) - s.state.HeldBy(from.Instance, from.Number, name)
 		},
 	)
-	if c.disk != nil {
+	if c.saved != nil {
 		record := new(wire.UsageRecord)
-		if err := proto.Unmarshal(c.disk, record); err != nil {
+		if err := proto.Unmarshal(c.saved, record); err != nil {
 			panic(err)
 		}
 		c.ledger.Restore(record, s.clock())
 	}
 	var save func()
 	save = func() {
-		if !c.up || c.start != start {
+		if !c.up || c.incarnation != incarnation {
 			return
 		}
-		if record := c.ledger.Snapshot(s.clock()); record != nil && s.now >= c.frozen {
+		if record := c.ledger.Snapshot(s.clock()); record != nil && s.now >= c.frozenUntil {
 			data, err := proto.Marshal(record)
 			if err != nil {
 				panic(err)
 			}
-			c.disk = data
+			c.saved = data
 		}
 		s.after(quota.SaveInterval, save)
 	}
@@ -49,21 +49,21 @@
 
 func (c *simControl) kill() {
 	c.up = false
-	c.start++
+	c.incarnation++
 }
 
-// quorumNow tells whether a majority of control instances runs.
-func (s *sim) quorumNow() bool {
+// hasQuorum reports whether a majority of control instances runs.
+func (s *sim) hasQuorum() bool {
 	up := 0
 	for _, c := range s.controls {
-		if c.up && s.now >= c.frozen {
+		if c.up && s.now >= c.frozenUntil {
 			up++
 		}
 	}
 	return up > len(s.controls)/2
 }
 
-// apply commits a command at once.
+// apply commits a command immediately.
 func (s *sim) apply(command *wire.Command) *wire.CommandResult {
 	s.index++
 	s.commits++
@@ -78,63 +78,64 @@
 	}}}})
 }
 
-// propose has a command of an entry committed, if a majority runs and the entry reaches one. The outcome may be lost, and a
-// proposal whose outcome was lost may be committed later.
+// propose commits a command of an entry if a majority of control instances runs and the entry reaches one. The outcome
+// may be lost, and a proposal whose outcome was lost may be committed later.
 func (e *simEntry) propose(command *wire.Command, outcome func(*wire.CommandResult)) {
-	s, started := e.s, e.started
-	tell := func(res *wire.CommandResult) {
-		if e.up && e.started == started {
+	s, incarnation := e.s, e.incarnation
+	reply := func(res *wire.CommandResult) {
+		if e.up && e.incarnation == incarnation {
 			outcome(res)
 		}
 	}
-	if !s.quorumNow() || !e.reaches() || s.now < e.frozen {
-		s.after(s.between(50*time.Millisecond, simPropose), func() { tell(nil) })
+	if !s.hasQuorum() || !e.reachesControl() || s.now < e.frozenUntil {
+		s.after(s.between(50*time.Millisecond, simProposalTimeout), func() { reply(nil) })
 		return
 	}
 	if s.rng.Float64() < 0.002 {
 		s.after(s.between(0, 3*time.Second), func() { s.apply(command) })
-		s.after(simPropose, func() { tell(nil) })
+		s.after(simProposalTimeout, func() { reply(nil) })
 		return
 	}
-	slow := s.between(3*time.Millisecond, 15*time.Millisecond)
+	delay := s.between(3*time.Millisecond, 15*time.Millisecond)
 	if s.rng.Float64() < 0.01 {
-		slow += s.between(0, 300*time.Millisecond)
+		delay += s.between(0, 300*time.Millisecond)
 	}
-	if s.rng.Float64() < 0.01 { // sent again, since its outcome was late
-		s.after(slow+s.between(0, time.Second), func() { s.apply(command) })
+	if s.rng.Float64() < 0.01 { // sent again because the outcome was late
+		s.after(delay+s.between(0, time.Second), func() { s.apply(command) })
 	}
-	s.after(slow, func() {
+	s.after(delay, func() {
 		res := s.apply(command)
 		s.after(s.between(time.Millisecond, 4*time.Millisecond), func() {
-			if s.now < e.frozen {
-				s.at(e.frozen, func() { tell(res) })
+			if s.now < e.frozenUntil {
+				s.at(e.frozenUntil, func() { reply(res) })
 				return
 			}
-			tell(res)
+			reply(res)
 		})
 	})
 }
 
-// lead does what the leader does: it frees the shares of entries that have ended, and ends those that were silent.
-func (s *sim) lead() {
-	s.after(250*time.Millisecond, s.lead)
+// runLeader acts as the control leader: it releases the shares of entries that have ended, and ends entries that were
+// silent for too long.
+func (s *sim) runLeader() {
+	s.after(250*time.Millisecond, s.runLeader)
 	leader := -1
 	for i, c := range s.controls {
-		if c.up && s.now >= c.frozen {
+		if c.up && s.now >= c.frozenUntil {
 			leader = i
 			break
 		}
 	}
-	if !s.quorumNow() {
+	if !s.hasQuorum() {
 		leader = -1
 	}
-	if leader != s.leader || leader >= 0 && s.controls[leader].releasesFor != s.releases {
-		s.leader, s.releases = leader, nil
+	if leader != s.leader || leader >= 0 && s.controls[leader].releaser != s.releaser {
+		s.leader, s.releaser = leader, nil
 		if leader >= 0 {
-			s.releases = quota.NewReleaser(s.controls[leader].ledger)
-			s.controls[leader].releasesFor = s.releases
+			s.releaser = quota.NewReleaser(s.controls[leader].ledger)
+			s.controls[leader].releaser = s.releaser
 			for _, e := range s.entries {
-				e.heard = s.now
+				e.lastPoll = s.now
 			}
 		}
 		return
@@ -142,18 +143,18 @@
 	if leader < 0 {
 		return
 	}
-	for _, release := range s.releases.Due(s.clock(), s.state.EndedShares()) {
+	for _, release := range s.releaser.Due(s.clock(), s.state.EndedShares()) {
 		s.apply(&wire.Command{Kind: &wire.Command_ReleaseShares{ReleaseShares: release}})
 	}
 	for _, e := range s.entries {
-		if number := s.listed(e); number > 0 && s.now-e.heard > simSilent {
+		if number := s.directoryIncarnation(e); number > 0 && s.now-e.lastPoll > simEntryTimeout {
 			s.apply(&wire.Command{Kind: &wire.Command_EndEntry{EndEntry: &wire.EndEntry{Entry: e.name(), Incarnation: number}}})
 		}
 	}
 }
 
-// listed is the start of an entry that the directory has, 0 for none.
-func (s *sim) listed(e *simEntry) uint64 {
+// directoryIncarnation returns the incarnation of an entry in the directory, 0 for none.
+func (s *sim) directoryIncarnation(e *simEntry) uint64 {
 	for _, listed := range s.state.Entries() {
 		if listed.GetEntry() == e.name() {
 			return listed.GetIncarnation()
--- a/quota/sim_entry_test.go
+++ b/quota/sim_entry_test.go
@@ -12,62 +12,62 @@
 
 func (e *simEntry) name() string { return fmt.Sprintf("e%d", e.number) }
 
-func (e *simEntry) begin() {
+func (e *simEntry) start() {
 	s := e.s
 	e.up = true
-	e.started++
-	started := e.started
-	e.caps = quota.NewCaps(e.name(), started, quota.Clock{Now: func() time.Time { return s.clock().Add(e.stepped) }, SinceBoot: func() time.Duration { return time.Hour + s.now }},
+	e.incarnation++
+	incarnation := e.incarnation
+	e.caps = quota.NewCaps(e.name(), incarnation, quota.Clock{Now: func() time.Time { return s.clock().Add(e.clockOffset) }, SinceBoot: func() time.Duration { return time.Hour + s.now }},
 		quota.Tolerance{Window: simWindow, Overrun: simOverrun})
 	e.caps.SetEntries(len(s.entries))
-	e.cap, e.known = nil, -1
+	e.cap, e.knownCap = nil, -1
 	for i := range s.controls {
 		s.links[e.number][i].epoch++
-		e.pollLater(i, started, s.between(0, 50*time.Millisecond))
+		e.pollLater(i, incarnation, s.between(0, 50*time.Millisecond))
 	}
 	var learn func()
 	learn = func() {
-		if !e.up || e.started != started {
+		if !e.up || e.incarnation != incarnation {
 			return
 		}
-		if s.quorumNow() && e.reaches() {
-			e.learn()
+		if s.hasQuorum() && e.reachesControl() {
+			e.learnCap()
 		}
 		s.after(s.between(20*time.Millisecond, time.Second), learn)
 	}
 	s.after(s.between(0, 200*time.Millisecond), learn)
-	s.after(s.between(0, 50*time.Millisecond), func() { e.arrive(started) })
-	e.listed = false
-	e.register(started)
-	e.moveLoop(started)
+	s.after(s.between(0, 50*time.Millisecond), func() { e.arrive(incarnation) })
+	e.registered = false
+	e.register(incarnation)
+	e.proposeLoop(incarnation)
 }
 
-// register puts the entry into the directory, again until that is known.
-func (e *simEntry) register(started uint64) {
+// register adds the entry to the directory, and retries until the outcome is known.
+func (e *simEntry) register(incarnation uint64) {
 	command := &wire.Command{Kind: &wire.Command_RegisterEntry{RegisterEntry: &wire.RegisterEntry{
-		Entry: &wire.EntryRecord{Entry: e.name(), Incarnation: started},
+		Entry: &wire.EntryRecord{Entry: e.name(), Incarnation: incarnation},
 	}}}
 	e.propose(command, func(res *wire.CommandResult) {
 		if res == nil {
-			e.register(started)
+			e.register(incarnation)
 			return
 		}
-		e.listed = true
-		e.move()
+		e.registered = true
+		e.proposeShares()
 	})
 }
 
-// moveLoop is the entry's duty that moves shares.
-func (e *simEntry) moveLoop(started uint64) {
-	if !e.up || e.started != started {
+// proposeLoop proposes share changes at each MoveInterval.
+func (e *simEntry) proposeLoop(incarnation uint64) {
+	if !e.up || e.incarnation != incarnation {
 		return
 	}
-	e.move()
-	e.s.after(quota.MoveInterval, func() { e.moveLoop(started) })
+	e.proposeShares()
+	e.s.after(quota.MoveInterval, func() { e.proposeLoop(incarnation) })
 }
 
-func (e *simEntry) move() {
-	if e.s.now < e.frozen || !e.listed {
+func (e *simEntry) proposeShares() {
+	if e.s.now < e.frozenUntil || !e.registered {
 		return
 	}
 	move := e.caps.NextProposal()
@@ -77,66 +77,66 @@
 	e.propose(&wire.Command{Kind: &wire.Command_MoveShares{MoveShares: move}}, func(res *wire.CommandResult) {
 		if res.GetCode() == uint32(result.AttemptSuperseded) && e.isEnded() {
 			e.kill()
-			e.s.after(10*time.Millisecond, e.begin)
+			e.s.after(10*time.Millisecond, e.start)
 			return
 		}
 		e.caps.ProposalEnded(move, res)
-		e.retry()
+		e.retryWaiting()
 		e.wake()
 	})
 }
 
-// isEnded tells whether control has ended this start of the entry.
-func (e *simEntry) isEnded() bool { return e.s.listed(e) == 0 }
+// isEnded reports whether control has ended this incarnation of the entry.
+func (e *simEntry) isEnded() bool { return e.s.directoryIncarnation(e) == 0 }
 
-// wake moves shares at once if one has run short.
+// wake proposes share changes at once if a share has run short.
 func (e *simEntry) wake() {
 	select {
 	case <-e.caps.Wake():
-		e.move()
+		e.proposeShares()
 	default:
 	}
 }
 
-// reaches tells whether any control instance can be heard.
-func (e *simEntry) reaches() bool {
+// reachesControl reports whether the entry is connected to any running control instance.
+func (e *simEntry) reachesControl() bool {
 	for i, c := range e.s.controls {
-		if c.up && e.s.now >= c.frozen && e.s.now >= e.s.links[e.number][i].cut {
+		if c.up && e.s.now >= c.frozenUntil && e.s.now >= e.s.links[e.number][i].cutUntil {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *simEntry) learn() {
-	if e.known == len(e.s.caps)-1 {
+func (e *simEntry) learnCap() {
+	if e.knownCap == len(e.s.caps)-1 {
 		return
 	}
-	e.known = len(e.s.caps) - 1
-	change := e.s.caps[e.known]
+	e.knownCap = len(e.s.caps) - 1
+	change := e.s.caps[e.knownCap]
 	e.cap = e.caps.Configure(&wire.Member{Name: simOrg, RatePerS: uint64(change.rate), Burst: uint64(change.burst)})
 }
 
 func (e *simEntry) kill() {
 	e.up = false
-	e.started++ // what was scheduled for the process is void
+	e.incarnation++ // invalidates the events scheduled for the process
 	e.waiting = nil
 }
 
-func (e *simEntry) pollLater(control int, started uint64, d time.Duration) {
+func (e *simEntry) pollLater(control int, incarnation uint64, d time.Duration) {
 	e.s.after(d, func() {
-		if !e.up || e.started != started {
+		if !e.up || e.incarnation != incarnation {
 			return
 		}
 		e.poll(control)
-		e.pollLater(control, started, simPoll)
+		e.pollLater(control, incarnation, simPoll)
 	})
 }
 
-// poll tells a control instance what was used, and takes its answer.
+// poll sends the entry's usage to a control instance and applies the response.
 func (e *simEntry) poll(control int) {
 	s := e.s
-	if s.now < e.frozen {
+	if s.now < e.frozenUntil {
 		return
 	}
 	link, c := s.links[e.number][control], s.controls[control]
@@ -144,53 +144,53 @@
 		return
 	}
 	message := &wire.Poll{Usage: e.caps.Usage(), UsageWindowMs: uint32(simWindow.Milliseconds()), SinceBootMs: uint64((time.Hour + s.now).Milliseconds())}
-	started, start, asked := e.started, c.start, time.Hour+s.now
+	entryIncarnation, controlIncarnation, requestedAt := e.incarnation, c.incarnation, time.Hour+s.now
 	s.deliver(link, 0, func() {
-		if !c.up || c.start != start {
+		if !c.up || c.incarnation != controlIncarnation {
 			return
 		}
-		e.heard = s.now
-		states := c.ledger.Record(quota.Incarnation{Instance: e.name(), Number: started}, message, s.clock())
-		confirm := s.between(2*time.Millisecond, 10*time.Millisecond)
+		e.lastPoll = s.now
+		states := c.ledger.Record(quota.Incarnation{Instance: e.name(), Number: entryIncarnation}, message, s.clock())
+		confirmDelay := s.between(2*time.Millisecond, 10*time.Millisecond)
 		if s.rng.Float64() < 0.02 {
-			confirm = s.between(0, simReadBound)
+			confirmDelay = s.between(0, simMaxReadDelay)
 		}
-		if !s.quorumNow() {
+		if !s.hasQuorum() {
 			return
 		}
-		s.after(confirm, func() {
-			if !c.up || c.start != start || !s.quorumNow() {
+		s.after(confirmDelay, func() {
+			if !c.up || c.incarnation != controlIncarnation || !s.hasQuorum() {
 				return
 			}
 			s.deliver(link, 1, func() {
-				if e.up && e.started == started {
-					e.caps.RenewLease(asked)
+				if e.up && e.incarnation == entryIncarnation {
+					e.caps.RenewLease(requestedAt)
 					e.caps.ApplyStates(states)
 					e.wake()
 				}
 			})
 		})
-	}, func() bool { return c.up && s.now >= c.frozen }, func() time.Duration { return c.frozen })
+	}, func() bool { return c.up && s.now >= c.frozenUntil }, func() time.Duration { return c.frozenUntil })
 }
 
-// deliver passes a message over a link, in order. What a cut or a frozen process holds up comes later, or never if the link
-// stays silent for too long.
+// deliver passes a message over a link, in order. A partition or a frozen process delays it, or drops it if it lasts
+// longer than the link's timeout.
 func (s *sim) deliver(link *simLink, direction int, do func(), more ...any) {
 	at := s.now + s.between(500*time.Microsecond, 4*time.Millisecond)
 	if s.rng.Float64() < 0.01 {
 		at += s.between(0, 300*time.Millisecond)
 	}
-	isCut := s.now < link.cut && (direction == 1 || !link.oneWay)
+	isCut := s.now < link.cutUntil && (direction == 1 || !link.oneWay)
 	if isCut {
-		if link.cut-s.now > simSilence {
+		if link.cutUntil-s.now > simLinkTimeout {
 			return
 		}
-		at = link.cut + s.between(0, 200*time.Millisecond)
+		at = link.cutUntil + s.between(0, 200*time.Millisecond)
 	}
 	if len(more) == 2 {
 		until := more[1].(func() time.Duration)()
 		if until > s.now {
-			if until-s.now > simSilence {
+			if until-s.now > simLinkTimeout {
 				return
 			}
 			at = max(at, until)
@@ -206,8 +206,8 @@
 	})
 }
 
-// share is the part of all requests that come to this entry.
-func (e *simEntry) share() float64 {
+// requestShare returns the fraction of all requests that this entry receives.
+func (e *simEntry) requestShare() float64 {
 	total := 0.0
 	for i := range e.s.entries {
 		total += math.Pow(e.s.plan.skew, float64(i))
@@ -215,69 +215,70 @@
 	return math.Pow(e.s.plan.skew, float64(e.number)) / total
 }
 
-// arrive makes the entry's requests.
-func (e *simEntry) arrive(started uint64) {
+// arrive generates the entry's requests.
+func (e *simEntry) arrive(incarnation uint64) {
 	s := e.s
-	if !e.up || e.started != started {
+	if !e.up || e.incarnation != incarnation {
 		return
 	}
 	phase := min(int(s.now/simPhase), len(s.plan.demand)-1)
-	perSecond := s.plan.demand[phase] * simCapRate * e.share() / s.plan.units
+	perSecond := s.plan.demand[phase] * simCapRate * e.requestShare() / s.plan.units
 	gap := time.Duration(s.rng.ExpFloat64() / max(perSecond, 0.1) * float64(time.Second))
 	s.after(min(gap, simPhase), func() {
-		if !e.up || e.started != started {
+		if !e.up || e.incarnation != incarnation {
 			return
 		}
-		if s.now >= e.frozen && e.cap != nil && gap <= simPhase {
+		if s.now >= e.frozenUntil && e.cap != nil && gap <= simPhase {
 			units := uint64(max(1, s.plan.units*min(s.rng.ExpFloat64(), 6)))
 			e.serve(&simRequest{sent: s.now - s.between(0, 5*time.Millisecond), units: units})
 		}
-		e.arrive(started)
+		e.arrive(incarnation)
 	})
 }
 
 var simClass = quota.Class{Name: "only"}
 
-// serve does what an entry does with a request: it asks, takes, and holds the request for a newer word where that may help.
+// serve handles a request as an entry does: it records the demand, tries to take the units, and holds the request if a
+// larger share could admit it.
 func (e *simEntry) serve(r *simRequest) {
-	e.s.asked += float64(r.units)
+	e.s.requested += float64(r.units)
 	e.cap.RecordDemand(r.units, simClass)
-	r.deadline = e.s.now + simMaxHeld
+	r.deadline = e.s.now + simMaxWait
 	if !e.try(r) {
 		e.waiting = append(e.waiting, r)
-		started := e.started
+		incarnation := e.incarnation
 		e.s.at(r.deadline, func() {
-			if e.up && e.started == started {
-				e.giveUp(r)
+			if e.up && e.incarnation == incarnation {
+				e.refuse(r)
 			}
 		})
 	}
 	e.wake()
 }
 
-// try returns whether nothing more is to be done for a request.
+// try reports whether the request was admitted or refused.
 func (e *simEntry) try(r *simRequest) bool {
 	grant, _, ok := e.cap.Take(r.units, simClass)
 	if ok {
 		r.done = true
-		e.admitted(r, grant)
+		e.runAdmitted(r, grant)
 		return true
 	}
 	if _, helps := e.cap.AwaitShare(r.units); helps {
 		return false
 	}
-	e.giveUp(r)
+	e.refuse(r)
 	return true
 }
 
-func (e *simEntry) giveUp(r *simRequest) {
+func (e *simEntry) refuse(r *simRequest) {
 	if !r.done {
 		r.done = true
 		e.s.refused += float64(r.units)
 	}
 }
 
-func (e *simEntry) retry() {
+func (e *simEntry) retryWaiting() {
 	waiting := e.waiting
 	e.waiting = nil
 	for _, r := range waiting {
@@ -287,21 +288,21 @@
 	}
 }
 
-// admitted has a request run after a while, or gives back what it took.
-func (e *simEntry) admitted(r *simRequest, grant quota.Grant) {
+// runAdmitted runs a request after a delay, or refunds its units.
+func (e *simEntry) runAdmitted(r *simRequest, grant quota.Grant) {
 	s := e.s
-	started := e.started
+	incarnation := e.incarnation
 	wait := min(time.Duration(s.rng.ExpFloat64()*float64(100*time.Millisecond)), simMaxService)
 	if s.rng.Float64() < 0.1 {
 		s.after(wait, func() {
-			if e.up && e.started == started {
+			if e.up && e.incarnation == incarnation {
 				grant.Refund()
 			}
 		})
 		return
 	}
 	s.after(wait, func() {
-		if e.up && e.started == started || wait < 5*time.Millisecond {
+		if e.up && e.incarnation == incarnation || wait < 5*time.Millisecond {
 			s.runs = append(s.runs, simRun{sent: r.sent, ran: s.now, units: float64(r.units)})
 		}
 	})
--- a/quota/sim_faults_test.go
+++ b/quota/sim_faults_test.go
@@ -4,111 +4,111 @@
 	"time"
 )
 
-// Kinds of faults.
+// The kinds of faults.
 const (
-	faultKillEntry    = "kill entry"
-	faultKillEntries  = "kill half of the entries"
-	faultKillControl  = "kill control instance"
-	faultKillControls = "kill control and an entry beside each"
-	faultKillAll      = "kill all"
-	faultCut          = "cut an entry off"
-	faultCutControl   = "cut a control instance off"
-	faultCutLong      = "cut an entry off for long"
-	faultOneWay       = "cut answers to an entry"
-	faultFreezeEntry  = "freeze entry"
-	faultFreezeCtl    = "freeze control instance"
-	faultRaise        = "raise the cap"
-	faultLower        = "lower the cap"
-	faultRemove       = "remove an entry"
-	faultAdd          = "add an entry"
-	faultClock        = "set the time of day of an entry"
+	faultKillEntry         = "kill entry"
+	faultKillEntries       = "kill half of the entries"
+	faultKillControl       = "kill control instance"
+	faultKillControls      = "kill control and the entries on its machines"
+	faultKillAll           = "kill all"
+	faultDisconnectEntry   = "disconnect an entry"
+	faultDisconnectControl = "disconnect a control instance"
+	faultDisconnectLong    = "disconnect an entry for long"
+	faultDisconnectOneWay  = "disconnect an entry in one direction"
+	faultFreezeEntry       = "freeze entry"
+	faultFreezeControl     = "freeze control instance"
+	faultRaise             = "raise the cap"
+	faultLower             = "lower the cap"
+	faultRemove            = "remove an entry"
+	faultAdd               = "add an entry"
+	faultSetClock          = "set the time of day of an entry"
 )
 
 var simFaults = []string{
-	faultKillEntry, faultKillEntries, faultKillControl, faultKillControls, faultKillAll, faultCut, faultCutLong, faultCutControl,
-	faultOneWay, faultFreezeEntry, faultFreezeCtl, faultRaise, faultLower,
-	faultRemove, faultAdd, faultClock,
+	faultKillEntry, faultKillEntries, faultKillControl, faultKillControls, faultKillAll, faultDisconnectEntry, faultDisconnectLong, faultDisconnectControl,
+	faultDisconnectOneWay, faultFreezeEntry, faultFreezeControl, faultRaise, faultLower,
+	faultRemove, faultAdd, faultSetClock,
 }
 
-func (s *sim) strike(f simFault) {
-	entry, control := s.entries[f.which%len(s.entries)], s.controls[f.which%len(s.controls)]
+func (s *sim) injectFault(f simFault) {
+	entry, control := s.entries[f.index%len(s.entries)], s.controls[f.index%len(s.controls)]
 	switch f.kind {
 	case faultKillEntry:
-		s.restart(f.span, entry)
+		s.restart(f.duration, entry)
 	case faultKillEntries:
-		s.restart(f.span, s.entries[:(len(s.entries)+1)/2]...)
+		s.restart(f.duration, s.entries[:(len(s.entries)+1)/2]...)
 	case faultKillControl:
-		s.restartControl(f.span, control)
+		s.restartControl(f.duration, control)
 	case faultKillControls:
-		s.restartControl(f.span, s.controls...)
-		s.restart(f.span, s.entries[:min(len(s.entries), len(s.controls))]...)
+		s.restartControl(f.duration, s.controls...)
+		s.restart(f.duration, s.entries[:min(len(s.entries), len(s.controls))]...)
 	case faultKillAll:
-		s.restartControl(f.span, s.controls...)
-		s.restart(f.span, s.entries...)
-	case faultCut:
+		s.restartControl(f.duration, s.controls...)
+		s.restart(f.duration, s.entries...)
+	case faultDisconnectEntry:
 		for _, link := range s.links[entry.number] {
-			link.cut, link.oneWay = s.now+f.span, false
+			link.cutUntil, link.oneWay = s.now+f.duration, false
 		}
-	case faultCutLong:
+	case faultDisconnectLong:
 		for _, link := range s.links[entry.number] {
-			link.cut, link.oneWay = s.now+10*time.Second+3*f.span, false
+			link.cutUntil, link.oneWay = s.now+10*time.Second+3*f.duration, false
 		}
-	case faultOneWay:
+	case faultDisconnectOneWay:
 		for _, link := range s.links[entry.number] {
-			link.cut, link.oneWay = s.now+f.span, true
+			link.cutUntil, link.oneWay = s.now+f.duration, true
 		}
-	case faultCutControl:
+	case faultDisconnectControl:
 		for i := range s.entries {
 			link := s.links[i][control.number]
-			link.cut, link.oneWay = s.now+f.span, false
+			link.cutUntil, link.oneWay = s.now+f.duration, false
 		}
 	case faultFreezeEntry:
-		entry.frozen = s.now + f.span
-	case faultFreezeCtl:
-		control.frozen = s.now + f.span
+		entry.frozenUntil = s.now + f.duration
+	case faultFreezeControl:
+		control.frozenUntil = s.now + f.duration
 	case faultRaise:
-		s.change(1.5)
+		s.scaleCap(1.5)
 	case faultLower:
-		s.change(0.6)
+		s.scaleCap(0.6)
 	case faultRemove:
 		if entry.up {
 			entry.kill()
 		}
 	case faultAdd:
 		s.addEntry()
-	case faultClock:
-		entry.stepped += []time.Duration{f.span, -f.span}[f.which%2]
+	case faultSetClock:
+		entry.clockOffset += []time.Duration{f.duration, -f.duration}[f.index%2]
 	}
 }
 
-func (s *sim) change(factor float64) {
+func (s *sim) scaleCap(factor float64) {
 	last := s.caps[len(s.caps)-1]
 	s.caps = append(s.caps, capChange{s.now, last.rate * factor, last.burst * factor})
 	s.putDesired()
 }
 
-func (s *sim) restart(down time.Duration, entries ...*simEntry) {
+func (s *sim) restart(downtime time.Duration, entries ...*simEntry) {
 	for _, e := range entries {
 		if !e.up {
 			continue
 		}
 		e.kill()
-		s.after(min(down, time.Second)+s.between(100*time.Millisecond, 400*time.Millisecond), e.begin)
+		s.after(min(downtime, time.Second)+s.between(100*time.Millisecond, 400*time.Millisecond), e.start)
 	}
 }
 
-func (s *sim) restartControl(down time.Duration, controls ...*simControl) {
+func (s *sim) restartControl(downtime time.Duration, controls ...*simControl) {
 	for _, c := range controls {
 		if !c.up {
 			continue
 		}
 		c.kill()
-		s.after(min(down, time.Second)+s.between(100*time.Millisecond, 400*time.Millisecond), c.begin)
+		s.after(min(downtime, time.Second)+s.between(100*time.Millisecond, 400*time.Millisecond), c.start)
 	}
 }
 
-// addEntry puts one more entry into the deployment. The others learn of it at once; in a cut they would learn of it later, and
-// hold a little more ahead until then.
+// addEntry adds an entry to the deployment. The others learn of it at once; in a partition they would learn of it
+// later, and hold slightly more headroom until then.
 func (s *sim) addEntry() {
 	e := &simEntry{s: s, number: len(s.entries)}
 	s.entries = append(s.entries, e)
@@ -122,5 +122,5 @@
 			other.caps.SetEntries(len(s.entries))
 		}
 	}
-	e.begin()
+	e.start()
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -10,49 +10,49 @@
 	"github.com/carawaypitch/carawaypitch/state"
 )
 
-// This file plays entries and control instances against each other: the product's own caps, ledgers, releases and replicated
-// state, joined by links that delay, lose and cut, in processes that are frozen, killed and started anew. Time is simulated,
-// and a seed repeats a play. The log of the state is taken as one that loses nothing and needs a majority.
+// This file simulates entries and control instances with the real caps, ledgers, releasers and replicated state. They
+// are connected by links that delay, drop and cut messages, in processes that are frozen, killed and restarted. Time is
+// simulated, and a seed reproduces a simulation. The replicated log is assumed to lose nothing and to need a majority.
 
-// Figures of the simulated deployment.
+// Parameters of the simulated deployment.
 const (
-	simWindow     = 8 * time.Second
-	simOverrun    = 0.1
-	simPoll       = time.Second // between an entry's polls of each control instance
-	simReadBound  = 500 * time.Millisecond
-	simSilence    = 2 * time.Second // after which a silent link is closed and opened anew
-	simCapRate    = 10_000.0        // units a second
-	simCapBurst   = 20_000.0        // units in a window beyond that
-	simLength     = 45 * time.Second
-	simOrg        = "org"
-	simPropose    = quota.MoveTimeout // after which an entry takes the outcome of a proposal for lost
-	simSilent     = 10 * time.Second  // after which control ends an entry
-	simMaxHeld    = quota.MaxShareWait
-	simMaxService = 2 * time.Second // the longest time from admission to the begin at a server
+	simWindow          = 8 * time.Second
+	simOverrun         = 0.1
+	simPoll            = time.Second // interval of an entry's polls of each control instance
+	simMaxReadDelay    = 500 * time.Millisecond
+	simLinkTimeout     = 2 * time.Second // time after which a silent link is closed and reopened
+	simCapRate         = 10_000.0        // units per second
+	simCapBurst        = 20_000.0        // units in a window beyond the rate
+	simLength          = 45 * time.Second
+	simOrg             = "org"
+	simProposalTimeout = quota.MoveTimeout // time after which an entry treats the outcome of a proposal as unknown
+	simEntryTimeout    = 10 * time.Second  // time after which control ends a silent entry
+	simMaxWait         = quota.MaxShareWait
+	simMaxService      = 2 * time.Second // longest time from admission until a server begins the request
 )
 
-// simFault is one fault of a play.
+// simFault is one fault of a simulation.
 type simFault struct {
-	kind  string
-	at    time.Duration
-	span  time.Duration
-	which int
+	kind     string
+	at       time.Duration
+	duration time.Duration
+	index    int
 }
 
 func (f simFault) String() string {
-	return fmt.Sprintf("%s(%d) at %s for %s", f.kind, f.which, f.at, f.span)
+	return fmt.Sprintf("%s(%d) at %s for %s", f.kind, f.index, f.at, f.duration)
 }
 
-// simPlan is all that makes a play.
+// simPlan contains all inputs of a simulation.
 type simPlan struct {
 	seed     uint64
 	entries  int
 	controls int
-	// demand is what the organisation asks for as a multiple of its cap's rate, by phase of simPhase.
+	// demand is the organisation's demand as a multiple of its cap's rate, by phase of length simPhase.
 	demand []float64
-	// skew is how unevenly callers spread over the entries: the share of each falls by this factor from one to the next.
+	// skew is the ratio between the request rates of consecutive entries.
 	skew   float64
-	units  float64 // of a request, on average
+	units  float64 // mean units of a request
 	faults []simFault
 }
 
@@ -86,46 +86,47 @@
 }
 
 type sim struct {
-	plan     simPlan
-	rng      *rand.Rand
-	now      time.Duration
-	queue    simQueue
-	seq      int
-	entries  []*simEntry
-	controls []*simControl
-	links    [][]*simLink // by entry and control instance
-	caps     []capChange  // in order
-	state    *state.State
-	index    uint64 // of the log
-	leader   int    // control instance, -1 for none
-	releases *quota.Releaser
-	commits  int
-	runs     []simRun
-	asked    float64
-	refused  float64
-}
-
-// capChange is a cap that operators have set.
+	plan      simPlan
+	rng       *rand.Rand
+	now       time.Duration
+	queue     simQueue
+	seq       int
+	entries   []*simEntry
+	controls  []*simControl
+	links     [][]*simLink // by entry and control instance
+	caps      []capChange  // in order of time
+	state     *state.State
+	index     uint64 // index of the replicated log
+	leader    int    // number of the leading control instance, -1 for none
+	releaser  *quota.Releaser
+	commits   int
+	runs      []simRun
+	requested float64
+	refused   float64
+}
+
+// capChange is a cap set by operators.
 type capChange struct {
 	at          time.Duration
 	rate, burst float64
 }
 
 type simEntry struct {
-	s       *sim
-	number  int
-	up      bool
-	frozen  time.Duration // until then
-	started uint64
-	caps    *quota.Caps
-	cap     *quota.Cap
-	known   int // of sim.caps, -1 before the first
-	heard   time.Duration
-	listed  bool          // registered in the directory
-	stepped time.Duration // by which its time of day was set
-	waiting []*simRequest
-}
-
+	s           *sim
+	number      int
+	up          bool
+	frozenUntil time.Duration // end of a freeze of the process
+	incarnation uint64
+	caps        *quota.Caps
+	cap         *quota.Cap
+	knownCap    int // index in sim.caps of the cap that the entry knows, -1 for none
+	lastPoll    time.Duration
+	registered  bool          // registered in the directory
+	clockOffset time.Duration // how far its time of day has been set forward
+	waiting     []*simRequest
+}
+
+// simRequest is a request at an entry.
 type simRequest struct {
 	sent     time.Duration
 	deadline time.Duration
@@ -134,23 +135,23 @@
 }
 
 type simControl struct {
-	s      *sim
-	number int
-	up     bool
-	frozen time.Duration
-	start  int
-	ledger *quota.Ledger
-	// releasesFor are the releases of this start of the process.
-	releasesFor *quota.Releaser
-	disk        []byte // what was saved last
-}
-
-// simLink joins an entry and a control instance.
+	s           *sim
+	number      int
+	up          bool
+	frozenUntil time.Duration
+	incarnation int
+	ledger      *quota.Ledger
+	// releaser is the releaser that this incarnation of the process created.
+	releaser *quota.Releaser
+	saved    []byte // latest saved usage record
+}
+
+// simLink is the link between an entry and a control instance.
 type simLink struct {
-	cut    time.Duration // until then nothing passes
-	oneWay bool          // only what goes to the entry is cut
-	last   [2]time.Duration
-	epoch  int // rises with each connection
+	cutUntil time.Duration // end of the partition
+	oneWay   bool          // only messages to the entry are dropped
+	last     [2]time.Duration
+	epoch    int // incremented with each connection
 }
 
 func newSim(plan simPlan) *sim {
@@ -161,7 +162,7 @@
 	for i := range plan.controls {
 		c := &simControl{s: s, number: i}
 		s.controls = append(s.controls, c)
-		c.begin()
+		c.start()
 	}
 	for i := range plan.entries {
 		e := &simEntry{s: s, number: i}
@@ -173,11 +174,11 @@
 		s.links = append(s.links, row)
 	}
 	for _, e := range s.entries {
-		e.begin()
+		e.start()
 	}
-	s.after(0, s.lead)
+	s.after(0, s.runLeader)
 	for _, f := range plan.faults {
-		s.at(f.at, func() { s.strike(f) })
+		s.at(f.at, func() { s.injectFault(f) })
 	}
 	return s
 }
@@ -195,7 +196,7 @@
 
 func (s *sim) clock() time.Time { return time.Unix(1_700_000_000, 0).Add(s.now) }
 
-func (s *sim) play() {
+func (s *sim) run() {
 	for s.queue.Len() > 0 {
 		e := heap.Pop(&s.queue).(simEvent)
 		if e.at > simLength {
