--- a/gate/presence_test.go
+++ b/gate/active_organisations_test.go
@@ -17,7 +17,7 @@
 // serveThenAbsent serves one organisation three times while the other one's only reservation is withdrawn for a while,
 // and returns the order in which both are served then.
 func serveThenAbsent(t *testing.T, absent time.Duration) []string {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.start(entryA, id("steady-0", 1), workOfOrganisation("steady"))
 	b.reserve(entryB, id("elsewhere", 1), workOfOrganisation("torn"))
 	m := &wire.Withdraw{Attempt: id("elsewhere", 1), Server: sampleServer}
@@ -28,7 +28,7 @@
 		b.finish(id(fmt.Sprint("steady-", i-1), 1))
 		b.dispatchOffered(entryA, id(fmt.Sprint("steady-", i), 1), workOfOrganisation("steady"))
 	}
-	b.pass(absent)
+	b.advance(absent)
 	for i := range 3 {
 		b.reserve(entryA, id(fmt.Sprint("s", i), 1), workOfOrganisation("steady"))
 		b.reserve(entryB, id(fmt.Sprint("t", i), 1), workOfOrganisation("torn"))
@@ -36,10 +36,10 @@
 	b.progress(id("steady-3", 1), "x")
 	b.actions = nil
 	b.finish(id("steady-3", 1))
-	return b.drainOrder(3)
+	return b.offerOrder(3)
 }
 
-func TestOrganisationTakenElsewhereKeepsItsClaim(t *testing.T) {
+func TestOrganisationServedElsewhereKeepsItsShare(t *testing.T) {
 	// Symptom: of two organisations with the same demand the one that uses more entries gets more.
 	// Sequence: the only reservation of one is taken elsewhere; the other is served here; both reserve again.
 	// Cause: nothing waiting for a moment counted as idleness, which earns no credit.
@@ -47,5 +47,5 @@
 }
 
 func TestIdleOrganisationEarnsNoCredit(t *testing.T) {
-	require.Contains(t, serveThenAbsent(t, 2*presenceHold), "s0")
+	require.Contains(t, serveThenAbsent(t, 2*organisationHold), "s0")
 }
--- a/gate/attempts.go
+++ b/gate/attempts.go
@@ -43,11 +43,11 @@
 	fingerprint poison.Fingerprint // of the request, once dispatched
 	crash       *wire.Crash        // the end of the server's process while it ran, nil for none
 
-	state    attemptState
-	unheard  bool   // known by its cancel only
-	sequence uint64 // of arrival
-	arrived  time.Time
-	deadline time.Time // zero for none
+	state      attemptState
+	cancelOnly bool   // known by its cancel only
+	sequence   uint64 // of arrival
+	arrived    time.Time
+	deadline   time.Time // zero for none
 
 	wait   waitState
 	run    runState
@@ -68,43 +68,43 @@
 
 // runState is what an attempt holds of the server, and how its run goes.
 type runState struct {
-	holds        bool // room
-	permitted    bool // counted against the server's rate, and not sent
-	permit       backpressure.Permit
-	open         bool // StartEngine was issued and EngineEnded hasn't come
-	started      time.Time
-	firstToken   time.Time
-	lastToken    time.Time
-	tokens       uint32 // produced by this attempt
-	prefill      int64  // uncached prompt tokens not yet computed, of those in flight
-	prefillAhead int64  // uncached prompt tokens in flight when it started, its own included
-	memory       int64  // tokens of cache memory
-	estimate     int64  // cost charged
-	busy         int    // runs at its start, its own included
-	wasted       uint32 // prompt tokens computed for nothing
+	holdsRoom      bool // room
+	holdsPermit    bool // counted against the server's rate, and not sent
+	permit         backpressure.Permit
+	callOpen       bool // StartEngine was issued and EngineEnded hasn't come
+	started        time.Time
+	firstToken     time.Time
+	lastToken      time.Time
+	tokens         uint32 // produced by this attempt
+	pendingPrefill int64  // uncached prompt tokens not yet computed, of those in flight
+	prefillAtStart int64  // uncached prompt tokens in flight when it started, its own included
+	cacheTokens    int64  // tokens of cache memory
+	chargedCost    int64  // cost charged
+	concurrency    int    // runs at its start, its own included
+	wastedPrefill  uint32 // prompt tokens computed for nothing
 }
 
 // cancelState is how the end of an attempt is asked for.
 type cancelState struct {
-	cause       string
-	tier        uint32 // that took the slot, 0 for none
-	askers      []asker
-	try         uint32    // of the last CancelEngine
-	firstAfter  uint32    // first try that was issued after the run's end, 0 for none
-	unanswered  int       // CancelEngines without an answer
-	pending     bool      // the last of them has none
-	since       time.Time // when the end was first asked for
-	issued      time.Time
-	again       time.Time
-	backoff     time.Duration
-	toldUnsure  bool
-	unsureSince time.Time // when the run returned without a proof
-	unsupported bool      // the server has no cancel call
-	toldFinal   bool      // the owner was told that no proof will come
+	cause            string
+	preemptorTier    uint32 // that took the slot, 0 for none
+	inquirers        []inquirer
+	try              uint32    // of the last CancelEngine
+	firstTryAfterRun uint32    // first try that was issued after the run's end, 0 for none
+	unanswered       int       // CancelEngines without an answer
+	pending          bool      // the last of them has none
+	requestedAt      time.Time // when the end was first asked for
+	issuedAt         time.Time
+	nextTryAt        time.Time
+	backoff          time.Duration
+	unprovenSent     bool
+	unprovenSince    time.Time // when the run returned without a proof
+	unsupported      bool      // the server has no cancel call
+	unprovableSent   bool      // the owner was told that no proof will come
 }
 
-// asker is an entry that waits for the proof that attempts up to a number are over.
-type asker struct {
+// inquirer is an entry that waits for the proof that attempts up to a number are over.
+type inquirer struct {
 	entry  EntryID
 	number uint64
 	server string
@@ -117,21 +117,21 @@
 	return &wire.AttemptID{Request: a.record.request, Number: a.number}
 }
 
-// stream is the engine's name of the attempt.
-func (a *attempt) stream() engine.AttemptID { return streamID(a.record.request, a.number) }
+// engineID is the engine's name of the attempt.
+func (a *attempt) engineID() engine.AttemptID { return engineAttemptID(a.record.request, a.number) }
 
-func streamID(request string, number uint64) engine.AttemptID {
+func engineAttemptID(request string, number uint64) engine.AttemptID {
 	return engine.AttemptID(request + "." + strconv.FormatUint(number, 10))
 }
 
-// begun tells whether StartEngine was issued.
-func (a *attempt) begun() bool { return !a.run.started.IsZero() }
+// hasStarted tells whether StartEngine was issued.
+func (a *attempt) hasStarted() bool { return !a.run.started.IsZero() }
 
-// isAwaited tells whether the agent still has something to tell about the attempt.
-func (a *attempt) isAwaited() bool { return a.run.open || a.cancel.unanswered > 0 }
+// awaitsEvents tells whether the agent still has something to tell about the attempt.
+func (a *attempt) awaitsEvents() bool { return a.run.callOpen || a.cancel.unanswered > 0 }
 
-// uncached is the number of prompt tokens that the engine is expected to compute.
-func (a *attempt) uncached() int64 {
+// uncachedTokens is the number of prompt tokens that the engine is expected to compute.
+func (a *attempt) uncachedTokens() int64 {
 	return max(int64(a.work.GetPromptTokens())-int64(a.work.GetCachedTokens()), 0)
 }
 
--- a/gate/charts.go
+++ b/gate/charts.go
@@ -101,25 +101,25 @@
 	return table
 }
 
-// occasion is what is known about an event when the chart is asked what it does.
-type occasion struct {
-	refusal refusal
-	unsent  bool   // no connection to the server could be made
-	cause   string // of waste, see the Cause constants
-	asker   asker
-	work    *wire.Work // of a repeated reservation
-	end     *EngineEnded
-	events  [][]byte
-	tokens  uint32
+// eventDetails is what is known about an event when the chart is asked what it does.
+type eventDetails struct {
+	refusal  refusal
+	unsent   bool   // no connection to the server could be made
+	cause    string // of waste, see the Cause constants
+	inquirer inquirer
+	work     *wire.Work // of a repeated reservation
+	end      *EngineEnded
+	events   [][]byte
+	tokens   uint32
 	// eventTokens is the number of tokens in each of events, where the engine says so.
-	eventTokens []uint32
-	knows       bool // the engine knew the attempt
-	runOver     bool // the engine was asked after the run's end
+	eventTokens   []uint32
+	engineKnew    bool // the engine knew the attempt
+	askedAfterRun bool // the engine was asked after the run's end
 }
 
 // fire lets an event happen to an attempt and reports whether the chart allows it. One that it doesn't allow is
 // counted: it means that the gate and its agent or an entry disagree on what happened.
-func (g *Gate) fire(a *attempt, e attemptEvent, o occasion) bool {
+func (g *Gate) fire(a *attempt, e attemptEvent, o eventDetails) bool {
 	guard := func(name string) bool { return g.attemptGuard(a, name, &o) }
 	next, err := attemptTable.NextGuarded(a.state, e, guard)
 	if err != nil {
@@ -133,26 +133,26 @@
 	return true
 }
 
-func (g *Gate) attemptGuard(a *attempt, name string, o *occasion) bool {
+func (g *Gate) attemptGuard(a *attempt, name string, o *eventDetails) bool {
 	switch name {
 	case "engine_cleared":
 		return g.cleared()
 	case "lease_valid":
-		return a.owner.valid()
+		return a.owner.leaseValid()
 	case "only_one":
 		return a.record.current == a
 	case "run_over":
-		return o.runOver
+		return o.askedAfterRun
 	case "repeatable":
 		return a.work.GetRepeatable()
 	case "engine_knows":
-		return o.knows
+		return o.engineKnew
 	}
 	g.chartError("guard " + name)
 	return false
 }
 
-func (g *Gate) attemptAction(a *attempt, name string, o *occasion) {
+func (g *Gate) attemptAction(a *attempt, name string, o *eventDetails) {
 	switch name {
 	case "queue":
 		g.enqueue(a)
@@ -206,7 +206,7 @@
 func (g *Gate) serverGuard(name string) bool {
 	switch name {
 	case "healthy":
-		return g.server.doubts == 0
+		return g.server.suspectReasons == 0
 	case "none_in_flight":
 		return g.inFlight() == 0
 	}
@@ -225,7 +225,7 @@
 	case "clear_engine":
 		g.clearing.restart()
 	case "tell":
-		g.tellCondition()
+		g.publishCondition()
 	default:
 		g.chartError("action " + name)
 	}
--- a/gate/charts_test.go
+++ b/gate/charts_test.go
@@ -9,17 +9,17 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestEveryGuardAndActionOfTheChartsIsKnown(t *testing.T) {
-	b := openBench(t)
+func TestEveryGuardAndActionOfTheChartsIsImplemented(t *testing.T) {
+	b := newReadyHarness(t)
 	for _, guard := range attemptTable.Chart().Guards {
 		a := b.gate.newAttempt(&record{index: -1}, &entryState{}, id("r", 1), "", work())
-		b.gate.attemptGuard(a, guard.Name, &occasion{})
+		b.gate.attemptGuard(a, guard.Name, &eventDetails{})
 	}
 	for _, guard := range serverTable.Chart().Guards {
 		b.gate.serverGuard(guard.Name)
 	}
 	for _, action := range attemptTable.Chart().Actions {
-		require.NotPanics(t, func() { b.actionKnown(action.Name) })
+		require.NotPanics(t, func() { b.checkAction(action.Name) })
 	}
 	for _, action := range serverTable.Chart().Actions {
 		b.gate.serverAction(action.Name)
@@ -29,15 +29,15 @@
 	require.EqualValues(t, 1, b.gate.chartErrors)
 }
 
-// actionKnown carries out one action of an attempt that is far enough to allow any.
-func (b *bench) actionKnown(name string) {
+// checkAction carries out one action of an attempt that is far enough to allow any.
+func (b *harness) checkAction(name string) {
 	r := b.gate.records.add("chart-"+name, 100)
 	owner := b.gate.entries.get(entryA, b.now)
 	a := b.gate.newAttempt(r, owner, id(r.request, 1), "", work())
 	a.dispatch = &wire.Dispatch{Attempt: id(r.request, 1), Work: work()}
 	a.frames.begin(a.dispatch)
 	a.wait.queue = b.gate.waiting.tier(2).queue(&wire.Work{Class: "summary", Organisation: "org"})
-	b.gate.attemptAction(a, name, &occasion{end: &EngineEnded{}})
+	b.gate.attemptAction(a, name, &eventDetails{end: &EngineEnded{}})
 }
 
 func TestEventThatTheChartDoesNotAllowIsCounted(t *testing.T) {
@@ -45,26 +45,26 @@
 	// Sequence: the agent reports the end of a run that was never started, of one that has ended, and an answer to
 	// a cancel that was never sent.
 	// Cause: an event that nothing expects was ignored.
-	cases := map[string]func(*bench) []Action{
-		"end of an unknown run": func(b *bench) []Action { return b.finish(id("unknown", 1)) },
-		"second end": func(b *bench) []Action {
+	cases := map[string]func(*harness) []Action{
+		"end of an unknown run": func(b *harness) []Action { return b.finish(id("unknown", 1)) },
+		"second end": func(b *harness) []Action {
 			b.finish(id("r", 1))
 			return b.finish(id("r", 1))
 		},
-		"progress after the end": func(b *bench) []Action {
+		"progress after the end": func(b *harness) []Action {
 			b.finish(id("r", 1))
 			return b.progress(id("r", 1), "x")
 		},
-		"answer without a cancel": func(b *bench) []Action {
+		"answer without a cancel": func(b *harness) []Action {
 			return b.step(EngineCancelled{Attempt: id("r", 1), Result: engine.CancelConfirmed})
 		},
-		"message of an unknown kind": func(b *bench) []Action { return b.receive(entryA, &wire.EntryMessage{}) },
+		"message of an unknown kind": func(b *harness) []Action { return b.receive(entryA, &wire.EntryMessage{}) },
 	}
 	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := openBench(t)
+			b := newReadyHarness(t)
 			b.start(entryA, id("r", 1), work())
-			counts := of[Count](act(b))
+			counts := actionsOf[Count](act(b))
 			require.NotEmpty(t, counts)
 			last := counts[len(counts)-1]
 			require.Equal(t, ChartErrors, last.Counter)
--- a/gate/clearing.go
+++ b/gate/clearing.go
@@ -25,71 +25,71 @@
 // It lists the engine's streams, cancels all of them, and lists again: an attempt of the old incarnation may have
 // been on its way to the engine at the first listing.
 type clearing struct {
-	state  clearState
-	issued time.Time
-	again  time.Time
+	state    clearState
+	issuedAt time.Time
+	retryAt  time.Time
 	// unlisted: the server keeps no list of what it runs, so nothing proves it free. It is given some time to end
 	// the short calls of an earlier incarnation.
 	unlisted bool
-	// repeated: the server was gone, so that what may be left there is younger than this process.
-	repeated bool
-	left     []*oldStream
-	seen     map[engine.AttemptID]bool // streams whose end is confirmed
-	waiting  []deferredCancel
+	// afterGone: the server was gone, so that what may be left there is younger than this process.
+	afterGone bool
+	remaining []*staleStream
+	confirmed map[engine.AttemptID]bool // streams whose end is confirmed
+	deferred  []deferredCancel
 }
 
 type clearState uint8
 
 const (
-	clearIdle     clearState = iota // before the first announcement
-	clearListing                    // a listing was asked for
-	clearWaiting                    // a listing failed, or no list is kept
-	clearStreams                    // cancels are under way
-	clearComplete                   // proved free
+	clearIdle       clearState = iota // before the first announcement
+	clearListing                      // a listing was asked for
+	clearWaiting                      // a listing failed, or no list is kept
+	clearCancelling                   // cancels are under way
+	clearComplete                     // proved free
 )
 
-// oldStream is a listed stream.
-type oldStream struct {
-	id      engine.AttemptID
-	attempt *wire.AttemptID
-	try     uint32
-	pending bool
-	issued  time.Time
-	again   time.Time
-	backoff time.Duration
+// staleStream is a listed stream.
+type staleStream struct {
+	id       engine.AttemptID
+	attempt  *wire.AttemptID
+	try      uint32
+	pending  bool
+	issuedAt time.Time
+	retryAt  time.Time
+	backoff  time.Duration
 }
 
 // deferredCancel is a cancel whose answer has to wait until the engine is cleared.
 type deferredCancel struct {
-	request string
-	who     asker
+	request  string
+	inquirer inquirer
 }
 
-// begin lists at the first announcement: before it the agent has no address to ask.
-func (c *clearing) begin(g *Gate) {
+// start lists at the first announcement: before it the agent has no address to ask.
+func (c *clearing) start(g *Gate) {
 	if c.state == clearIdle {
-		c.seen = map[engine.AttemptID]bool{}
-		c.list(g)
+		c.confirmed = map[engine.AttemptID]bool{}
+		c.requestList(g)
 	}
 }
 
 // restart clears again, after the server was gone.
 func (c *clearing) restart() {
 	c.state = clearIdle
-	c.left = nil
-	c.repeated = true
+	c.remaining = nil
+	c.afterGone = true
 }
 
-func (c *clearing) list(g *Gate) {
+func (c *clearing) requestList(g *Gate) {
 	c.state = clearListing
-	c.issued = g.now
+	c.issuedAt = g.now
 	g.emit(ListEngine{})
 }
 
-func (c *clearing) ask(request string, who asker) {
-	wanted := deferredCancel{request, who}
-	if !slices.Contains(c.waiting, wanted) {
-		c.waiting = append(c.waiting, wanted)
+func (c *clearing) deferCancel(request string, inq inquirer) {
+	wanted := deferredCancel{request, inq}
+	if !slices.Contains(c.deferred, wanted) {
+		c.deferred = append(c.deferred, wanted)
 	}
 }
 
@@ -101,49 +101,49 @@
 	c.unlisted = errors.Is(e.Err, engine.ErrUnsupported)
 	if c.unlisted {
 		c.state = clearWaiting
-		c.again = c.settled(g)
+		c.retryAt = c.settleDeadline(g)
 		return
 	}
 	if e.Err != nil {
 		c.state = clearWaiting
-		c.again = g.now.Add(listRetry)
-		c.left = nil
+		c.retryAt = g.now.Add(listRetry)
+		c.remaining = nil
 		return
 	}
-	c.take(g, e.Streams)
+	c.cancelListed(g, e.Streams)
 }
 
-// settled is when a server that keeps no list has had its time to end what was left there.
+// settleDeadline is when a server that keeps no list has had its time to end what was left there.
 //
 // Counted from the listing alone, an agent that waits for control after a loss of all machines makes its server wait
 // another settle time, while requests pass their objectives in the entries' queues.
-func (c *clearing) settled(g *Gate) time.Time {
+func (c *clearing) settleDeadline(g *Gate) time.Time {
 	from := g.now
-	if started := g.config.ProcessStarted; !started.IsZero() && !c.repeated {
+	if started := g.config.ProcessStarted; !started.IsZero() && !c.afterGone {
 		from = started
 	}
 	return from.Add(g.config.UnlistedSettle)
 }
 
-// take cancels what is listed. Attempts of this incarnation, after the server was gone, are the gate's own to end.
-func (c *clearing) take(g *Gate, streams []engine.StreamInfo) {
-	c.left = nil
+// cancelListed cancels what is listed. Attempts of this incarnation, after the server was gone, are the gate's own to end.
+func (c *clearing) cancelListed(g *Gate, streams []engine.StreamInfo) {
+	c.remaining = nil
 	for _, s := range streams {
-		if c.seen[s.ID] && !s.State.Running() {
+		if c.confirmed[s.ID] && !s.State.Running() {
 			continue
 		}
 		id := parseStream(s.ID)
-		if a := g.find(id); a != nil && a.begun() {
+		if a := g.find(id); a != nil && a.hasStarted() {
 			continue
 		}
-		c.left = append(c.left, &oldStream{id: s.ID, attempt: id})
+		c.remaining = append(c.remaining, &staleStream{id: s.ID, attempt: id})
 	}
-	if len(c.left) == 0 {
+	if len(c.remaining) == 0 {
 		c.complete(g)
 		return
 	}
-	c.state = clearStreams
-	for _, s := range c.left {
+	c.state = clearCancelling
+	for _, s := range c.remaining {
 		s.cancel(g)
 	}
 }
@@ -159,36 +159,36 @@
 	return &wire.AttemptID{Request: text}
 }
 
-func (s *oldStream) cancel(g *Gate) {
+func (s *staleStream) cancel(g *Gate) {
 	s.try++
 	s.pending = true
-	s.issued = g.now
+	s.issuedAt = g.now
 	g.emit(CancelEngine{Attempt: s.attempt, Stream: s.id, Try: s.try})
 }
 
-// answered takes the answer to a cancel of a listed stream. An unknown id proves its end: the engine has listed it
+// handleCancelAnswer takes the answer to a cancel of a listed stream. An unknown id proves its end: the engine has listed it
 // before, so no dispatch of it is on its way.
-func (c *clearing) answered(g *Gate, e EngineCancelled) bool {
-	if c.state != clearStreams {
+func (c *clearing) handleCancelAnswer(g *Gate, e EngineCancelled) bool {
+	if c.state != clearCancelling {
 		return false
 	}
-	at := slices.IndexFunc(c.left, func(s *oldStream) bool {
+	at := slices.IndexFunc(c.remaining, func(s *staleStream) bool {
 		return s.attempt.GetRequest() == e.Attempt.GetRequest() && s.attempt.GetNumber() == e.Attempt.GetNumber()
 	})
 	if at < 0 {
 		return false
 	}
-	s := c.left[at]
+	s := c.remaining[at]
 	if e.Err != nil || e.Result == engine.CancelNone {
 		s.pending = false
-		s.backoff = min(max(2*s.backoff, firstBackoff), longestWait)
-		s.again = g.now.Add(s.backoff)
+		s.backoff = min(max(2*s.backoff, firstBackoff), maxBackoff)
+		s.retryAt = g.now.Add(s.backoff)
 		return true
 	}
-	c.seen[s.id] = true
-	c.left = slices.Delete(c.left, at, at+1)
-	if len(c.left) == 0 {
-		c.list(g)
+	c.confirmed[s.id] = true
+	c.remaining = slices.Delete(c.remaining, at, at+1)
+	if len(c.remaining) == 0 {
+		c.requestList(g)
 	}
 	return true
 }
@@ -197,13 +197,13 @@
 func (c *clearing) tick(g *Gate) {
 	switch c.state {
 	case clearListing:
-		if g.now.Sub(c.issued) >= listTimeout {
-			c.list(g)
+		if g.now.Sub(c.issuedAt) >= listTimeout {
+			c.requestList(g)
 		}
 	case clearWaiting:
-		c.endWait(g)
-	case clearStreams:
-		for _, s := range c.left {
+		c.retryOrComplete(g)
+	case clearCancelling:
+		for _, s := range c.remaining {
 			if s.due(g.now) {
 				s.cancel(g)
 			}
@@ -211,37 +211,37 @@
 	}
 }
 
-func (s *oldStream) due(now time.Time) bool {
+func (s *staleStream) due(now time.Time) bool {
 	if s.pending {
-		return now.Sub(s.issued) >= answerTimeout
+		return now.Sub(s.issuedAt) >= answerTimeout
 	}
-	return !now.Before(s.again)
+	return !now.Before(s.retryAt)
 }
 
-func (c *clearing) endWait(g *Gate) {
-	if g.now.Before(c.again) {
+func (c *clearing) retryOrComplete(g *Gate) {
+	if g.now.Before(c.retryAt) {
 		return
 	}
 	if c.unlisted {
 		c.complete(g)
 		return
 	}
-	c.list(g)
+	c.requestList(g)
 }
 
 // complete opens the gate and answers what was asked meanwhile.
 func (c *clearing) complete(g *Gate) {
 	c.state = clearComplete
 	g.fireServer(onCleared)
-	waiting := c.waiting
-	c.waiting = nil
+	waiting := c.deferred
+	c.deferred = nil
 	for _, d := range waiting {
 		if r := g.records.get(d.request); r != nil {
-			g.answerCancel(r, d.who)
+			g.answerCancel(r, d.inquirer)
 		}
 	}
 	for _, e := range g.entries.order {
-		if e.up && !e.ended {
+		if e.connected && !e.ended {
 			g.resend(e)
 		}
 	}
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -13,44 +13,44 @@
 // is for an agent that reads them late.
 const crashWindow = time.Second
 
-// broken holds the attempts whose connection the server broke off lately, until it is known whether its process ended.
+// brokenRuns holds the attempts whose connection the server broke off lately, until it is known whether its process ended.
 //
 // A server breaks off an answer for many reasons. Only the end of its process is evidence against what it ran: without the
 // question, requests at a server that spoils some of its answers would look like those that crash servers.
-type broken struct {
-	attempts []brokenAttempt // oldest first
-	asked    bool            // a VerifyServer has no answer yet
-	askedAt  time.Time       // when the last one was asked for
-	alone    bool            // a request has the server for itself, as of the last tick
-	endedAt  time.Time       // when the process was found to have ended, zero if it wasn't
-	told     bool            // that end was reported with some of its attempts
+type brokenRuns struct {
+	attempts       []brokenAttempt // oldest first
+	verifying      bool            // a VerifyServer has no answer yet
+	verifyIssuedAt time.Time       // when the last one was asked for
+	exclusive      bool            // a request has the server for itself, as of the last tick
+	endedAt        time.Time       // when the process was found to have ended, zero if it wasn't
+	reported       bool            // that end was reported with some of its attempts
 }
 
 type brokenAttempt struct {
-	attempt *attempt
-	at      time.Time
-	alone   bool
+	attempt   *attempt
+	brokenAt  time.Time
+	exclusive bool
 }
 
-// noteBroken notes that the server broke off an attempt that nobody had cancelled, and has its process looked for.
-func (g *Gate) noteBroken(a *attempt) {
+// recordBroken notes that the server broke off an attempt that nobody had cancelled, and has its process looked for.
+func (g *Gate) recordBroken(a *attempt) {
 	if g.isLeaving() {
 		return
 	}
-	b := &g.broken
-	b.attempts = slices.DeleteFunc(b.attempts, func(one brokenAttempt) bool { return g.now.Sub(one.at) > crashWindow })
-	b.attempts = append(b.attempts, brokenAttempt{a, g.now, g.isAlone(a)})
+	b := &g.brokenRuns
+	b.attempts = slices.DeleteFunc(b.attempts, func(one brokenAttempt) bool { return g.now.Sub(one.brokenAt) > crashWindow })
+	b.attempts = append(b.attempts, brokenAttempt{a, g.now, g.needsExclusiveRun(a)})
 	if !b.endedAt.IsZero() && g.now.Sub(b.endedAt) <= crashWindow {
 		g.attributeCrash()
 		return
 	}
-	if !b.asked {
-		g.askVerify()
+	if !b.verifying {
+		g.requestVerify()
 	}
 }
 
-func (g *Gate) askVerify() {
-	g.broken.asked, g.broken.askedAt = true, g.now
+func (g *Gate) requestVerify() {
+	g.brokenRuns.verifying, g.brokenRuns.verifyIssuedAt = true, g.now
 	g.emit(VerifyServer{})
 }
 
@@ -59,93 +59,93 @@
 	return g.server.state != serverReady && g.server.state != serverSuspect
 }
 
-// verified takes the answer to VerifyServer.
-func (g *Gate) verified(e ServerVerified) {
-	b := &g.broken
-	b.asked = false
+// handleVerified takes the answer to VerifyServer.
+func (g *Gate) handleVerified(e ServerVerified) {
+	b := &g.brokenRuns
+	b.verifying = false
 	if g.isLeaving() {
 		b.attempts = nil
 		return
 	}
 	if !e.Ended {
 		// What broke later may be of an end that came after the look.
-		b.attempts = slices.DeleteFunc(b.attempts, func(one brokenAttempt) bool { return !one.at.After(b.askedAt) })
+		b.attempts = slices.DeleteFunc(b.attempts, func(one brokenAttempt) bool { return !one.brokenAt.After(b.verifyIssuedAt) })
 		if len(b.attempts) > 0 {
-			g.askVerify()
+			g.requestVerify()
 		}
 		return
 	}
-	b.endedAt, b.told = g.now, false
-	g.unreachable()
+	b.endedAt, b.reported = g.now, false
+	g.markUnreachable()
 	g.attributeCrash()
 }
 
-// aloneTime is how long a watched request stays alone after its first token. One that crashes servers does so as it begins.
-const aloneTime = 500 * time.Millisecond
+// exclusiveTime is how long a watched request stays alone after its first token. One that crashes servers does so as it begins.
+const exclusiveTime = 500 * time.Millisecond
 
-// isAlone tells whether an attempt is to have the server for itself.
+// needsExclusiveRun tells whether an attempt is to have the server for itself.
 //
 // A request may have been beside another one that crashed two servers. Were it beside that one, or a further such one, at the third
 // crash too, it would be refused with it. Alone it either crashes the server itself or is served.
-func (g *Gate) isAlone(a *attempt) bool {
-	begun := !a.run.firstToken.IsZero() && g.now.Sub(a.run.firstToken) >= aloneTime
+func (g *Gate) needsExclusiveRun(a *attempt) bool {
+	begun := !a.run.firstToken.IsZero() && g.now.Sub(a.run.firstToken) >= exclusiveTime
 	return a.work.GetWatched() && !begun
 }
 
-// holdsAlone tells whether a request is to have the server for itself now.
-func (g *Gate) holdsAlone() bool { return slices.ContainsFunc(g.held, g.isAlone) }
+// exclusiveRunHeld tells whether a request is to have the server for itself now.
+func (g *Gate) exclusiveRunHeld() bool { return slices.ContainsFunc(g.held, g.needsExclusiveRun) }
 
-// notAlone says whether an attempt has to wait until it, or another one, has had the server for itself.
-func (g *Gate) notAlone(a *attempt) why {
-	if a.work.GetWatched() && len(g.held) > 0 || g.holdsAlone() {
-		return whyAlone
+// exclusivityBlock says whether an attempt has to wait until it, or another one, has had the server for itself.
+func (g *Gate) exclusivityBlock(a *attempt) blockReason {
+	if a.work.GetWatched() && len(g.held) > 0 || g.exclusiveRunHeld() {
+		return blockedExclusive
 	}
-	return roomEnough
+	return notBlocked
 }
 
-// noteAlone has entries hear when the server takes others again.
-func (g *Gate) noteAlone() {
-	if alone := g.holdsAlone(); alone != g.broken.alone {
-		g.broken.alone = alone
+// checkExclusive has entries hear when the server takes others again.
+func (g *Gate) checkExclusive() {
+	if exclusive := g.exclusiveRunHeld(); exclusive != g.brokenRuns.exclusive {
+		g.brokenRuns.exclusive = exclusive
 		g.room.dirty = true
 	}
 }
 
 // attributeCrash reports the broken attempts as what the server ran when it crashed.
 func (g *Gate) attributeCrash() {
-	if len(g.broken.attempts) == 0 {
+	if len(g.brokenRuns.attempts) == 0 {
 		return
 	}
 	crash := &wire.Crash{
-		Id:       g.serverName() + "@" + strconv.FormatInt(g.broken.endedAt.UnixNano(), 10),
+		Id:       g.serverName() + "@" + strconv.FormatInt(g.brokenRuns.endedAt.UnixNano(), 10),
 		Server:   g.serverName(),
-		Alone:    len(g.broken.attempts) == 1 && g.broken.attempts[0].alone,
+		Alone:    len(g.brokenRuns.attempts) == 1 && g.brokenRuns.attempts[0].exclusive,
 		Reporter: g.config.Reporter,
 		Once:     g.config.UniqueNamePerStart,
 	}
 	var runs []Run
-	for _, one := range g.broken.attempts {
+	for _, one := range g.brokenRuns.attempts {
 		a := one.attempt
 		a.crash = crash
-		g.tellCrash(a)
+		g.sendCrashNotice(a)
 		runs = append(runs, Run{
 			Request:      a.record.request,
 			Organisation: a.work.GetOrganisation(),
 			Fingerprint:  a.fingerprint,
 		})
 	}
-	g.broken.attempts = nil
-	g.emit(Crashed{Crash: crash, Runs: runs, Repeated: g.broken.told})
-	g.broken.told = true
+	g.brokenRuns.attempts = nil
+	g.emit(Crashed{Crash: crash, Runs: runs, Repeated: g.brokenRuns.reported})
+	g.brokenRuns.reported = true
 }
 
-// tellCrash tells the owner of an attempt that isn't proved over of the crash. The proof may have to wait until the server is back,
+// sendCrashNotice tells the owner of an attempt that isn't proved over of the crash. The proof may have to wait until the server is back,
 // and meanwhile the entry would send the request to the next one.
-func (g *Gate) tellCrash(a *attempt) {
+func (g *Gate) sendCrashNotice(a *attempt) {
 	if a.state != cancelling {
 		return
 	}
-	g.reply(asker{entry: a.owner.id, number: a.number, server: a.server}, a.record.request, &wire.Over{
+	g.reply(inquirer{entry: a.owner.id, number: a.number, server: a.server}, a.record.request, &wire.Over{
 		Proof:   wire.Proof_PROOF_UNPROVEN,
 		Code:    uint32(result.EngineLost),
 		Message: "the backend server crashed",
--- a/gate/ahead_test.go
+++ b/gate/early_offers_test.go
@@ -22,29 +22,29 @@
 	})
 }
 
-func (b *bench) after(d time.Duration) { b.now = b.now.Add(d) }
+func (b *harness) advanceClock(d time.Duration) { b.now = b.now.Add(d) }
 
-// teachCalls lets the gate learn how long calls take, and how long a body is on its way.
-func (b *bench) teachCalls() {
+// trainCalls lets the gate learn how long calls take, and how long a body is on its way.
+func (b *harness) trainCalls() {
 	b.t.Helper()
 	for i := range 200 {
 		call := id(fmt.Sprint("teach-", i), 1)
 		b.reserve(entryA, call, callWork(3))
-		b.after(bodyDelay)
+		b.advanceClock(bodyDelay)
 		b.dispatchOffered(entryA, call, callWork(3))
-		b.after(callTime)
+		b.advanceClock(callTime)
 		b.finish(call)
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	b.actions = nil
 }
 
-func TestBodiesOfShortCallsAreAskedForAhead(t *testing.T) {
+func TestShortCallsAreOfferedEarly(t *testing.T) {
 	// Symptom: a plain service is used to four fifths while requests to it are refused for their deadline.
 	// Sequence: a call ends, the next one is offered the slot, its body comes some milliseconds later.
 	// Cause: the slot was offered only once it was free, and a call takes hardly longer than the body's way.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(2))
-	b.teachCalls()
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(2))
+	b.trainCalls()
 	for i := range 5 {
 		b.reserve(entryA, id(fmt.Sprint("r", i), 1), callWork(3))
 	}
@@ -59,18 +59,18 @@
 	noChartErrors(t, b)
 }
 
-func TestBodyThatCameAheadIsStillRefusedAsNeverStarted(t *testing.T) {
+func TestEarlyBodyIsRefusedAsNeverStarted(t *testing.T) {
 	// Symptom: a request stays unanswered until its deadline after its backend server left.
 	// Sequence: its body came ahead and waits at the gate; the server leaves, or becomes suspect.
 	// Cause: only reservations and offers were given back then.
-	for name, end := range map[string]func(*bench){
-		"leaving": func(b *bench) { b.step(Leaving{}) },
-		"suspect": func(b *bench) { b.step(Probed{}); b.step(Probed{}) },
-		"cancel":  func(b *bench) { b.callerLeft(entryA, id("ahead", 1)) },
+	for name, end := range map[string]func(*harness){
+		"leaving": func(b *harness) { b.step(Leaving{}) },
+		"suspect": func(b *harness) { b.step(Probed{}); b.step(Probed{}) },
+		"cancel":  func(b *harness) { b.callerLeft(entryA, id("ahead", 1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-			b.teachCalls()
+			b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+			b.trainCalls()
 			for _, r := range []string{"runs", "ahead"} {
 				b.reserve(entryA, id(r, 1), callWork(3))
 				b.dispatchOffered(entryA, id(r, 1), callWork(3))
@@ -87,9 +87,9 @@
 	}
 }
 
-func TestFirstTierGoesBeforeBodiesThatCameAhead(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-	b.teachCalls()
+func TestFirstTierStartsBeforeEarlyBodies(t *testing.T) {
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b.trainCalls()
 	for _, r := range []string{"runs", "ahead"} {
 		b.reserve(entryA, id(r, 1), callWork(3))
 		b.dispatchOffered(entryA, id(r, 1), callWork(3))
@@ -101,34 +101,34 @@
 	noChartErrors(t, b)
 }
 
-func TestBodyThatWaitedTooLongIsRefused(t *testing.T) {
+func TestEarlyBodyThatMissesItsDeadlineIsRefused(t *testing.T) {
 	// Symptom: calls are answered "unproven at the deadline" under overload.
 	// Sequence: a body that came ahead waits for the call before it, and starts with less time left than it takes.
 	// Cause: only reservations were looked at for their deadline, not bodies.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-	b.teachCalls()
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b.trainCalls()
 	short := func() *wire.Work { w := callWork(3); w.RemainingMs = 50; return w }
 	b.reserve(entryB, id("runs", 1), callWork(3))
 	b.dispatchOffered(entryB, id("runs", 1), callWork(3))
 	b.reserve(entryA, id("ahead", 1), short())
 	b.dispatchOffered(entryA, id("ahead", 1), short())
-	b.after(45 * time.Millisecond)
+	b.advanceClock(45 * time.Millisecond)
 	b.actions = nil
 	refusedWith(t, b.finish(id("runs", 1)), result.CannotFinishInTime)
 	require.Empty(t, b.gate.held)
 	noChartErrors(t, b)
 }
 
-func TestTimeOfTheWayCountsAgainstTheDeadline(t *testing.T) {
+func TestOfferLatencyCountsAgainstTheDeadline(t *testing.T) {
 	// Symptom: calls of a full service end in time at the server, and are late or unproven at the entry.
 	// Sequence: a call starts with just the time left that it takes.
 	// Cause: the way back wasn't counted.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-	b.teachCalls()
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b.trainCalls()
 	tight := callWork(3)
 	tight.RemainingMs = uint32((callTime + bodyDelay/2).Milliseconds())
 	refusedWith(t, b.reserve(entryA, id("tight", 1), tight), result.CannotFinishInTime)
-	fair := callWork(3)
-	fair.RemainingMs = uint32((callTime + 2*bodyDelay).Milliseconds())
-	require.Equal(t, []string{"fair.1"}, offeredIDs(b.reserve(entryA, id("fair", 1), fair)))
+	sufficient := callWork(3)
+	sufficient.RemainingMs = uint32((callTime + 2*bodyDelay).Milliseconds())
+	require.Equal(t, []string{"fair.1"}, offeredIDs(b.reserve(entryA, id("fair", 1), sufficient)))
 }
--- a/gate/frames.go
+++ b/gate/frames.go
@@ -24,7 +24,7 @@
 	f.digest = xxhash.New()
 }
 
-func (f *frameState) next() uint64 { return f.base + f.count }
+func (f *frameState) nextOffset() uint64 { return f.base + f.count }
 
 // add counts events and keeps them as long as the bound allows.
 func (f *frameState) add(events [][]byte, tokens []uint32, bound int) {
@@ -44,7 +44,7 @@
 	f.keptBytes += len(event)
 	if f.keptBytes > bound {
 		f.dropped = true
-		f.forget()
+		f.clearKept()
 		return
 	}
 	f.kept = append(f.kept, event)
@@ -53,13 +53,13 @@
 	}
 }
 
-func (f *frameState) forget() {
+func (f *frameState) clearKept() {
 	f.kept = nil
 	f.keptTokens = nil
 }
 
 func (f *frameState) drop() {
-	f.forget()
+	f.clearKept()
 	f.dropped = true
 }
 
@@ -69,15 +69,15 @@
 	if len(events) == 0 {
 		return
 	}
-	offset := a.frames.next()
-	a.frames.add(events, tokens, g.keepBound(a))
-	if a.state == cancelling && a.cancel.tier == 0 {
+	offset := a.frames.nextOffset()
+	a.frames.add(events, tokens, g.maxKeptBytes(a))
+	if a.state == cancelling && a.cancel.preemptorTier == 0 {
 		return
 	}
 	g.sendFrame(a, offset, events, tokens)
 }
 
-func (g *Gate) keepBound(a *attempt) int {
+func (g *Gate) maxKeptBytes(a *attempt) int {
 	if a.dispatch.GetReportToControl() {
 		return g.config.MaxAnswerBytes
 	}
@@ -102,7 +102,7 @@
 // answerEnd closes a whole answer.
 func (a *attempt) answerEnd(e *EngineEnded) *wire.AnswerEnd {
 	return &wire.AnswerEnd{
-		Events:       a.frames.next(),
+		Events:       a.frames.nextOffset(),
 		Bytes:        a.frames.bytes,
 		Digest:       a.frames.digest.Sum64(),
 		Status:       uint32(max(e.Outcome.Status, 0)),
--- a/gate/frames_test.go
+++ b/gate/frames_test.go
@@ -12,7 +12,7 @@
 
 func framesOf(actions []Action, request string) []*wire.Frame {
 	var out []*wire.Frame
-	for _, s := range of[Send](actions) {
+	for _, s := range actionsOf[Send](actions) {
 		if f := s.Message.GetFrame(); f != nil && f.Attempt.Request == request {
 			out = append(out, f)
 		}
@@ -24,7 +24,7 @@
 	// Symptom: a caller reads a sentence twice, or misses one.
 	// Sequence: an attempt is cut after some events and goes on in another one.
 	// Cause: offsets began at 0 with each attempt.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.dispatchOf(entryA, &wire.Dispatch{Attempt: id("r", 2), Work: work(), ResumeFrom: 7})
 	b.progress(id("r", 2), "h", "i")
 	b.progress(id("r", 2))
@@ -32,7 +32,7 @@
 	outcome := engine.Outcome{
 		End: engine.EndCompleted, Status: 200, Tokens: 10, PromptTokens: 90, CachedPromptTokens: 80,
 	}
-	end := onlyOver(t, b.ends(id("r", 2), outcome, nil), entryA, completedProof).Answer
+	end := onlyOver(t, b.endRun(id("r", 2), outcome, nil), entryA, completedProof).Answer
 	frames := framesOf(b.actions, "r")
 	require.Len(t, frames, 2)
 	require.EqualValues(t, 7, frames[0].Offset)
@@ -45,7 +45,7 @@
 }
 
 func TestFramesAfterACancel(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.callerLeft(entryA, id("r", 1))
 	require.Empty(t, framesOf(b.progress(id("r", 1), "x"), "r"), "nobody wants them")
@@ -54,7 +54,7 @@
 }
 
 func TestKeptEventsAreBounded(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true, MaxResendBytes: 3}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxResendBytes: 3}, sampleRecord(1))
 	b.start(entryA, id("r", 1), work())
 	b.progress(id("r", 1), "ab", "cd")
 	require.Empty(t, framesOf(b.step(EntryConnected{Entry: entryA}), "r"))
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -10,31 +10,31 @@
 
 // Gate decides for one backend server. It isn't safe for use by several goroutines.
 type Gate struct {
-	config   Config
-	now      time.Time // of the present Step
-	begun    time.Time // of the first Step
-	actions  []Action
-	sequence uint64
+	config    Config
+	now       time.Time // of the present Step
+	firstStep time.Time // of the first Step
+	actions   []Action
+	sequence  uint64
 
-	entries  entryTable
-	records  recordTable
-	memory   memory
-	kept     []keptOver // oldest first
-	waiting  waiting
-	runs     []*attempt // running, cancelling or unproven, in order of start
-	held     []*attempt // those that hold room: offers and runs
-	use      usage
-	server   server
-	clearing clearing
-	pace     pace
-	limit    limiter
-	throttle backpressure.Limiter
-	headroom headroom
-	room     roomState
-	ahead    offerDelay
-	probes   probeWork
-	broken   broken
-	blocked  why // why the best waiting attempt has no room
+	entries      entryTable
+	records      recordTable
+	history      requestHistory
+	retained     []retainedOver // oldest first
+	waiting      waitingList
+	runs         []*attempt // running, cancelling or unproven, in order of start
+	held         []*attempt // those that hold room: offers and runs
+	usage        resourceUsage
+	server       server
+	clearing     clearing
+	pace         pace
+	limit        concurrencyLimiter
+	throttle     backpressure.Limiter
+	headroom     headroom
+	room         roomBroadcast
+	offerLatency offerLatency
+	probes       recoveryProbes
+	brokenRuns   brokenRuns
+	blocked      blockReason // why the best waiting attempt has no room
 
 	nextSweep   time.Time
 	chartErrors uint64
@@ -48,10 +48,10 @@
 		config:  config,
 		entries: newEntryTable(),
 		records: newRecordTable(),
-		memory:  newMemory(config.MaxHistoryDigests, config.OperationLifetime),
-		waiting: newWaiting(),
+		history: newRequestHistory(config.MaxHistoryDigests, config.OperationLifetime),
+		waiting: newWaitingList(),
 		pace:    newPace(),
-		limit:   limiter{floor: config.SlotsFloor},
+		limit:   concurrencyLimiter{floor: config.SlotsFloor},
 	}
 	if config.TrialAtStart {
 		g.throttle = backpressure.NewLimiter()
@@ -61,17 +61,17 @@
 
 // Step takes one event and returns what the agent has to do, in order. Times must not go back.
 func (g *Gate) Step(now time.Time, event Event) []Action {
-	if g.begun.IsZero() {
-		g.begun = now
-		g.memory.begin(now)
+	if g.firstStep.IsZero() {
+		g.firstStep = now
+		g.history.start(now)
 	}
 	if now.After(g.now) {
 		g.now = now
 	}
 	g.handle(event)
-	g.pump()
-	g.checkEmptied()
-	g.shareRoom()
+	g.schedule()
+	g.checkDrained()
+	g.broadcastRoom()
 	actions := g.actions
 	g.actions = nil
 	return actions
@@ -82,19 +82,19 @@
 	case Tick:
 		g.tick()
 	case EntryConnected:
-		g.entryUp(e.Entry)
+		g.entryConnected(e.Entry)
 	case EntryDisconnected:
-		g.entryDown(e.Entry)
+		g.entryDisconnected(e.Entry)
 	case EntryEnded:
 		g.entryEnded(e.Entry)
 	case MessageReceived:
-		g.received(e.Entry, e.Message)
+		g.handleMessage(e.Entry, e.Message)
 	case Announced:
-		g.announced(e.Server)
+		g.handleAnnounced(e.Server)
 	case Leaving:
 		g.fireServer(onLeave)
 	case Probed:
-		g.probed(e)
+		g.handleProbed(e)
 	case EngineListed:
 		g.engineListed(e)
 	case EngineProgress:
@@ -106,11 +106,11 @@
 	case EngineLoad:
 		g.engineLoad(e.Load)
 	case ServerObserved:
-		g.heard(e.Observation)
+		g.handleObservation(e.Observation)
 	case SendersChanged:
-		g.shareRate(e.Count)
+		g.setSenders(e.Count)
 	case ServerVerified:
-		g.verified(e)
+		g.handleVerified(e)
 	default:
 		g.chartError("unknown event")
 	}
@@ -131,21 +131,21 @@
 func (g *Gate) tick() {
 	g.clearing.tick(g)
 	g.lapseOffers()
-	g.noteThrottle()
+	g.checkThrottleChange()
 	g.retryCancels()
-	g.pace.roll(g)
-	g.noteAlone()
+	g.pace.closeWindow(g)
+	g.checkExclusive()
 	if g.now.Before(g.nextSweep) {
 		return
 	}
 	g.nextSweep = g.now.Add(sweepInterval)
-	g.checkServer()
+	g.checkSilence()
 	g.expireLeases()
-	g.expirePresence()
+	g.expireOrganisations()
 	g.sweepWaiting()
-	g.dropKept()
+	g.expireRetained()
 	g.records.expire(g.now)
-	g.memory.age(g.now)
+	g.history.rotateIfDue(g.now)
 	g.headroom.adjust(g)
 	g.probes.retryIdle(g)
 }
@@ -157,7 +157,7 @@
 }
 
 func (g *Gate) engineLoad(load engine.Load) {
-	g.use.memoryCapacity = int64(load.KVCapacity)
+	g.usage.memoryCapacity = int64(load.KVCapacity)
 }
 
 // serverName is the announced name, empty before the first announcement.
--- a/gate/harness_test.go
+++ b/gate/harness_test.go
@@ -29,27 +29,27 @@
 	Helper()
 }
 
-// bench drives a gate with fake time and remembers what it wanted since the last look.
-type bench struct {
-	t       tester
-	gate    *Gate
-	now     time.Time
-	actions []Action
-	beat    time.Time // of the next heartbeats and announcement
+// harness drives a gate with fake time and remembers what it wanted since the last look.
+type harness struct {
+	t             tester
+	gate          *Gate
+	now           time.Time
+	actions       []Action
+	nextHeartbeat time.Time // of the next heartbeats and announcement
 }
 
-// newBench makes a gate whose server has not announced itself.
-func newBench(t tester, config Config) *bench {
-	return &bench{t: t, gate: New(config), now: time.Unix(1000, 0)}
+// newHarness makes a gate whose server has not announced itself.
+func newHarness(t tester, config Config) *harness {
+	return &harness{t: t, gate: New(config), now: time.Unix(1000, 0)}
 }
 
-// openBench makes a gate with a cleared server of two slots and no predecessor.
-func openBench(t tester) *bench {
-	return openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(sampleSlots))
+// newReadyHarness makes a gate with a cleared server of two slots and no predecessor.
+func newReadyHarness(t tester) *harness {
+	return newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(sampleSlots))
 }
 
-func openBenchWith(t tester, config Config, record *wire.ServerRecord) *bench {
-	b := newBench(t, config)
+func newReadyHarnessWith(t tester, config Config, record *wire.ServerRecord) *harness {
+	b := newHarness(t, config)
 	b.step(Announced{Server: record})
 	b.step(EngineListed{})
 	b.step(EntryConnected{Entry: entryA})
@@ -99,15 +99,15 @@
 	return &wire.AttemptID{Request: request, Number: number}
 }
 
-func (b *bench) step(e Event) []Action {
+func (b *harness) step(e Event) []Action {
 	actions := b.gate.Step(b.now, e)
 	b.actions = append(b.actions, actions...)
 	return actions
 }
 
-// pass lets time pass tick by tick, with heartbeats and announcements.
-func (b *bench) pass(d time.Duration) {
-	b.passWith(d, func() {
+// advance lets time advance tick by tick, with heartbeats and announcements.
+func (b *harness) advance(d time.Duration) {
+	b.advanceWith(d, func() {
 		b.receive(entryA, heartbeat())
 		b.receive(entryB, heartbeat())
 		if r := b.gate.server.record; r != nil {
@@ -116,15 +116,15 @@
 	})
 }
 
-// passWith lets time pass tick by tick and calls each about each half second.
-func (b *bench) passWith(d time.Duration, each func()) {
+// advanceWith lets time pass tick by tick and calls each about each half second.
+func (b *harness) advanceWith(d time.Duration, each func()) {
 	until := b.now.Add(d)
 	for b.now.Before(until) {
 		b.now = b.now.Add(TickInterval)
 		b.step(Tick{})
-		if !b.now.Before(b.beat) {
+		if !b.now.Before(b.nextHeartbeat) {
 			each()
-			b.beat = b.now.Add(500 * time.Millisecond)
+			b.nextHeartbeat = b.now.Add(500 * time.Millisecond)
 		}
 	}
 }
@@ -133,38 +133,38 @@
 	return &wire.EntryMessage{Kind: &wire.EntryMessage_Heartbeat{Heartbeat: &wire.EntryHeartbeat{}}}
 }
 
-func (b *bench) receive(from EntryID, m *wire.EntryMessage) []Action {
+func (b *harness) receive(from EntryID, m *wire.EntryMessage) []Action {
 	return b.step(MessageReceived{Entry: from, Message: m})
 }
 
-func (b *bench) reserve(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
+func (b *harness) reserve(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
 	m := &wire.Reserve{Attempt: attempt, Server: sampleServer, Work: w}
 	return b.receive(from, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: m}})
 }
 
-func (b *bench) dispatch(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
+func (b *harness) dispatch(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
 	return b.dispatchOf(from, &wire.Dispatch{Attempt: attempt, Work: w})
 }
 
-func (b *bench) dispatchOffered(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
+func (b *harness) dispatchOffered(from EntryID, attempt *wire.AttemptID, w *wire.Work) []Action {
 	return b.dispatchOf(from, &wire.Dispatch{Attempt: attempt, Work: w, Offered: true})
 }
 
-func (b *bench) dispatchOf(from EntryID, m *wire.Dispatch) []Action {
+func (b *harness) dispatchOf(from EntryID, m *wire.Dispatch) []Action {
 	m.Server = sampleServer
 	return b.receive(from, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: m}})
 }
 
-func (b *bench) cancelAttempt(from EntryID, attempt *wire.AttemptID, cause wire.CancelCause) []Action {
+func (b *harness) cancelAttempt(from EntryID, attempt *wire.AttemptID, cause wire.CancelCause) []Action {
 	m := &wire.Cancel{Attempt: attempt, Server: sampleServer, Cause: cause}
 	return b.receive(from, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: m}})
 }
 
-func (b *bench) callerLeft(from EntryID, attempt *wire.AttemptID) []Action {
+func (b *harness) callerLeft(from EntryID, attempt *wire.AttemptID) []Action {
 	return b.cancelAttempt(from, attempt, wire.CancelCause_CANCEL_CAUSE_CALLER_LEFT)
 }
 
-func (b *bench) progress(attempt *wire.AttemptID, events ...string) []Action {
+func (b *harness) progress(attempt *wire.AttemptID, events ...string) []Action {
 	var data [][]byte
 	for _, event := range events {
 		data = append(data, []byte(event))
@@ -172,21 +172,21 @@
 	return b.step(EngineProgress{Attempt: attempt, Events: data})
 }
 
-func (b *bench) finish(attempt *wire.AttemptID) []Action {
-	return b.ends(attempt, engine.Outcome{End: engine.EndCompleted, Status: 200}, nil)
+func (b *harness) finish(attempt *wire.AttemptID) []Action {
+	return b.endRun(attempt, engine.Outcome{End: engine.EndCompleted, Status: 200}, nil)
 }
 
-func (b *bench) ends(attempt *wire.AttemptID, o engine.Outcome, err error) []Action {
+func (b *harness) endRun(attempt *wire.AttemptID, o engine.Outcome, err error) []Action {
 	return b.step(EngineEnded{Attempt: attempt, Outcome: o, Err: err, ContentType: "text/event-stream"})
 }
 
-// lost ends a run whose connection broke.
-func (b *bench) lost(attempt *wire.AttemptID) []Action {
-	return b.ends(attempt, engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown})
+// loseConnection ends a run whose connection broke.
+func (b *harness) loseConnection(attempt *wire.AttemptID) []Action {
+	return b.endRun(attempt, engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown})
 }
 
-// answer answers the last CancelEngine of an attempt.
-func (b *bench) answer(attempt *wire.AttemptID, r engine.CancelResult) []Action {
+// answerCancel answers the last CancelEngine of an attempt.
+func (b *harness) answerCancel(attempt *wire.AttemptID, r engine.CancelResult) []Action {
 	try := uint32(0)
 	for _, a := range b.actions {
 		if c, ok := a.(CancelEngine); ok && sameAttempt(c.Attempt, attempt) {
@@ -201,8 +201,8 @@
 	return a.GetRequest() == b.GetRequest() && a.GetNumber() == b.GetNumber()
 }
 
-// of returns the actions of one type.
-func of[T Action](actions []Action) []T {
+// actionsOf returns the actions actionsOf one type.
+func actionsOf[T Action](actions []Action) []T {
 	var out []T
 	for _, a := range actions {
 		if wanted, ok := a.(T); ok {
@@ -212,10 +212,10 @@
 	return out
 }
 
-// overs returns the Over messages sent, by entry.
-func overs(actions []Action, to EntryID) []*wire.Over {
+// oversTo returns the Over messages sent, by entry.
+func oversTo(actions []Action, to EntryID) []*wire.Over {
 	var out []*wire.Over
-	for _, s := range of[Send](actions) {
+	for _, s := range actionsOf[Send](actions) {
 		if o := s.Message.GetOver(); o != nil && s.Entry == to {
 			out = append(out, o)
 		}
@@ -226,7 +226,7 @@
 // onlyOver requires one Over with that proof.
 func onlyOver(t tester, actions []Action, to EntryID, proof wire.Proof) *wire.Over {
 	t.Helper()
-	list := overs(actions, to)
+	list := oversTo(actions, to)
 	require.Len(t, list, 1, "%v", list)
 	require.Equal(t, proof, list[0].Proof, "%v", list[0])
 	return list[0]
@@ -236,37 +236,37 @@
 	t.Helper()
 	over := onlyOver(t, actions, entryA, wire.Proof_PROOF_NEVER_STARTED)
 	require.Equal(t, code, result.Code(over.Code), over.Message)
-	require.Empty(t, of[StartEngine](actions))
+	require.Empty(t, actionsOf[StartEngine](actions))
 	return over
 }
 
 func startedIDs(actions []Action) []string {
 	var out []string
-	for _, s := range of[StartEngine](actions) {
-		out = append(out, string(streamID(s.Dispatch.Attempt.Request, s.Dispatch.Attempt.Number)))
+	for _, s := range actionsOf[StartEngine](actions) {
+		out = append(out, string(engineAttemptID(s.Dispatch.Attempt.Request, s.Dispatch.Attempt.Number)))
 	}
 	return out
 }
 
 func offeredIDs(actions []Action) []string {
 	var out []string
-	for _, s := range of[Send](actions) {
+	for _, s := range actionsOf[Send](actions) {
 		if o := s.Message.GetOffer(); o != nil {
-			out = append(out, string(streamID(o.Attempt.Request, o.Attempt.Number)))
+			out = append(out, string(engineAttemptID(o.Attempt.Request, o.Attempt.Number)))
 		}
 	}
 	return out
 }
 
 // start dispatches an attempt straight away and requires that it runs.
-func (b *bench) start(from EntryID, attempt *wire.AttemptID, w *wire.Work) {
+func (b *harness) start(from EntryID, attempt *wire.AttemptID, w *wire.Work) {
 	b.t.Helper()
 	actions := b.dispatch(from, attempt, w)
-	require.Len(b.t, of[StartEngine](actions), 1, "%v", actions)
+	require.Len(b.t, actionsOf[StartEngine](actions), 1, "%v", actions)
 }
 
-// fill takes all slots with tier-2 work of entry A.
-func (b *bench) fill() []*wire.AttemptID {
+// fillSlots takes all slots with tier-2 work of entry A.
+func (b *harness) fillSlots() []*wire.AttemptID {
 	b.t.Helper()
 	var all []*wire.AttemptID
 	for i := range b.gate.limit.announced {
@@ -277,7 +277,7 @@
 	return all
 }
 
-func noChartErrors(t tester, b *bench) {
+func noChartErrors(t tester, b *harness) {
 	t.Helper()
-	assert.Zero(t, b.gate.chartErrors, "%v", of[Count](b.actions))
+	assert.Zero(t, b.gate.chartErrors, "%v", actionsOf[Count](b.actions))
 }
--- a/gate/leases.go
+++ b/gate/leases.go
@@ -7,23 +7,23 @@
 
 // entryState is what is known of one run of an entry.
 type entryState struct {
-	id      EntryID
-	heard   time.Time // last heartbeat, link or first message
-	roomAt  time.Time // when the room was sent to this entry alone
-	active  bool      // it has sent something but heartbeats since then
-	up      bool      // its link is open
-	expired bool      // silent for longer than the lease
-	ended   bool      // control committed its end
+	id         EntryID
+	lastSeen   time.Time // last heartbeat, link or first message
+	roomSentAt time.Time // when the room was sent to this entry alone
+	active     bool      // it has sent something but heartbeats since then
+	connected  bool      // its link is open
+	expired    bool      // silent for longer than the lease
+	ended      bool      // control committed its end
 }
 
-// valid tells whether the entry's lease holds.
-func (e *entryState) valid() bool { return !e.expired && !e.ended }
+// leaseValid tells whether the entry's lease holds.
+func (e *entryState) leaseValid() bool { return !e.expired && !e.ended }
 
-// mayAsk tells whether messages of the entry count.
-func (e *entryState) mayAsk() bool { return !e.ended }
+// acceptsMessages tells whether messages of the entry count.
+func (e *entryState) acceptsMessages() bool { return !e.ended }
 
-// forgetEntryAfter is how long an expired entry without a link is kept.
-const forgetEntryAfter = 10 * time.Minute
+// entryRetention is how long an expired entry without a link is kept.
+const entryRetention = 10 * time.Minute
 
 // entryTable holds the entries in the order in which they were first heard, and the last ended incarnation of each.
 type entryTable struct {
@@ -42,7 +42,7 @@
 	if e := t.byID[id]; e != nil {
 		return e
 	}
-	e := &entryState{id: id, heard: now}
+	e := &entryState{id: id, lastSeen: now}
 	last, found := t.ended[id.Name]
 	e.ended = found && id.Incarnation <= last
 	t.byID[id] = e
@@ -50,10 +50,10 @@
 	return e
 }
 
-// forget drops entries that were silent for long and own nothing.
-func (t *entryTable) forget(now time.Time, owns func(*entryState) bool) {
+// removeExpired drops entries that were silent for long and own nothing.
+func (t *entryTable) removeExpired(now time.Time, owns func(*entryState) bool) {
 	t.order = slices.DeleteFunc(t.order, func(e *entryState) bool {
-		if e.up || e.valid() || now.Sub(e.heard) < forgetEntryAfter || owns(e) {
+		if e.connected || e.leaseValid() || now.Sub(e.lastSeen) < entryRetention || owns(e) {
 			return false
 		}
 		delete(t.byID, e.id)
@@ -61,10 +61,10 @@
 	})
 }
 
-func (g *Gate) entryUp(id EntryID) {
+func (g *Gate) entryConnected(id EntryID) {
 	e := g.entries.get(id, g.now)
-	e.up = true
-	g.renew(e)
+	e.connected = true
+	g.renewLease(e)
 	if e.ended || !g.cleared() {
 		return
 	}
@@ -72,13 +72,13 @@
 	g.resend(e)
 }
 
-func (g *Gate) entryDown(id EntryID) {
-	g.entries.get(id, g.now).up = false
+func (g *Gate) entryDisconnected(id EntryID) {
+	g.entries.get(id, g.now).connected = false
 }
 
-// roomRepeat is how often the room is sent to an entry that does nothing here, for one that missed a broadcast since its ring was
+// idleRoomInterval is how often the room is sent to an entry that does nothing here, for one that missed a broadcast since its ring was
 // full. Sent on each heartbeat to all, it was a fifth of the messages of a link at rest.
-const roomRepeat = time.Second
+const idleRoomInterval = time.Second
 
 // heartbeat renews the leases of all attempts of the entry, and tells it the room. One that has work here goes by room that it
 // counts its own attempts against, so it is told each time.
@@ -86,15 +86,15 @@
 	if e.ended {
 		return
 	}
-	g.renew(e)
-	if g.cleared() && (e.active || g.now.Sub(e.roomAt) >= roomRepeat) {
-		e.roomAt, e.active = g.now, false
+	g.renewLease(e)
+	if g.cleared() && (e.active || g.now.Sub(e.roomSentAt) >= idleRoomInterval) {
+		e.roomSentAt, e.active = g.now, false
 		g.send(e.id, g.roomMessage())
 	}
 }
 
-func (g *Gate) renew(e *entryState) {
-	e.heard = g.now
+func (g *Gate) renewLease(e *entryState) {
+	e.lastSeen = g.now
 	e.expired = false
 }
 
@@ -113,15 +113,15 @@
 // expireLeases looks for entries that are silent for longer than a lease.
 func (g *Gate) expireLeases() {
 	for _, e := range g.entries.order {
-		if e.valid() && g.now.Sub(e.heard) > g.config.LeaseDuration {
+		if e.leaseValid() && g.now.Sub(e.lastSeen) > g.config.LeaseDuration {
 			e.expired = true
 			g.endLease(e)
 		}
 	}
-	g.entries.forget(g.now, g.ownsAny)
+	g.entries.removeExpired(g.now, g.ownsAttempts)
 }
 
-func (g *Gate) ownsAny(e *entryState) bool {
+func (g *Gate) ownsAttempts(e *entryState) bool {
 	owned := func(a *attempt) bool { return a.owner == e }
 	return slices.ContainsFunc(g.runs, owned) || slices.ContainsFunc(g.held, owned) || g.waiting.contains(owned)
 }
@@ -136,9 +136,9 @@
 		}
 	}
 	for _, a := range owned {
-		if g.fire(a, onExpire, occasion{refusal: refuseExpired, cause: CauseLeaseExpired}) {
+		if g.fire(a, onExpire, eventDetails{refusal: refuseExpired, cause: CauseLeaseExpired}) {
 			g.emit(Count{Counter: LeasesExpired, Tier: a.tier(), Add: 1})
 		}
 	}
-	g.reportKept(e)
+	g.reportRetained(e)
 }
--- a/gate/leases_test.go
+++ b/gate/leases_test.go
@@ -13,9 +13,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// silentA lets time pass in which entry A says nothing.
-func (b *bench) silentA(d time.Duration) {
-	b.passWith(d, func() {
+// advanceWithoutEntryA lets time pass in which entry A says nothing.
+func (b *harness) advanceWithoutEntryA(d time.Duration) {
+	b.advanceWith(d, func() {
 		b.receive(entryB, heartbeat())
 		b.step(Announced{Server: b.gate.server.record})
 	})
@@ -34,26 +34,26 @@
 	// still running.
 	// Sequence: an entry dies, or control ends it, with work waiting and running here.
 	// Cause: work was tied to nothing that ends with its entry.
-	expiries := map[string]func(*bench){
-		"silent": func(b *bench) { b.silentA(DefaultLeaseDuration + time.Second) },
-		"ended":  func(b *bench) { b.step(EntryEnded{Entry: entryA}) },
+	expiries := map[string]func(*harness){
+		"silent": func(b *harness) { b.advanceWithoutEntryA(DefaultLeaseDuration + time.Second) },
+		"ended":  func(b *harness) { b.step(EntryEnded{Entry: entryA}) },
 	}
 	for name, expire := range expiries {
 		t.Run(name, func(t *testing.T) {
-			b := openBench(t)
+			b := newReadyHarness(t)
 			b.start(entryA, id("run", 1), work())
 			b.start(entryB, id("other", 1), work())
 			b.reserve(entryA, id("wait", 1), work())
 			b.reserve(entryB, id("other-wait", 1), work())
 			b.actions = nil
 			expire(b)
-			cancels := of[CancelEngine](b.actions)
+			cancels := actionsOf[CancelEngine](b.actions)
 			require.NotEmpty(t, cancels)
 			require.Equal(t, "run", cancels[0].Attempt.Request)
 			over := onlyOver(t, b.actions, entryA, neverStartedProof)
 			require.Equal(t, "wait", over.Attempt.Request)
 			require.EqualValues(t, result.LeaseExpired, over.Code)
-			proved := b.answer(id("run", 1), engine.CancelConfirmed)
+			proved := b.answerCancel(id("run", 1), engine.CancelConfirmed)
 			require.EqualValues(t, result.LeaseExpired, onlyOver(t, proved, entryA, cancelledProof).Code)
 			require.Equal(t, []string{"other-wait.1"}, offeredIDs(proved))
 			noChartErrors(t, b)
@@ -62,30 +62,30 @@
 }
 
 func TestHeartbeatsRenewLeases(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
-	b.pass(5 * DefaultLeaseDuration)
-	require.Empty(t, of[CancelEngine](b.actions))
+	b.advance(5 * DefaultLeaseDuration)
+	require.Empty(t, actionsOf[CancelEngine](b.actions))
 }
 
-func TestLostLinkAloneEndsNoLease(t *testing.T) {
-	b := openBench(t)
+func TestLostLinkKeepsTheLease(t *testing.T) {
+	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
 	b.step(EntryDisconnected{Entry: entryA})
-	b.silentA(DefaultLeaseDuration - time.Second)
-	require.Empty(t, of[CancelEngine](b.actions))
+	b.advanceWithoutEntryA(DefaultLeaseDuration - time.Second)
+	require.Empty(t, actionsOf[CancelEngine](b.actions))
 }
 
-func TestUnrepeatableCallIsLeftToFinishAndReported(t *testing.T) {
+func TestNonRepeatableCallFinishesAndIsReported(t *testing.T) {
 	// Symptom: a resident is charged and never learns it; or charged twice.
 	// Sequence: an entry dies while a pass is being issued. The caller comes back with the same key.
 	// Cause: the call was cancelled halfway, or its outcome went to the dead entry only.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 3<<epochShift+1)))
-	b.silentA(DefaultLeaseDuration + time.Second)
-	require.Empty(t, of[CancelEngine](b.actions))
+	b.advanceWithoutEntryA(DefaultLeaseDuration + time.Second)
+	require.Empty(t, actionsOf[CancelEngine](b.actions))
 	b.progress(id("r", 3<<epochShift+1), `{"pass":`, `1}`)
-	reports := of[ReportOutcome](b.finish(id("r", 3<<epochShift+1)))
+	reports := actionsOf[ReportOutcome](b.finish(id("r", 3<<epochShift+1)))
 	require.Len(t, reports, 1)
 	c := reports[0].Complete
 	require.Equal(t, "org", c.Organisation)
@@ -96,26 +96,26 @@
 	require.EqualValues(t, 200, c.Answer.Status)
 }
 
-func TestOutcomeThatItsEntryMayHaveLostIsReported(t *testing.T) {
+func TestOutcomeBeforeTheLeaseEndIsReported(t *testing.T) {
 	// Symptom: the record of an operation stays without an outcome although the agent had told its entry.
 	// Sequence: a call ends; its entry dies before it commits the outcome.
 	// Cause: only outcomes after the lease's end were reported.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.progress(id("r", 1), "done")
-	require.Empty(t, of[ReportOutcome](b.finish(id("r", 1))))
-	b.silentA(DefaultLeaseDuration + time.Second)
-	require.Len(t, of[ReportOutcome](b.actions), 1)
+	require.Empty(t, actionsOf[ReportOutcome](b.finish(id("r", 1))))
+	b.advanceWithoutEntryA(DefaultLeaseDuration + time.Second)
+	require.Len(t, actionsOf[ReportOutcome](b.actions), 1)
 }
 
-func TestReports(t *testing.T) {
+func TestReportedOutcomes(t *testing.T) {
 	cases := map[string]struct {
-		end     func(*bench) []Action
+		end     func(*harness) []Action
 		reports int
 		check   func(*testing.T, *wire.Answer)
 	}{
 		"too large": {
-			end: func(b *bench) []Action {
+			end: func(b *harness) []Action {
 				b.progress(id("r", 1), strings.Repeat("x", DefaultMaxAnswerBytes), "x")
 				return b.finish(id("r", 1))
 			},
@@ -126,21 +126,21 @@
 			},
 		},
 		"failed": {
-			end: func(b *bench) []Action {
-				return b.ends(id("r", 1), engine.Outcome{End: engine.EndFailed}, nil)
+			end: func(b *harness) []Action {
+				return b.endRun(id("r", 1), engine.Outcome{End: engine.EndFailed}, nil)
 			},
 			reports: 1,
 			check:   func(t *testing.T, a *wire.Answer) { require.EqualValues(t, result.EngineFailed, a.Code) },
 		},
-		"lost":       {end: func(b *bench) []Action { return b.lost(id("r", 1)) }},
-		"never sent": {end: func(b *bench) []Action { return b.ends(id("r", 1), engine.Outcome{}, engine.ErrNeverSent) }},
+		"lost":       {end: func(b *harness) []Action { return b.loseConnection(id("r", 1)) }},
+		"never sent": {end: func(b *harness) []Action { return b.endRun(id("r", 1), engine.Outcome{}, engine.ErrNeverSent) }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := openBench(t)
+			b := newReadyHarness(t)
 			b.dispatchOf(entryA, keyedCall(id("r", 1)))
 			b.step(EntryEnded{Entry: entryA})
-			reports := of[ReportOutcome](c.end(b))
+			reports := actionsOf[ReportOutcome](c.end(b))
 			require.Len(t, reports, c.reports)
 			if c.check != nil {
 				c.check(t, reports[0].Complete.Answer)
@@ -153,18 +153,18 @@
 	// Symptom: an operation is recorded as failed, or as an empty answer, although nobody knows what it did.
 	// Sequence: a keyed call is cancelled with the engine's confirmation; its entry dies.
 	// Cause: every end was taken for an outcome.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.callerLeft(entryA, id("r", 1))
-	onlyOver(t, b.answer(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
-	require.Empty(t, of[ReportOutcome](b.step(EntryEnded{Entry: entryA})))
+	onlyOver(t, b.answerCancel(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
+	require.Empty(t, actionsOf[ReportOutcome](b.step(EntryEnded{Entry: entryA})))
 }
 
-func TestWhatALostLinkDroppedIsRepeated(t *testing.T) {
+func TestMessagesDroppedByALostLinkAreResent(t *testing.T) {
 	// Symptom: a stream that was nearly whole is cut, and its prefill wasted.
 	// Sequence: a link is lost for less than a lease; events, an offer and an end are dropped with it.
 	// Cause: the gate sends each message once, and nobody repeats it.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
 	b.progress(id("run", 1), "a", "b")
 	b.start(entryA, id("done", 1), work())
@@ -181,12 +181,12 @@
 	require.Equal(t, [][]byte{[]byte("a"), []byte("b"), []byte("c")}, frames[0].Events)
 }
 
-func TestEntriesThatAreLongGoneAreForgotten(t *testing.T) {
-	b := openBench(t)
+func TestExpiredEntriesAreRemoved(t *testing.T) {
+	b := newReadyHarness(t)
 	for i := range 10 {
 		b.receive(EntryID{Name: fmt.Sprint("old-", i), Incarnation: 1}, heartbeat())
 	}
 	b.step(EntryDisconnected{Entry: entryA})
-	b.pass(forgetEntryAfter + 2*DefaultLeaseDuration)
+	b.advance(entryRetention + 2*DefaultLeaseDuration)
 	require.Len(t, b.gate.entries.order, 2)
 }
--- a/gate/machine_test.go
+++ b/gate/machine_test.go
@@ -28,10 +28,10 @@
 
 // modelStream is a run as the model engine sees it.
 type modelStream struct {
-	attempt  *wire.AttemptID
-	onTheWay bool // its dispatch has not reached the engine
-	running  bool // at the engine
-	open     bool // the agent's call has not returned
+	attempt   *wire.AttemptID
+	inTransit bool // its dispatch has not reached the engine
+	running   bool // at the engine
+	open      bool // the agent's call has not returned
 }
 
 // modelCancel is a cancel call under way.
@@ -60,17 +60,17 @@
 
 // machine is a gate between entries and an engine whose messages are late, lost and out of order.
 type machine struct {
-	*bench
-	rt       *rapid.T
-	streams  []*modelStream
-	cancels  []*modelCancel
-	requests []*modelRequest
-	bodies   []modelBody // on their way from entries to the gate
-	started  map[engine.AttemptID]bool
-	unsent   map[engine.AttemptID]bool // started, and the call never left the agent
-	never    map[engine.AttemptID]bool // promised never to start
-	lower    bool                      // lower-tier work ran or waited before the step
-	ended    map[EntryID]bool
+	*harness
+	rt            *rapid.T
+	streams       []*modelStream
+	cancels       []*modelCancel
+	requests      []*modelRequest
+	bodies        []modelBody // on their way from entries to the gate
+	started       map[engine.AttemptID]bool
+	unsent        map[engine.AttemptID]bool // started, and the call never left the agent
+	promisedNever map[engine.AttemptID]bool // promised never to start
+	lowerTierWork bool                      // lower-tier work ran or waited before the step
+	ended         map[EntryID]bool
 }
 
 const machineSlots = 2
@@ -81,62 +81,62 @@
 		OverRetention: time.Second, LeaseDuration: 2 * time.Second,
 	}
 	m := &machine{
-		bench:   openBenchWith(rt, config, sampleRecord(machineSlots)),
-		rt:      rt,
-		started: map[engine.AttemptID]bool{},
-		unsent:  map[engine.AttemptID]bool{},
-		never:   map[engine.AttemptID]bool{},
-		ended:   map[EntryID]bool{},
+		harness:       newReadyHarnessWith(rt, config, sampleRecord(machineSlots)),
+		rt:            rt,
+		started:       map[engine.AttemptID]bool{},
+		unsent:        map[engine.AttemptID]bool{},
+		promisedNever: map[engine.AttemptID]bool{},
+		ended:         map[EntryID]bool{},
 	}
 	return m
 }
 
-// do steps the gate and lets the model take what it wants.
-func (m *machine) do(e Event) {
-	m.lower = m.lowerWorkHere()
+// apply steps the gate and lets the model take what it wants.
+func (m *machine) apply(e Event) {
+	m.lowerTierWork = m.hasLowerTierWork()
 	for _, action := range m.gate.Step(m.now, e) {
-		m.take(action)
+		m.processAction(action)
 	}
 	m.checkGate()
 }
 
-func (m *machine) lowerWorkHere() bool {
+func (m *machine) hasLowerTierWork() bool {
 	lower := func(a *attempt) bool { return a.tier() > firstTier }
 	return slices.ContainsFunc(m.gate.held, lower) || m.gate.waiting.contains(lower)
 }
 
-func (m *machine) take(action Action) {
+func (m *machine) processAction(action Action) {
 	switch a := action.(type) {
 	case StartEngine:
-		m.takeStart(a.Dispatch.Attempt)
+		m.processStart(a.Dispatch.Attempt)
 	case CancelEngine:
 		m.cancels = append(m.cancels, &modelCancel{cancel: a})
 	case ListEngine:
 		m.rt.Fatalf("the engine was cleared before")
 	case Send:
-		m.takeMessage(a.Entry, a.Message)
+		m.processMessage(a.Entry, a.Message)
 	}
 }
 
-func (m *machine) takeStart(attempt *wire.AttemptID) {
-	name := streamID(attempt.Request, attempt.Number)
+func (m *machine) processStart(attempt *wire.AttemptID) {
+	name := engineAttemptID(attempt.Request, attempt.Number)
 	require.False(m.rt, m.started[name], "%s started twice", name)
-	require.False(m.rt, m.never[name], "%s started after the promise", name)
+	require.False(m.rt, m.promisedNever[name], "%s started after the promise", name)
 	m.started[name] = true
-	m.streams = append(m.streams, &modelStream{attempt: attempt, onTheWay: true, open: true})
+	m.streams = append(m.streams, &modelStream{attempt: attempt, inTransit: true, open: true})
 }
 
-func (m *machine) takeMessage(to EntryID, message *wire.AgentMessage) {
+func (m *machine) processMessage(to EntryID, message *wire.AgentMessage) {
 	if offer := message.GetOffer(); offer != nil {
-		m.takeOffer(to, offer)
+		m.processOffer(to, offer)
 	}
 	if over := message.GetOver(); over != nil {
 		m.checkOver(over)
-		m.takeOver(to, over)
+		m.processOver(to, over)
 	}
 }
 
-func (m *machine) takeOffer(to EntryID, offer *wire.Offer) {
+func (m *machine) processOffer(to EntryID, offer *wire.Offer) {
 	r := m.request(offer.Attempt.Request)
 	if r.owner != to || r.number != offer.Attempt.Number {
 		return
@@ -156,10 +156,10 @@
 	if over.Proof == unprovenProof {
 		return
 	}
-	name := streamID(over.Attempt.Request, over.Attempt.Number)
+	name := engineAttemptID(over.Attempt.Request, over.Attempt.Number)
 	for _, s := range m.streams {
 		same := s.attempt.Request == over.Attempt.Request && s.attempt.Number == over.Attempt.Number
-		require.False(m.rt, same && (s.running || s.onTheWay), "%s is proved over and isn't: %v", name, over)
+		require.False(m.rt, same && (s.running || s.inTransit), "%s is proved over and isn't: %v", name, over)
 	}
 	if over.Proof != neverStartedProof {
 		return
@@ -168,20 +168,20 @@
 	if over.Attempt.Number == 1<<epochShift { // asked by a new owner about all earlier attempts
 		for _, s := range m.streams {
 			earlier := s.attempt.Request == over.Attempt.Request && s.attempt.Number < over.Attempt.Number
-			require.False(m.rt, earlier && !m.unsent[streamID(s.attempt.Request, s.attempt.Number)], "%s ran", name)
+			require.False(m.rt, earlier && !m.unsent[engineAttemptID(s.attempt.Request, s.attempt.Number)], "%s ran", name)
 		}
 	}
-	repeated := m.never[name]
-	m.never[name] = true
+	repeated := m.promisedNever[name]
+	m.promisedNever[name] = true
 	r := m.request(over.Attempt.Request)
-	if r.tier == firstTier && m.lower && !repeated {
-		for _, no := range []refusal{refuseNoOffer, refuseLateOffer, refuseFull(0), refuseShed(0), refuseTooLate(0)} {
-			require.NotEqual(m.rt, no.message, over.Message, "%s is of the first tier", name)
+	if r.tier == firstTier && m.lowerTierWork && !repeated {
+		for _, refused := range []refusal{refuseNoOffer, refuseLapsedOffer, refuseFull(0), refuseShed(0), refuseTooLate(0)} {
+			require.NotEqual(m.rt, refused.message, over.Message, "%s is of the first tier", name)
 		}
 	}
 }
 
-func (m *machine) takeOver(to EntryID, over *wire.Over) {
+func (m *machine) processOver(to EntryID, over *wire.Over) {
 	r := m.request(over.Attempt.Request)
 	if r.owner == to && over.Attempt.Number >= r.asked && over.Attempt.Number == r.number && over.Proof != unprovenProof {
 		r.pending = false
@@ -197,7 +197,7 @@
 			running[s.attempt.Request]++
 			require.Equal(m.rt, 1, running[s.attempt.Request], "two runs of %s", s.attempt.Request)
 		}
-		if s.running || s.onTheWay {
+		if s.running || s.inTransit {
 			busy++
 		}
 	}
@@ -213,13 +213,13 @@
 func (m *machine) checkSums() {
 	var prefill, memory int64
 	for _, a := range m.gate.held {
-		prefill += a.run.prefill
-		memory += a.run.memory
+		prefill += a.run.pendingPrefill
+		memory += a.run.cacheTokens
 	}
 	waiting := 0
 	m.gate.waiting.each(func(*attempt) { waiting++ })
-	require.Equal(m.rt, prefill, m.gate.use.prefill)
-	require.Equal(m.rt, memory, m.gate.use.memory)
+	require.Equal(m.rt, prefill, m.gate.usage.prefillTokens)
+	require.Equal(m.rt, memory, m.gate.usage.memoryTokens)
 	require.Equal(m.rt, waiting, m.gate.waiting.count)
 }
 
@@ -257,7 +257,7 @@
 
 func isPending(r *modelRequest) bool { return r.pending }
 
-func (m *machine) arrive(rt *rapid.T) {
+func (m *machine) newRequest(rt *rapid.T) {
 	name := fmt.Sprintf("%d-request", len(m.requests))
 	owner := rapid.SampledFrom([]EntryID{entryA, entryB}).Draw(rt, "entry")
 	if m.ended[owner] || len(m.requests) >= 12 {
@@ -267,8 +267,8 @@
 	m.requests = append(m.requests, &modelRequest{name: name, owner: owner, tier: tier})
 }
 
-// attempt begins the next attempt of a request whose earlier ones are proved over.
-func (m *machine) attempt(rt *rapid.T) {
+// startAttempt begins the next startAttempt of a request whose earlier ones are proved over.
+func (m *machine) startAttempt(rt *rapid.T) {
 	r := m.pickRequest(rt, func(r *modelRequest) bool { return !r.pending && r.number < 6 })
 	r.number++
 	r.pending = true
@@ -277,7 +277,7 @@
 		return
 	}
 	message := &wire.Reserve{Attempt: r.id(), Server: sampleServer, Work: r.work()}
-	m.do(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: message}}})
+	m.apply(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: message}}})
 }
 
 // bodyArrives delivers a body, in any order, perhaps long after its entry gave it up.
@@ -293,13 +293,13 @@
 	if rapid.Bool().Draw(rt, "once") {
 		m.bodies = slices.Delete(m.bodies, at, at+1)
 	}
-	m.do(MessageReceived{body.from, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: body.dispatch}}})
+	m.apply(MessageReceived{body.from, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: body.dispatch}}})
 }
 
-func (m *machine) cancelIt(rt *rapid.T) {
+func (m *machine) cancelRequest(rt *rapid.T) {
 	r := m.pickRequest(rt, isPending)
 	message := &wire.Cancel{Attempt: r.id(), Server: sampleServer, Cause: retryCause}
-	m.do(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
+	m.apply(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
 }
 
 // endEntry ends an entry; the other one takes its requests over and asks about all earlier attempts.
@@ -308,7 +308,7 @@
 		rt.Skip("not now")
 	}
 	m.ended[entryA] = true
-	m.do(EntryEnded{Entry: entryA})
+	m.apply(EntryEnded{Entry: entryA})
 	for _, r := range m.requests {
 		if r.owner != entryA {
 			continue
@@ -317,7 +317,7 @@
 		r.number = 1 << epochShift
 		r.asked = r.number
 		message := &wire.Cancel{Attempt: r.id(), Server: sampleServer, Cause: takeoverCause}
-		m.do(MessageReceived{entryB, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
+		m.apply(MessageReceived{entryB, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
 	}
 }
 
@@ -335,14 +335,14 @@
 }
 
 func (m *machine) reachesEngine(rt *rapid.T) {
-	s := m.pickStream(rt, func(s *modelStream) bool { return s.onTheWay })
-	s.onTheWay, s.running = false, true
+	s := m.pickStream(rt, func(s *modelStream) bool { return s.inTransit })
+	s.inTransit, s.running = false, true
 	m.checkGate()
 }
 
-func (m *machine) token(rt *rapid.T) {
+func (m *machine) produceToken(rt *rapid.T) {
 	s := m.pickStream(rt, func(s *modelStream) bool { return s.running && s.open })
-	m.do(EngineProgress{Attempt: s.attempt, Events: [][]byte{[]byte("x")}})
+	m.apply(EngineProgress{Attempt: s.attempt, Events: [][]byte{[]byte("x")}})
 }
 
 // runEnds ends a run by itself, by an error, by its connection, or before it was sent.
@@ -351,21 +351,21 @@
 	s.open = false
 	e := EngineEnded{Attempt: s.attempt}
 	switch {
-	case s.onTheWay && rapid.Bool().Draw(rt, "never sent"):
+	case s.inTransit && rapid.Bool().Draw(rt, "never sent"):
 		e.Err = engine.ErrNeverSent
-		m.unsent[streamID(s.attempt.Request, s.attempt.Number)] = true
-		s.onTheWay = false
-	case s.onTheWay || s.running && rapid.Bool().Draw(rt, "lost"):
+		m.unsent[engineAttemptID(s.attempt.Request, s.attempt.Number)] = true
+		s.inTransit = false
+	case s.inTransit || s.running && rapid.Bool().Draw(rt, "lost"):
 		// What has not arrived by then never does; what runs goes on.
 		e.Err = engine.ErrUnknown
-		s.onTheWay = false
+		s.inTransit = false
 	case s.running:
 		e.Outcome.End = rapid.SampledFrom([]engine.End{engine.EndCompleted, engine.EndFailed}).Draw(rt, "end")
 		s.running = false
 	default:
 		e.Outcome.End = engine.EndCancelled
 	}
-	m.do(e)
+	m.apply(e)
 }
 
 func (m *machine) cancelArrives(rt *rapid.T) {
@@ -387,7 +387,7 @@
 	if rapid.IntRange(0, 3).Draw(rt, "fails") == 0 {
 		e.Result, e.Err = engine.CancelNone, engine.ErrUnknown
 	}
-	m.do(e)
+	m.apply(e)
 }
 
 func (m *machine) pickCancel(rt *rapid.T, answered bool) *modelCancel {
@@ -403,15 +403,15 @@
 	return rapid.SampledFrom(all).Draw(rt, "cancel")
 }
 
-func (m *machine) time(rt *rapid.T) {
+func (m *machine) advanceTime(rt *rapid.T) {
 	for range rapid.IntRange(1, 30).Draw(rt, "ticks") {
 		m.now = m.now.Add(TickInterval)
-		m.do(Tick{})
+		m.apply(Tick{})
 	}
-	m.do(Announced{Server: sampleRecord(machineSlots)})
+	m.apply(Announced{Server: sampleRecord(machineSlots)})
 	for _, e := range []EntryID{entryA, entryB} {
 		if rapid.IntRange(0, 9).Draw(rt, "silent") > 0 {
-			m.do(MessageReceived{e, heartbeat()})
+			m.apply(MessageReceived{e, heartbeat()})
 		}
 	}
 }
@@ -420,25 +420,25 @@
 	if rapid.IntRange(0, 20).Draw(rt, "seldom") > 0 {
 		rt.Skip("not now")
 	}
-	m.do(Leaving{})
+	m.apply(Leaving{})
 }
 
-func TestMachine(t *testing.T) {
+func TestRandomSchedulesAgainstModelEngine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMachine(rt)
 		rt.Repeat(map[string]func(*rapid.T){
-			"arrive":          m.arrive,
-			"attempt":         m.attempt,
-			"attempt again":   m.attempt,
+			"arrive":          m.newRequest,
+			"attempt":         m.startAttempt,
+			"attempt again":   m.startAttempt,
 			"body arrives":    m.bodyArrives,
-			"cancel":          m.cancelIt,
+			"cancel":          m.cancelRequest,
 			"end entry":       m.endEntry,
 			"reaches engine":  m.reachesEngine,
-			"token":           m.token,
+			"token":           m.produceToken,
 			"run ends":        m.runEnds,
 			"cancel arrives":  m.cancelArrives,
 			"cancel answered": m.cancelAnswered,
-			"time":            m.time,
+			"time":            m.advanceTime,
 			"leave":           m.leave,
 		})
 	})
@@ -446,7 +446,7 @@
 
 func TestBackloggedOrganisationsGetEqualShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := openBenchWith(rt, Config{NoPredecessor: true}, sampleRecord(1))
+		b := newReadyHarnessWith(rt, Config{NoPredecessor: true}, sampleRecord(1))
 		b.start(entryA, id("first", 1), work())
 		costs := map[string]int64{}
 		served := map[string]int64{}
@@ -461,7 +461,7 @@
 			})
 			works[name] = w
 			costs[name] = int64(w.PromptTokens) + int64(rapid.IntRange(1, 500).Draw(rt, "output"))
-			most = max(most, costs[name], b.gate.estimate(w))
+			most = max(most, costs[name], b.gate.estimateCost(w))
 		}
 		number := uint64(0)
 		refill := func(name string) {
@@ -476,7 +476,7 @@
 		}
 		next := b.finish(id("first", 1))
 		for range 300 {
-			offers := of[Send](next)
+			offers := actionsOf[Send](next)
 			at := slices.IndexFunc(offers, func(s Send) bool { return s.Message.GetOffer() != nil })
 			require.GreaterOrEqual(rt, at, 0)
 			attempt := offers[at].Message.GetOffer().Attempt
--- a/gate/memory.go
+++ b/gate/memory.go
@@ -6,60 +6,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// memory remembers, by digest, the keyed requests that ran here and whose records are forgotten.
+// requestHistory remembers, by digest, the keyed requests that ran here and whose records are forgotten.
 //
 // Another entry may take a keyed operation over hours later and ask this agent what became of it. Without the
-// memory the gate would answer that the attempt never started, since it has no record any more; the work would run
+// requestHistory the gate would answer that the attempt never started, since it has no record any more; the work would run
 // a second time.
-type memory struct {
-	capacity  int
-	life      time.Duration
-	young     map[uint64]struct{}
-	old       map[uint64]struct{}
-	turned    time.Time // when young was begun
-	lossUntil time.Time // until then requests may be asked about that were dropped for want of capacity
+type requestHistory struct {
+	capacity        int
+	lifetime        time.Duration
+	recent          map[uint64]struct{}
+	previous        map[uint64]struct{}
+	rotatedAt       time.Time // when young was begun
+	incompleteUntil time.Time // until then requests may be asked about that were dropped for want of capacity
 }
 
-func newMemory(capacity int, life time.Duration) memory {
-	return memory{capacity: capacity, life: life, young: map[uint64]struct{}{}}
+func newRequestHistory(capacity int, life time.Duration) requestHistory {
+	return requestHistory{capacity: capacity, lifetime: life, recent: map[uint64]struct{}{}}
 }
 
-func (m *memory) begin(now time.Time) { m.turned = now }
+func (m *requestHistory) start(now time.Time) { m.rotatedAt = now }
 
-func (m *memory) add(request string, now time.Time) {
-	if len(m.young) >= m.capacity {
-		if len(m.old) > 0 {
-			m.lossUntil = now.Add(m.life)
+func (m *requestHistory) add(request string, now time.Time) {
+	if len(m.recent) >= m.capacity {
+		if len(m.previous) > 0 {
+			m.incompleteUntil = now.Add(m.lifetime)
 		}
-		m.turn(now)
+		m.rotate(now)
 	}
-	m.young[xxhash.Sum64String(request)] = struct{}{}
+	m.recent[xxhash.Sum64String(request)] = struct{}{}
 }
 
-// may tells whether the request may have run here: it is remembered, or has the digest of one that is, or could be
+// mayContain tells whether the request mayContain have run here: it is remembered, or has the digest of one that is, or could be
 // one of those dropped early.
-func (m *memory) may(request string, now time.Time) bool {
-	if now.Before(m.lossUntil) {
+func (m *requestHistory) mayContain(request string, now time.Time) bool {
+	if now.Before(m.incompleteUntil) {
 		return true
 	}
 	digest := xxhash.Sum64String(request)
-	if _, found := m.young[digest]; found {
+	if _, found := m.recent[digest]; found {
 		return true
 	}
-	_, found := m.old[digest]
+	_, found := m.previous[digest]
 	return found
 }
 
-// age begins a new generation once the young one is a whole life old, so that each request is remembered for one
+// rotateIfDue begins a new generation once the young one is a whole life old, so that each request is remembered for one
 // life at least and two at most.
-func (m *memory) age(now time.Time) {
-	if now.Sub(m.turned) >= m.life {
-		m.turn(now)
+func (m *requestHistory) rotateIfDue(now time.Time) {
+	if now.Sub(m.rotatedAt) >= m.lifetime {
+		m.rotate(now)
 	}
 }
 
-func (m *memory) turn(now time.Time) {
-	m.old = m.young
-	m.young = map[uint64]struct{}{}
-	m.turned = now
+func (m *requestHistory) rotate(now time.Time) {
+	m.previous = m.recent
+	m.recent = map[uint64]struct{}{}
+	m.rotatedAt = now
 }
--- a/gate/offers.go
+++ b/gate/offers.go
@@ -9,50 +9,50 @@
 // maxLapses is how many offers an entry may leave unanswered before its reservation is refused.
 const maxLapses = 3
 
-// pump starts the attempts whose body was asked for ahead, and gives room to waiting attempts, the best first, until
+// schedule starts the attempts whose body was asked for ahead, and gives room to waiting attempts, the best first, until
 // the best one has none. It stops there rather than let smaller ones past: a large attempt would otherwise wait for
 // ever for its room.
-func (g *Gate) pump() {
-	g.startReady(firstTier)
-	g.giveRoom()
-	g.startReady(lowestTier)
+func (g *Gate) schedule() {
+	g.startAdmitted(firstTier)
+	g.admitWaiting()
+	g.startAdmitted(lowestTier)
 }
 
-func (g *Gate) giveRoom() {
-	g.blocked = roomEnough
+func (g *Gate) admitWaiting() {
+	g.blocked = notBlocked
 	for g.waiting.count > 0 {
-		if g.nothingFree() {
+		if g.noCapacity() {
 			return
 		}
 		a := g.nextWaiting()
 		if a == nil {
 			return
 		}
-		if g.blocked = g.noRoom(a); g.blocked != roomEnough {
-			if g.blocked != whyAlone && g.protectFirstTier(a) {
+		if g.blocked = g.blockReasonOf(a); g.blocked != notBlocked {
+			if g.blocked != blockedExclusive && g.protectFirstTier(a) {
 				continue
 			}
 			return
 		}
-		if !g.give(a) {
+		if !g.grantRoom(a) {
 			return
 		}
 	}
 }
 
-// nothingFree is a cheap test that spares ordering the waiting ones when nothing could come of it.
-func (g *Gate) nothingFree() bool {
-	if g.closed() != roomEnough {
-		g.blocked = g.closed()
+// noCapacity is a cheap test that spares ordering the waiting ones when nothing could come of it.
+func (g *Gate) noCapacity() bool {
+	if g.serverBlock() != notBlocked {
+		g.blocked = g.serverBlock()
 		return true
 	}
-	if g.blocked = g.throttled(); g.blocked != roomEnough {
+	if g.blocked = g.throttleBlock(); g.blocked != notBlocked {
 		return true
 	}
-	if len(g.held) < g.limit.slots()+g.mostAhead() || g.firstTierWaits() {
+	if len(g.held) < g.limit.slots()+g.maxEarlyOffers() || g.firstTierWaits() {
 		return false
 	}
-	g.blocked = whySlots
+	g.blocked = blockedSlots
 	return true
 }
 
@@ -64,18 +64,18 @@
 	if g.server.state == serverSuspect {
 		return g.probes.candidate(g)
 	}
-	return g.best()
+	return g.bestWaiting()
 }
 
-// give starts an attempt whose body is here, and offers room to one whose body is at its entry.
-func (g *Gate) give(a *attempt) bool {
+// grantRoom starts an attempt whose body is here, and offers room to one whose body is at its entry.
+func (g *Gate) grantRoom(a *attempt) bool {
 	if g.server.state == serverSuspect {
-		g.probes.begin(g)
+		g.probes.start(g)
 	}
 	if a.state == admitted {
-		return g.fire(a, onStart, occasion{})
+		return g.fire(a, onStart, eventDetails{})
 	}
-	return g.fire(a, onOffer, occasion{})
+	return g.fire(a, onOffer, eventDetails{})
 }
 
 // sendOffer asks the entry for the body and keeps the room for a while.
@@ -101,10 +101,10 @@
 	a.wait.lapses++
 	a.wait.late = true
 	if a.wait.lapses >= maxLapses {
-		g.refuseWaiting(a, refuseLapsed)
+		g.refuseWaiting(a, refuseUnanswered)
 		return
 	}
-	g.fire(a, onLapse, occasion{})
+	g.fire(a, onLapse, eventDetails{})
 }
 
 // lapseAllOffers takes all offers back: the server is suspect and gets no new work. Bodies that came ahead go back.
@@ -112,16 +112,16 @@
 	for _, a := range slices.Clone(g.held) {
 		switch a.state {
 		case offered:
-			g.fire(a, onLapse, occasion{})
+			g.fire(a, onLapse, eventDetails{})
 		case admitted:
-			g.refuseWaiting(a, refuseLateOffer)
+			g.refuseWaiting(a, refuseLapsedOffer)
 		}
 	}
 }
 
 // roomForDispatch tells whether a body that came without a kept offer may start: not past others that wait.
 func (g *Gate) roomForDispatch(a *attempt) bool {
-	if g.noRoom(a) != roomEnough {
+	if g.blockReasonOf(a) != notBlocked {
 		return false
 	}
 	others := g.waiting.count
--- a/gate/order.go
+++ b/gate/order.go
@@ -12,13 +12,13 @@
 // firstTier is the tier that is never refused for want of room while lower-tier work runs or waits.
 const firstTier = 1
 
-// waiting holds the attempts that wait, in the order of design section 5: tier; work that can meet its deadline
+// waitingList holds the attempts that wait, in the order of design section 5: tier; work that can meet its deadline
 // before work that can't; urgency of the class; organisation by start-time fair queueing; deadline. Nothing in it
 // depends on the entry, the availability zone or the server.
-type waiting struct {
-	tiers []*tierQueues // by tier, the highest first
-	count int
-	taken takenShare
+type waitingList struct {
+	tiers       []*tierQueues // by tier, the highest first
+	count       int
+	servedShare servedShare
 }
 
 // tierQueues holds one tier. Virtual time is kept by tier: what an organisation gets in one tier is not held
@@ -28,7 +28,7 @@
 	queues  []*queue // in order of creation
 	classes map[string]*classState
 	clock   *fair.Clock
-	present presence
+	active  activeOrganisations
 	count   int
 }
 
@@ -54,9 +54,9 @@
 
 func (q *queue) len() int { return len(q.timely) + len(q.late) }
 
-func newWaiting() waiting { return waiting{} }
+func newWaitingList() waitingList { return waitingList{} }
 
-func (w *waiting) tier(tier uint32) *tierQueues {
+func (w *waitingList) tier(tier uint32) *tierQueues {
 	at, found := slices.BinarySearchFunc(w.tiers, tier, func(t *tierQueues, tier uint32) int {
 		return int(t.tier) - int(tier)
 	})
@@ -67,8 +67,8 @@
 	return w.tiers[at]
 }
 
-// pruneQueues is the number of queues of a tier beyond which empty ones are dropped.
-const pruneQueues = 64
+// pruneQueuesAbove is the number of queues of a tier beyond which empty ones are dropped.
+const pruneQueuesAbove = 64
 
 func (t *tierQueues) queue(w *wire.Work) *queue {
 	for _, q := range t.queues {
@@ -76,7 +76,7 @@
 			return q
 		}
 	}
-	if len(t.queues) >= pruneQueues {
+	if len(t.queues) >= pruneQueuesAbove {
 		t.queues = slices.DeleteFunc(t.queues, func(q *queue) bool { return q.len() == 0 })
 	}
 	q := &queue{tier: t, class: t.class(w.GetClass()), organisation: w.GetOrganisation(), precedence: w.GetPrecedence()}
@@ -126,7 +126,7 @@
 	heap.Remove(a.wait.heap, a.wait.index)
 	a.wait.heap = nil
 	t := a.wait.queue.tier
-	t.present.note(t, a.wait.queue.organisation, g.now)
+	t.active.touch(t, a.wait.queue.organisation, g.now)
 	t.clock.Leave(a.wait.queue.organisation)
 	t.count--
 	g.waiting.count--
@@ -150,46 +150,46 @@
 	a.wait.queue.push(a)
 }
 
-// best returns the waiting attempt that goes next, or nil.
-func (g *Gate) best() *attempt {
+// bestWaiting returns the waiting attempt that goes next, or nil.
+func (g *Gate) bestWaiting() *attempt {
 	for _, t := range g.waiting.tiers {
-		if a := g.bestOf(t); a != nil {
+		if a := g.bestInTier(t); a != nil {
 			return a
 		}
 	}
 	return nil
 }
 
-func (g *Gate) bestOf(t *tierQueues) *attempt {
+func (g *Gate) bestInTier(t *tierQueues) *attempt {
 	if t.count == 0 {
 		return nil
 	}
-	g.sortOut(t)
-	g.weighClasses(t)
-	if a := t.pick(func(q *queue) attemptHeap { return q.timely }); a != nil {
+	g.settleMissedHeads(t)
+	g.updateBands(t)
+	if a := t.bestHead(func(q *queue) attemptHeap { return q.timely }); a != nil {
 		return a
 	}
-	return t.pick(func(q *queue) attemptHeap { return q.late })
+	return t.bestHead(func(q *queue) attemptHeap { return q.late })
 }
 
-// pick compares the heads of all queues.
-func (t *tierQueues) pick(of func(*queue) attemptHeap) *attempt {
+// bestHead compares the heads of all queues.
+func (t *tierQueues) bestHead(headsOf func(*queue) attemptHeap) *attempt {
 	var best *attempt
 	var bestTag int64
 	for _, q := range t.queues {
-		heads := of(q)
+		heads := headsOf(q)
 		if len(heads) == 0 {
 			continue
 		}
 		tag := t.clock.Tag(q.organisation)
-		if best == nil || before(heads[0], tag, best, bestTag) {
+		if best == nil || precedes(heads[0], tag, best, bestTag) {
 			best, bestTag = heads[0], tag
 		}
 	}
 	return best
 }
 
-func before(a *attempt, tag int64, b *attempt, otherTag int64) bool {
+func precedes(a *attempt, tag int64, b *attempt, otherTag int64) bool {
 	if x, y := a.wait.queue.band(), b.wait.queue.band(); x != y {
 		return x > y
 	}
@@ -216,15 +216,15 @@
 	return a.deadline.Before(b.deadline)
 }
 
-// sortOut moves heads that can't meet their deadline any more out of the way. Classes that must not be late lose
+// settleMissedHeads moves heads that can't meet their deadline any more out of the way. Classes that must not be late lose
 // them here, before any prefill is spent; the first tier is never refused for want of room, only once its deadline
 // has passed.
-func (g *Gate) sortOut(t *tierQueues) {
+func (g *Gate) settleMissedHeads(t *tierQueues) {
 	for _, q := range t.queues {
-		for len(q.timely) > 0 && g.misses(q.timely[0], 0) {
+		for len(q.timely) > 0 && g.missesDeadline(q.timely[0], 0) {
 			a := q.timely[0]
-			a.wait.queue.class.noteLate(true)
-			if a.work.GetMayBeLate() || a.tier() == firstTier && !g.passed(a) {
+			a.wait.queue.class.recordLateness(true)
+			if a.work.GetMayBeLate() || a.tier() == firstTier && !g.deadlinePassed(a) {
 				a.makeLate()
 				continue
 			}
@@ -234,23 +234,23 @@
 }
 
 func (g *Gate) lateRefusal(a *attempt) refusal {
-	if g.passed(a) {
+	if g.deadlinePassed(a) {
 		return refuseDeadline
 	}
 	return refuseTooLate(g.backlog())
 }
 
-func (g *Gate) passed(a *attempt) bool {
+func (g *Gate) deadlinePassed(a *attempt) bool {
 	return !a.deadline.IsZero() && !g.now.Before(a.deadline)
 }
 
-// misses tells whether an attempt that starts after a wait is predicted to end after its deadline. The answer has to
+// missesDeadline tells whether an attempt that starts after a wait is predicted to end after its deadline. The answer has to
 // get to the entry as well: without the time for that, calls end in time here and late there.
-func (g *Gate) misses(a *attempt, wait time.Duration) bool {
+func (g *Gate) missesDeadline(a *attempt, wait time.Duration) bool {
 	if a.deadline.IsZero() {
 		return false
 	}
-	return g.now.Add(wait + g.predict(a.work) + g.ahead.mean).After(a.deadline)
+	return g.now.Add(wait + g.predictRuntime(a.work) + g.offerLatency.mean).After(a.deadline)
 }
 
 // attemptHeap orders attempts by deadline and arrival, for container/heap.
--- a/gate/over.go
+++ b/gate/over.go
@@ -10,9 +10,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// strength orders proofs by how much they say about having run. Where attempts of one request ended differently, a
+// proofStrength orders proofs by how much they say about having run. Where attempts of one request ended differently, a
 // proof for all of them is the strongest.
-func strength(p wire.Proof) int {
+func proofStrength(p wire.Proof) int {
 	switch p {
 	case wire.Proof_PROOF_COMPLETED:
 		return 3
@@ -26,16 +26,16 @@
 }
 
 // keepTombstone makes sure that nothing up to the attempt, or up to what its cancel names, starts any more.
-func (g *Gate) keepTombstone(a *attempt, o *occasion) {
+func (g *Gate) keepTombstone(a *attempt, o *eventDetails) {
 	r := a.record
-	r.raise(max(a.number, o.asker.number))
+	r.raiseFloor(max(a.number, o.inquirer.number))
 	if r.current == a {
 		r.current = nil
 	}
 	a.dropBody()
-	if a.begun() {
-		r.last = a
-		r.await(a)
+	if a.hasStarted() {
+		r.lastRun = a
+		r.awaitEvents(a)
 	}
 	from := g.now
 	if a.deadline.After(from) {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (g *Gate) replyNeverStarted(a *attempt, o *occasion) {
+func (g *Gate) replyNeverStarted(a *attempt, o *eventDetails) {
 	over := &wire.Over{
 		Proof:        wire.Proof_PROOF_NEVER_STARTED,
 		Code:         uint32(o.refusal.code),
@@ -64,20 +64,20 @@
 		RetryAfterMs: uint32(o.refusal.retryAfter / time.Millisecond),
 		Unsent:       o.unsent,
 	}
-	if !a.unheard {
+	if !a.cancelOnly {
 		g.emit(Count{Counter: Refusals, Code: uint16(o.refusal.code), Tier: a.tier(), Add: 1})
 	}
-	g.conclude(a, o, over)
+	g.sendOver(a, o, over)
 }
 
-func (g *Gate) replyCancelled(a *attempt, o *occasion) {
+func (g *Gate) replyCancelled(a *attempt, o *eventDetails) {
 	over := &wire.Over{
 		Proof:   wire.Proof_PROOF_CANCELLED,
 		Code:    uint32(cancelCode(a.cancel.cause)),
 		Message: "the engine confirmed its end: " + a.cancel.cause,
-		Began:   o.knows || a.frames.count > 0,
+		Began:   o.engineKnew || a.frames.count > 0,
 	}
-	g.conclude(a, o, over)
+	g.sendOver(a, o, over)
 }
 
 func cancelCode(cause string) result.Code {
@@ -95,7 +95,7 @@
 
 // replyOutcome says how the engine itself ended the attempt. An engine that says it did not begin the work still
 // had the body, so "never started", which is the gate's own promise, isn't said.
-func (g *Gate) replyOutcome(a *attempt, o *occasion) {
+func (g *Gate) replyOutcome(a *attempt, o *eventDetails) {
 	outcome := o.end.Outcome
 	over := &wire.Over{Proof: wire.Proof_PROOF_COMPLETED}
 	switch {
@@ -110,81 +110,81 @@
 		over.Code = uint32(result.EngineFailed)
 		over.Message = "the engine ended it with an error"
 	}
-	g.conclude(a, o, over)
-	g.keepForControl(a, over)
+	g.sendOver(a, o, over)
+	g.reportIfOrphaned(a, over)
 }
 
-// conclude completes an Over, keeps it and sends it to all who wait for it.
-func (g *Gate) conclude(a *attempt, o *occasion, over *wire.Over) {
+// sendOver completes an Over, keeps it and sends it to all who wait for it.
+func (g *Gate) sendOver(a *attempt, o *eventDetails, over *wire.Over) {
 	over.Attempt = a.id()
 	over.Server = a.server
-	over.WastedPrefillTokens = a.run.wasted
+	over.WastedPrefillTokens = a.run.wastedPrefill
 	over.Crash = a.crash
-	if over.Proof == wire.Proof_PROOF_CANCELLED && a.cancel.tier > 0 {
-		over.PreemptedByTier = a.cancel.tier
+	if over.Proof == wire.Proof_PROOF_CANCELLED && a.cancel.preemptorTier > 0 {
+		over.PreemptedByTier = a.cancel.preemptorTier
 		over.Resumable = g.resumable(a)
 	}
-	g.remember(a, over)
-	if !a.unheard {
+	g.recordEnd(a, over)
+	if !a.cancelOnly {
 		g.send(a.owner.id, overMessage(over))
 	}
-	a.addAsker(o.asker)
-	for _, who := range a.cancel.askers {
-		g.answerCancel(a.record, who)
+	a.addInquirer(o.inquirer)
+	for _, inq := range a.cancel.inquirers {
+		g.answerCancel(a.record, inq)
 	}
 }
 
-// remember notes the end in the record.
-func (g *Gate) remember(a *attempt, over *wire.Over) {
-	if a.unheard {
+// recordEnd notes the end in the record.
+func (g *Gate) recordEnd(a *attempt, over *wire.Over) {
+	if a.cancelOnly {
 		return
 	}
 	r := a.record
-	g.keepOver(a, over)
-	if !a.begun() {
-		r.refused = over
-		r.refusedBy = a.owner.id
+	g.retainOver(a, over)
+	if !a.hasStarted() {
+		r.lastRefused = over
+		r.refusedOwner = a.owner.id
 		return
 	}
-	r.answer = over
+	r.lastRunOver = over
 	if over.Proof == wire.Proof_PROOF_NEVER_STARTED {
 		return
 	}
-	r.ran = max(r.ran, a.number)
-	if strength(over.Proof) > strength(r.proof) {
+	r.highestRun = max(r.highestRun, a.number)
+	if proofStrength(over.Proof) > proofStrength(r.proof) {
 		r.proof = over.Proof
 	}
 }
 
-// addAsker notes who else waits for the proof. The owner gets the Over of its attempt without that.
-func (a *attempt) addAsker(who asker) {
-	if who.entry == (EntryID{}) || !a.unheard && who.entry == a.owner.id && who.number == a.number {
+// addInquirer notes who else waits for the proof. The owner gets the Over of its attempt without that.
+func (a *attempt) addInquirer(inq inquirer) {
+	if inq.entry == (EntryID{}) || !a.cancelOnly && inq.entry == a.owner.id && inq.number == a.number {
 		return
 	}
-	for _, known := range a.cancel.askers {
-		if known == who {
+	for _, known := range a.cancel.inquirers {
+		if known == inq {
 			return
 		}
 	}
-	a.cancel.askers = append(a.cancel.askers, who)
+	a.cancel.inquirers = append(a.cancel.inquirers, inq)
 }
 
 // replyUnproven tells the owner once, and whoever asks each time, that the attempt may be going on.
-func (g *Gate) replyUnproven(a *attempt, o *occasion) {
-	a.addAsker(o.asker)
+func (g *Gate) replyUnproven(a *attempt, o *eventDetails) {
+	a.addInquirer(o.inquirer)
 	final := a.unprovable()
-	if o.asker.entry != (EntryID{}) {
-		g.unproven(o.asker, a.record.request, final)
+	if o.inquirer.entry != (EntryID{}) {
+		g.sendUnproven(o.inquirer, a.record.request, final)
 		return
 	}
-	if a.cancel.toldUnsure && (!final || a.cancel.toldFinal) {
+	if a.cancel.unprovenSent && (!final || a.cancel.unprovableSent) {
 		return
 	}
-	a.cancel.toldUnsure = true
-	a.cancel.toldFinal = final
-	g.unproven(asker{entry: a.owner.id, number: a.number, server: a.server}, a.record.request, final)
-	for _, who := range a.cancel.askers {
-		g.unproven(who, a.record.request, final)
+	a.cancel.unprovenSent = true
+	a.cancel.unprovableSent = final
+	g.sendUnproven(inquirer{entry: a.owner.id, number: a.number, server: a.server}, a.record.request, final)
+	for _, inq := range a.cancel.inquirers {
+		g.sendUnproven(inq, a.record.request, final)
 	}
 }
 
@@ -194,10 +194,10 @@
 // Without this a caller of a plain service that lost its answer would wait until its deadline, or beyond, for a proof
 // that nobody can give.
 func (a *attempt) unprovable() bool {
-	return a.cancel.unsupported && !a.run.open
+	return a.cancel.unsupported && !a.run.callOpen
 }
 
-func (g *Gate) unproven(who asker, request string, final bool) {
+func (g *Gate) sendUnproven(inq inquirer, request string, final bool) {
 	over := &wire.Over{
 		Proof:      wire.Proof_PROOF_UNPROVEN,
 		Code:       uint32(result.OutcomeUnknown),
@@ -207,14 +207,14 @@
 	if final {
 		over.Message = "the answer was lost, and the server can't be asked what became of it"
 	}
-	g.reply(who, request, over)
+	g.reply(inq, request, over)
 }
 
 // reply sends an Over for the number that was asked about.
-func (g *Gate) reply(who asker, request string, over *wire.Over) {
-	over.Attempt = &wire.AttemptID{Request: request, Number: who.number}
-	over.Server = who.server
-	g.send(who.entry, overMessage(over))
+func (g *Gate) reply(inq inquirer, request string, over *wire.Over) {
+	over.Attempt = &wire.AttemptID{Request: request, Number: inq.number}
+	over.Server = inq.server
+	g.send(inq.entry, overMessage(over))
 }
 
 func overMessage(over *wire.Over) *wire.AgentMessage {
@@ -222,87 +222,87 @@
 }
 
 // answerArrival answers a Reserve or Dispatch that met a tombstone: what is true of that attempt alone.
-func (g *Gate) answerArrival(r *record, who asker) {
-	if over := r.kept(who.number); over != nil {
-		g.reply(who, r.request, proto.CloneOf(over))
+func (g *Gate) answerArrival(r *record, inq inquirer) {
+	if over := r.overFor(inq.number); over != nil {
+		g.reply(inq, r.request, proto.CloneOf(over))
 		return
 	}
-	if r.hasRun() && who.number <= r.ran {
-		g.reply(who, r.request, r.ranOver(who.number))
+	if r.hasRun() && inq.number <= r.highestRun {
+		g.reply(inq, r.request, r.combinedOver(inq.number))
 		return
 	}
 	g.emit(Count{Counter: Refusals, Code: uint16(refuseTombstone.code), Add: 1})
-	g.reply(who, r.request, neverStarted(refuseTombstone))
+	g.reply(inq, r.request, neverStartedOver(refuseTombstone))
 }
 
 // answerCancel answers a Cancel of attempts that are over: what is true of all attempts up to the number. The owner
 // of the last one hears of that one alone, as before, since it had the proofs of the others.
-func (g *Gate) answerCancel(r *record, who asker) {
+func (g *Gate) answerCancel(r *record, inq inquirer) {
 	if !g.cleared() {
-		g.clearing.ask(r.request, who)
-		g.unproven(who, r.request, false)
+		g.clearing.deferCancel(r.request, inq)
+		g.sendUnproven(inq, r.request, false)
 		return
 	}
-	if over := r.keptFor(who); over != nil {
-		g.reply(who, r.request, proto.CloneOf(over))
+	if over := r.overForOwner(inq); over != nil {
+		g.reply(inq, r.request, proto.CloneOf(over))
 		return
 	}
 	if r.hasRun() {
-		g.reply(who, r.request, r.ranOver(who.number))
+		g.reply(inq, r.request, r.combinedOver(inq.number))
 		return
 	}
-	if g.mayRunUnseen(who.cause) {
-		g.unproven(who, r.request, true)
+	if g.mayRunUntracked(inq.cause) {
+		g.sendUnproven(inq, r.request, true)
 		return
 	}
-	if r.unsure || g.mayPredate(who.cause) || g.memory.may(r.request, g.now) {
-		r.unsure = true
-		g.reply(who, r.request, overEarlier())
+	if r.mayHaveRunEarlier || g.mayPredate(inq.cause) || g.history.mayContain(r.request, g.now) {
+		r.mayHaveRunEarlier = true
+		g.reply(inq, r.request, earlierOver())
 		return
 	}
-	g.reply(who, r.request, neverStarted(refuseCancelled))
+	g.reply(inq, r.request, neverStartedOver(refuseCancelled))
 }
 
-// kept returns the Over of the attempt that ran last or was refused last, if it has that number.
-func (r *record) kept(number uint64) *wire.Over {
-	if r.last != nil && r.last.number == number {
-		return r.answer
+// overFor returns the Over of the attempt that ran last or was refused last, if it has that number.
+func (r *record) overFor(number uint64) *wire.Over {
+	if r.lastRun != nil && r.lastRun.number == number {
+		return r.lastRunOver
 	}
-	if r.refused != nil && r.refused.GetAttempt().GetNumber() == number {
-		return r.refused
+	if r.lastRefused != nil && r.lastRefused.GetAttempt().GetNumber() == number {
+		return r.lastRefused
 	}
 	return nil
 }
 
-// keptFor returns the Over that the asker got before, as the owner of the attempt.
-func (r *record) keptFor(who asker) *wire.Over {
-	over := r.kept(who.number)
+// overForOwner returns the Over that the asker got before, as the owner of the attempt.
+func (r *record) overForOwner(inq inquirer) *wire.Over {
+	over := r.overFor(inq.number)
 	switch {
 	case over == nil:
 		return nil
-	case over == r.refused && r.refusedBy == who.entry:
+	case over == r.lastRefused && r.refusedOwner == inq.entry:
 		return over
-	case over == r.answer && r.last.owner.id == who.entry:
+	case over == r.lastRunOver && r.lastRun.owner.id == inq.entry:
 		return over
 	}
 	return nil
 }
 
-// ranOver is the proof for attempts up to number of a request of which one ran here. Of those before the one that
+// combinedOver is the proof for attempts up to number of a request of which one ran here. Of those before the one that
 // ran last it isn't known any more which ran.
-func (r *record) ranOver(number uint64) *wire.Over {
-	if number < r.ran {
-		return overEarlier()
+func (r *record) combinedOver(number uint64) *wire.Over {
+	if number < r.highestRun {
+		return earlierOver()
 	}
-	if over := r.kept(r.ran); over != nil && over.GetProof() == r.proof {
+	if over := r.overFor(r.highestRun); over != nil && over.GetProof() == r.proof {
 		return proto.CloneOf(over)
 	}
 	return &wire.Over{Proof: r.proof, Code: uint32(result.Cancelled), Message: "an attempt of the request ran here"}
 }
 
-// overEarlier is the proof for attempts that may have run here before what the gate remembers. They are over: this
+// earlierOver is the proof for attempts that may have run here before what the gate remembers. They are over: this
 // incarnation cancelled all that its engine ran before, and forgets no attempt that isn't over.
-func overEarlier() *wire.Over {
+func earlierOver() *wire.Over {
 	return &wire.Over{
 		Proof:   wire.Proof_PROOF_CANCELLED,
 		Code:    uint32(result.Cancelled),
@@ -310,11 +310,11 @@
 	}
 }
 
-func neverStarted(no refusal) *wire.Over {
+func neverStartedOver(reason refusal) *wire.Over {
 	return &wire.Over{
 		Proof:        wire.Proof_PROOF_NEVER_STARTED,
-		Code:         uint32(no.code),
-		Message:      no.message,
-		RetryAfterMs: uint32(no.retryAfter / time.Millisecond),
+		Code:         uint32(reason.code),
+		Message:      reason.message,
+		RetryAfterMs: uint32(reason.retryAfter / time.Millisecond),
 	}
 }
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -14,21 +14,21 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// teach lets the gate learn a pace from one stream of so many tokens, and a prefill rate.
-func (b *bench) teach(gap time.Duration, tokens int) {
+// trainPace lets the gate learn a pace from one stream of so many tokens, and a prefill rate.
+func (b *harness) trainPace(gap time.Duration, tokens int) {
 	b.t.Helper()
 	attempt := id(fmt.Sprint("teach-", b.now.UnixNano()), 1)
 	b.start(entryA, attempt, workOf(func(w *wire.Work) { w.PromptTokens, w.OutputTokens = 4096, 100 }))
-	b.pass(512 * time.Millisecond) // 8,000 tokens a second
-	b.stream(attempt, gap, tokens)
+	b.advance(512 * time.Millisecond) // 8,000 tokens a second
+	b.streamTokens(attempt, gap, tokens)
 	b.finish(attempt)
 }
 
-// stream lets a run produce tokens at a pace.
-func (b *bench) stream(attempt *wire.AttemptID, gap time.Duration, tokens int) {
+// streamTokens lets a run produce tokens at a pace.
+func (b *harness) streamTokens(attempt *wire.AttemptID, gap time.Duration, tokens int) {
 	b.progress(attempt, "x")
 	for range tokens {
-		b.pass(gap)
+		b.advance(gap)
 		b.progress(attempt, "x")
 	}
 }
@@ -37,55 +37,55 @@
 	// Symptom: a slot stays empty while requests wait.
 	// Sequence: an entry dies, or is slow, between its reservation and the dispatch.
 	// Cause: an offered slot was kept for as long as the entry's lease.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	require.Equal(t, []string{"r1.1"}, offeredIDs(b.reserve(entryA, id("r1", 1), work())))
 	require.Empty(t, offeredIDs(b.reserve(entryB, id("r2", 1), work())), "the slot is kept")
 	b.actions = nil
-	b.pass(DefaultOfferTimeout + TickInterval)
+	b.advance(DefaultOfferTimeout + TickInterval)
 	require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions))
 	refusedWith(t, b.dispatchOffered(entryA, id("r1", 1), work()), result.RefusedNeverStarted)
-	require.Len(t, of[StartEngine](b.dispatchOffered(entryB, id("r2", 1), work())), 1)
+	require.Len(t, actionsOf[StartEngine](b.dispatchOffered(entryB, id("r2", 1), work())), 1)
 	noChartErrors(t, b)
 }
 
 func TestLateDispatchStartsIfThereIsRoom(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.reserve(entryA, id("r", 1), work())
 	b.gate.now = b.gate.now.Add(DefaultOfferTimeout)
 	b.gate.lapseOffers() // without the offer that follows in Step
 	require.Equal(t, reserved, b.gate.records.get("r").current.state)
-	require.Len(t, of[StartEngine](b.dispatchOffered(entryA, id("r", 1), work())), 1)
+	require.Len(t, actionsOf[StartEngine](b.dispatchOffered(entryA, id("r", 1), work())), 1)
 	require.Zero(t, b.gate.waiting.count)
 }
 
-func TestOffersThatAreNeverAnsweredEnd(t *testing.T) {
-	b := openBench(t)
+func TestReservationIsRefusedAfterUnansweredOffers(t *testing.T) {
+	b := newReadyHarness(t)
 	b.reserve(entryA, id("r", 1), work())
-	b.pass(maxLapses * (DefaultOfferTimeout + 2*TickInterval))
+	b.advance(maxLapses * (DefaultOfferTimeout + 2*TickInterval))
 	require.Len(t, offeredIDs(b.actions), maxLapses)
 	require.EqualValues(t, result.RefusedNeverStarted, onlyOver(t, b.actions, entryA, neverStartedProof).Code)
 }
 
 func TestDeclineAndWithdrawFreeTheSlot(t *testing.T) {
-	for name, give := range map[string]func(*bench){
-		"decline": func(b *bench) {
+	for name, release := range map[string]func(*harness){
+		"decline": func(b *harness) {
 			m := &wire.Decline{Attempt: id("r1", 1), Server: sampleServer}
 			b.receive(entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Decline{Decline: m}})
 		},
-		"withdraw": func(b *bench) {
+		"withdraw": func(b *harness) {
 			m := &wire.Withdraw{Attempt: id("r1", 1), Server: sampleServer}
 			b.receive(entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Withdraw{Withdraw: m}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+			b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 			b.reserve(entryA, id("r1", 1), work())
 			b.reserve(entryB, id("r2", 1), work())
 			b.actions = nil
-			give(b)
-			give(b) // again: means nothing
+			release(b)
+			release(b) // again: means nothing
 			require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions))
-			require.Empty(t, overs(b.actions, entryA))
+			require.Empty(t, oversTo(b.actions, entryA))
 			require.Len(t, b.gate.records.byRequest, 1, "nothing was promised, nothing is kept")
 			noChartErrors(t, b)
 		})
@@ -93,8 +93,8 @@
 }
 
 func TestDirectDispatchOnlyWithinTheFreeRoom(t *testing.T) {
-	b := openBench(t)
-	b.fill()
+	b := newReadyHarness(t)
+	b.fillSlots()
 	refusedWith(t, b.dispatch(entryA, id("r", 1), work()), result.RefusedNeverStarted)
 	b.finish(id("fill-0", 1))
 	b.reserve(entryB, id("offered", 1), work())
@@ -104,11 +104,11 @@
 	refusedWith(t, b.dispatch(entryA, id("r", 2), work()), result.RefusedNeverStarted)
 }
 
-// drainOrder frees the only slot again and again and returns the order in which waiting attempts are offered it.
-func (b *bench) drainOrder(n int) []string {
+// offerOrder frees the only slot again and again and returns the order in which waiting attempts are offered it.
+func (b *harness) offerOrder(n int) []string {
 	var order []string
 	for range n {
-		for _, o := range of[Send](b.actions) {
+		for _, o := range actionsOf[Send](b.actions) {
 			offer := o.Message.GetOffer()
 			if offer == nil {
 				continue
@@ -125,7 +125,7 @@
 	return order
 }
 
-func TestOrder(t *testing.T) {
+func TestWaitingOrder(t *testing.T) {
 	cases := map[string]struct {
 		reserve []*wire.Work // r0, r1, ...
 		want    []string
@@ -170,7 +170,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+			b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 			b.start(entryA, id("first", 1), workOf(func(w *wire.Work) { w.Tier = 9 }))
 			for i, w := range c.reserve {
 				from := []EntryID{entryA, entryB}[i%2]
@@ -178,21 +178,21 @@
 			}
 			b.actions = nil
 			b.finish(id("first", 1))
-			require.Equal(t, c.want, b.drainOrder(len(c.want)))
+			require.Equal(t, c.want, b.offerOrder(len(c.want)))
 		})
 	}
 }
 
-func TestChargesAreTruedUp(t *testing.T) {
+func TestChargesAreCorrectedAtTheEnd(t *testing.T) {
 	// Symptom: an organisation whose answers are longer than estimated gets more than its share, for ever.
 	// Sequence: both are charged the estimate; one produces ten times as much.
 	// Cause: the charge was not corrected at the end.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.start(entryA, id("long", 1), workOf(func(w *wire.Work) { w.Organisation = "long" }))
 	b.reserve(entryA, id("long-next", 1), workOf(func(w *wire.Work) { w.Organisation, w.RemainingMs = "long", 1000 }))
 	b.reserve(entryA, id("short-next", 1), workOf(func(w *wire.Work) { w.Organisation = "short" }))
 	b.progress(id("long", 1), make([]string, 200)...)
-	counts := of[Count](b.finish(id("long", 1)))
+	counts := actionsOf[Count](b.finish(id("long", 1)))
 	require.Contains(t, counts, Count{Counter: ServedTokens, Tier: 2, Label: "long", Add: 300})
 	clock := b.gate.waiting.tier(2).clock
 	require.EqualValues(t, 300, clock.Tag("long"))
@@ -203,8 +203,8 @@
 	// Symptom: prompts are computed for answers that nobody waits for any more.
 	// Sequence: a request comes whose answer takes longer than its time left.
 	// Cause: the deadline was looked at only once it had passed.
-	b := openBench(t)
-	b.teach(20*time.Millisecond, 100)
+	b := newReadyHarness(t)
+	b.trainPace(20*time.Millisecond, 100)
 	long := func(change func(*wire.Work)) *wire.Work {
 		return workOf(func(w *wire.Work) {
 			w.OutputTokens, w.RemainingMs = 200, 1000
@@ -214,12 +214,12 @@
 	late := refusedWith(t, b.reserve(entryA, id("r", 1), long(func(*wire.Work) {})), result.CannotFinishInTime)
 	require.Positive(t, late.RetryAfterMs)
 	refusedWith(t, b.dispatch(entryA, id("r", 2), long(func(*wire.Work) {})), result.CannotFinishInTime)
-	b.fill()
-	require.Empty(t, overs(b.reserve(entryA, id("appeal", 1), long(func(w *wire.Work) { w.MayBeLate = true })), entryA))
-	require.Empty(t, overs(b.reserve(entryA, id("gate-check", 1), long(func(w *wire.Work) { w.Tier = 1 })), entryA))
-	b.pass(1200 * time.Millisecond)
-	require.Empty(t, b.gate.records.get("appeal").current.record.refused, "a class that may be late waits")
-	require.EqualValues(t, result.DeadlinePassedInQueue, b.gate.records.get("gate-check").refused.Code)
+	b.fillSlots()
+	require.Empty(t, oversTo(b.reserve(entryA, id("appeal", 1), long(func(w *wire.Work) { w.MayBeLate = true })), entryA))
+	require.Empty(t, oversTo(b.reserve(entryA, id("gate-check", 1), long(func(w *wire.Work) { w.Tier = 1 })), entryA))
+	b.advance(1200 * time.Millisecond)
+	require.Empty(t, b.gate.records.get("appeal").current.record.lastRefused, "a class that may be late waits")
+	require.EqualValues(t, result.DeadlinePassedInQueue, b.gate.records.get("gate-check").lastRefused.Code)
 	require.Equal(t, []string{"appeal.1"}, offeredIDs(b.finish(id("fill-0", 1))))
 }
 
@@ -227,8 +227,8 @@
 	// Symptom: a gate check is shed while summaries wait.
 	// Sequence: the list is full of lower-tier work when the check comes.
 	// Cause: who came last was refused.
-	b := openBenchWith(t, Config{NoPredecessor: true, MaxWaiting: 2}, sampleRecord(1))
-	b.fill()
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxWaiting: 2}, sampleRecord(1))
+	b.fillSlots()
 	third := func(w *wire.Work) { w.Tier = 3 }
 	b.reserve(entryA, id("third-1", 1), workOf(third))
 	b.reserve(entryA, id("third-2", 1), workOf(func(w *wire.Work) { w.Tier, w.RemainingMs = 3, 70_000 }))
@@ -238,14 +238,14 @@
 	shed = b.reserve(entryB, id("first", 1), firstTierWork())
 	require.Equal(t, "third-1", refusedWith(t, shed, result.ShedForHigherTier).Attempt.Request)
 	shed = b.reserve(entryB, id("first-2", 1), firstTierWork())
-	require.Equal(t, "second", overs(shed, entryB)[0].Attempt.Request)
+	require.Equal(t, "second", oversTo(shed, entryB)[0].Attempt.Request)
 }
 
 func TestFirstTierPreemptsTheRunThatWastesLeast(t *testing.T) {
 	// Symptom: a trailer waits at the weighbridge while a long packet is written.
 	// Sequence: all slots run lower-tier work when a first-tier request comes.
 	// Cause: running work was left alone, or the one with the longest prompt was thrown away.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(4))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(4))
 	b.start(entryA, id("long", 1), workOf(func(w *wire.Work) { w.PromptTokens = 900 }))
 	b.start(entryA, id("cached", 1), workOf(func(w *wire.Work) { w.PromptTokens, w.CachedTokens, w.Tier = 900, 880, 3 }))
 	b.start(entryA, id("never", 1), workOf(func(w *wire.Work) { w.PromptTokens, w.Preemptible = 1, false }))
@@ -254,19 +254,19 @@
 		b.progress(id(r, 1), "x")
 	}
 	asked := b.reserve(entryB, id("check", 1), firstTierWork())
-	cancels := of[CancelEngine](asked)
+	cancels := actionsOf[CancelEngine](asked)
 	require.Len(t, cancels, 1)
 	require.Equal(t, "cached", cancels[0].Attempt.Request)
-	require.Contains(t, of[Count](asked), Count{Counter: Preemptions, Tier: 3, Add: 1})
+	require.Contains(t, actionsOf[Count](asked), Count{Counter: Preemptions, Tier: 3, Add: 1})
 	require.Empty(t, offeredIDs(asked), "the slot is free only with the proof")
 	require.Len(t, framesOf(b.progress(id("cached", 1), "y"), "cached"), 1, "it goes on from here elsewhere")
-	proved := b.answer(id("cached", 1), engine.CancelConfirmed)
+	proved := b.answerCancel(id("cached", 1), engine.CancelConfirmed)
 	over := onlyOver(t, proved, entryA, cancelledProof)
 	require.EqualValues(t, 1, over.PreemptedByTier)
 	require.EqualValues(t, 20, over.WastedPrefillTokens)
 	require.True(t, over.Resumable)
 	require.Equal(t, []string{"check.1"}, offeredIDs(proved))
-	require.Contains(t, of[Count](proved), Count{Counter: WastedPrefill, Tier: 3, Label: CausePreempted, Add: 20})
+	require.Contains(t, actionsOf[Count](proved), Count{Counter: WastedPrefill, Tier: 3, Label: CausePreempted, Add: 20})
 	b.reserve(entryB, id("check-2", 1), firstTierWork())
 	b.reserve(entryB, id("check-3", 1), firstTierWork())
 	require.Len(t, b.gate.runs, 3)
@@ -276,13 +276,13 @@
 }
 
 func TestFirstTierIsNeverRefusedForRoomWhileLowerTiersRun(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	for i := range sampleSlots {
 		b.start(entryA, id(fmt.Sprint("never-", i), 1), workOf(func(w *wire.Work) { w.Preemptible = false }))
 	}
 	held := b.dispatch(entryB, id("direct", 1), firstTierWork())
-	require.Empty(t, overs(held, entryB))
-	require.Empty(t, of[StartEngine](held))
+	require.Empty(t, oversTo(held, entryB))
+	require.Empty(t, actionsOf[StartEngine](held))
 	require.Equal(t, []string{"direct.1"}, startedIDs(b.finish(id("never-0", 1))))
 	b.finish(id("never-1", 1))
 	b.start(entryB, id("second", 1), firstTierWork())
@@ -291,34 +291,34 @@
 }
 
 func TestFirstTierTakesAnUnansweredOffer(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.reserve(entryA, id("lower", 1), work())
 	require.Equal(t, []string{"check.1"}, offeredIDs(b.reserve(entryB, id("check", 1), firstTierWork())))
 	refusedWith(t, b.dispatchOffered(entryA, id("lower", 1), work()), result.RefusedNeverStarted)
 }
 
 func TestFirstTierWaitsForASlotThatIsSoonFree(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-	b.teach(20*time.Millisecond, 100)
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("ending", 1), workOf(func(w *wire.Work) { w.OutputTokens = 32 }))
-	b.stream(id("ending", 1), 20*time.Millisecond, 29)
-	require.Empty(t, of[CancelEngine](b.reserve(entryB, id("check", 1), firstTierWork())))
+	b.streamTokens(id("ending", 1), 20*time.Millisecond, 29)
+	require.Empty(t, actionsOf[CancelEngine](b.reserve(entryB, id("check", 1), firstTierWork())))
 	hurry := workOf(func(w *wire.Work) { w.Tier, w.RemainingMs, w.OutputTokens = 1, 300, 1 })
-	require.NotEmpty(t, of[CancelEngine](b.reserve(entryB, id("hurry", 1), hurry)))
+	require.NotEmpty(t, actionsOf[CancelEngine](b.reserve(entryB, id("hurry", 1), hurry)))
 }
 
 func TestHeadroomIsLearntFromWaste(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	b.gate.pace.gap = 0.02 // a slot makes 50 tokens a second
 	for i := range 30 {
-		b.gate.headroom.wasted(2000)
+		b.gate.headroom.recordWaste(2000)
 		b.reserve(entryA, id(fmt.Sprint("wait-", i), 1), work())
-		b.pass(time.Second)
+		b.advance(time.Second)
 	}
 	kept := b.gate.headroom.slots()
 	require.Positive(t, kept)
-	require.LessOrEqual(t, kept, 8/headroomShare)
-	b.pass(3 * time.Minute)
+	require.LessOrEqual(t, kept, 8/headroomDivisor)
+	b.advance(3 * time.Minute)
 	require.LessOrEqual(t, b.gate.headroom.slots(), kept)
 }
 
@@ -326,29 +326,29 @@
 	// Symptom: a short request of the first tier waits for seconds although slots are free.
 	// Sequence: several long prompts are handed to the engine at once; it computes them in order of arrival.
 	// Cause: only slots were counted.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	long := workOf(func(w *wire.Work) { w.PromptTokens = 20_000 })
 	b.start(entryA, id("long-1", 1), long)
 	require.Zero(t, b.gate.free())
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("long-2", 1), long)))
-	require.Equal(t, string(whyPrefill), b.gate.Status().Blocked)
+	require.Equal(t, string(blockedPrefill), b.gate.Status().Blocked)
 	require.Equal(t, []string{"check.1"}, offeredIDs(b.reserve(entryB, id("check", 1), firstTierWork())))
 	require.Equal(t, []string{"long-2.1"}, offeredIDs(b.progress(id("long-1", 1), "x")))
 }
 
 func TestCacheMemoryIsBounded(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	b.step(EngineLoad{Load: engine.Load{KVCapacity: 1000}})
 	big := workOf(func(w *wire.Work) { w.PromptTokens, w.OutputTokens = 100, 500 })
 	b.start(entryA, id("r1", 1), big)
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("r2", 1), big)))
-	require.Equal(t, string(whyMemory), b.gate.Status().Blocked)
+	require.Equal(t, string(blockedMemory), b.gate.Status().Blocked)
 	refusedWith(t, b.dispatch(entryA, id("small", 1), work()), result.RefusedNeverStarted) // not past the waiting one
 	require.Equal(t, []string{"r2.1"}, offeredIDs(b.finish(id("r1", 1))))
 }
 
 func TestLimitFollowsThePace(t *testing.T) {
-	l := limiter{floor: DefaultSlotsFloor}
+	l := concurrencyLimiter{floor: DefaultSlotsFloor}
 	l.announce(16)
 	require.Equal(t, 16, l.slots())
 	for range 50 {
@@ -370,15 +370,15 @@
 	require.Equal(t, 4, l.slots())
 }
 
-func TestStragglerLosesNewWorkAndGetsItBack(t *testing.T) {
+func TestStragglerIsSuspectUntilItRecovers(t *testing.T) {
 	// Symptom: requests keep going to a server that has become five times slower.
 	// Sequence: the pace drops without a warning, later it is back.
 	// Cause: load reports lag, and the server still announces itself.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.OutputTokens = 10_000 }))
-	b.stream(id("r", 1), 20*time.Millisecond, 200)
+	b.streamTokens(id("r", 1), 20*time.Millisecond, 200)
 	require.Equal(t, ready, b.gate.Status().Condition)
-	b.stream(id("r", 1), 100*time.Millisecond, 12)
+	b.streamTokens(id("r", 1), 100*time.Millisecond, 12)
 	s := b.gate.Status()
 	require.Equal(t, suspect, s.Condition)
 	require.Equal(t, []string{"slower than its own past"}, s.SuspectReasons)
@@ -388,117 +388,117 @@
 	require.Equal(t, []string{"wait.1"}, offeredIDs(b.finish(id("r", 1))), "probe work")
 	b.dispatchOffered(entryA, id("wait", 1), work())
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("wait-2", 1), work())), "one at a time")
-	b.stream(id("wait", 1), 20*time.Millisecond, 200)
+	b.streamTokens(id("wait", 1), 20*time.Millisecond, 200)
 	require.Equal(t, ready, b.gate.Status().Condition)
 }
 
 func TestStalledEngineIsSuspect(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
-	b.stream(id("r", 1), 20*time.Millisecond, 100)
-	b.pass(4 * time.Second)
+	b.streamTokens(id("r", 1), 20*time.Millisecond, 100)
+	b.advance(4 * time.Second)
 	require.Equal(t, suspect, b.gate.Status().Condition)
 }
 
-func TestSlowServerIsTriedAgain(t *testing.T) {
+func TestIdleSlowServerIsProbedAgain(t *testing.T) {
 	// Symptom: a server that recovered long ago gets no work.
 	// Sequence: a slow server gets no reservation, since entries avoid it; nothing tells its pace.
 	// Cause: only tokens could clear it.
-	b := openBench(t)
-	b.gate.doubt(doubtPace, onSlow)
+	b := newReadyHarness(t)
+	b.gate.addSuspicion(suspectPace, onSlow)
 	b.gate.pace.ratio = DefaultSlowRatio
-	b.pass(probeIdle / 2)
+	b.advance(probeIdleTime / 2)
 	require.Equal(t, suspect, b.gate.Status().Condition)
-	b.pass(probeIdle)
+	b.advance(probeIdleTime)
 	require.Equal(t, ready, b.gate.Status().Condition)
 }
 
 func TestLongPromptIsNoProbe(t *testing.T) {
-	b := openBench(t)
-	b.gate.doubt(doubtPace, onSlow)
+	b := newReadyHarness(t)
+	b.gate.addSuspicion(suspectPace, onSlow)
 	b.gate.pace.ratio = DefaultSlowRatio
-	long := workOf(func(w *wire.Work) { w.PromptTokens = probePrompt + 1 })
+	long := workOf(func(w *wire.Work) { w.PromptTokens = maxProbePrompt + 1 })
 	refusedWith(t, b.dispatch(entryA, id("long-2", 1), long), result.RefusedNeverStarted)
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("long", 1), long)))
 	require.Len(t, offeredIDs(b.reserve(entryA, id("short", 1), work())), 1)
 }
 
-func TestRoomIsToldOnChangeAndNotTooOften(t *testing.T) {
-	b := openBench(t)
-	b.pass(roomInterval)
+func TestRoomIsBroadcastOnChangeAtABoundedRate(t *testing.T) {
+	b := newReadyHarness(t)
+	b.advance(roomInterval)
 	b.actions = nil
 	first := b.dispatch(entryA, id("r1", 1), work())
 	require.Len(t, rooms(first), 1)
 	require.EqualValues(t, 1, rooms(first)[0].Free)
 	require.EqualValues(t, 2, rooms(first)[0].LowestRunningTier)
 	require.Empty(t, rooms(b.finish(id("r1", 1))), "too soon")
-	b.pass(roomInterval)
+	b.advance(roomInterval)
 	told := rooms(b.actions)
 	require.EqualValues(t, 2, told[len(told)-1].Free)
 	b.actions = nil
-	b.passWith(2*time.Second, func() {})
+	b.advanceWith(2*time.Second, func() {})
 	require.Empty(t, rooms(b.actions), "nothing changed")
-	answer := of[Send](b.receive(entryA, heartbeat()))
+	answer := actionsOf[Send](b.receive(entryA, heartbeat()))
 	require.Len(t, answer, 1)
 	require.NotNil(t, answer[0].Message.GetRoom())
 }
 
-func TestUrgencyAndLatenessMoveAClass(t *testing.T) {
-	c := &classState{slack: amplePredicts}
-	c.weigh()
+func TestUrgencyAndLatenessSetTheBand(t *testing.T) {
+	c := &classState{slack: ampleSlack}
+	c.updateBand()
 	assert.Zero(t, c.band)
 	c.observe(&wire.Work{Urgency: 600})
-	c.weigh()
+	c.updateBand()
 	assert.Equal(t, 2, c.band)
 	for range 100 {
-		c.noteLate(true)
+		c.recordLateness(true)
 	}
-	c.weigh()
+	c.updateBand()
 	assert.Equal(t, 3, c.band)
 	c.slack = 0
-	c.weigh()
+	c.updateBand()
 	assert.Equal(t, urgencyBands-1, c.band)
 }
 
-func TestFullListOfTheFirstTierWhileLowerTiersRun(t *testing.T) {
+func TestFullWaitingListKeepsTheFirstTierWhileLowerTiersRun(t *testing.T) {
 	// Symptom: a slot confirmation is shed while a summary that can't be preempted runs.
 	// Sequence: the list is full of first-tier work when one more comes with an earlier deadline.
 	// Cause: shedding looked at the waiting list alone. Found by TestMachine.
-	b := openBenchWith(t, Config{NoPredecessor: true, MaxWaiting: 1}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxWaiting: 1}, sampleRecord(1))
 	b.start(entryA, id("never", 1), workOf(func(w *wire.Work) { w.Preemptible = false }))
 	b.reserve(entryA, id("first", 1), firstTierWork())
 	b.reserve(entryA, id("hurry", 1), workOf(func(w *wire.Work) { w.Tier, w.RemainingMs = 1, 1000 }))
-	require.Empty(t, overs(b.actions, entryA))
+	require.Empty(t, oversTo(b.actions, entryA))
 	require.Equal(t, 2, b.gate.waiting.count)
 	b.finish(id("never", 1))
 	b.dispatchOffered(entryA, id("hurry", 1), firstTierWork())
 	refusedWith(t, b.reserve(entryA, id("last", 1), firstTierWork()), result.QueueFull)
 }
 
-func TestServiceCallsTeachLimitAndPace(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+func TestServiceCallsTrainLimitAndPace(t *testing.T) {
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	call := workOf(func(w *wire.Work) { w.Service, w.PromptTokens, w.OutputTokens = true, 0, 0 })
 	n := 0
-	burst := func(parallel int, took time.Duration) {
+	runConcurrently := func(parallel int, took time.Duration) {
 		var all []*wire.AttemptID
 		for range min(parallel, b.gate.free()) {
 			n++
 			all = append(all, id(fmt.Sprint("call-", n), 1))
 			b.start(entryA, all[len(all)-1], call)
 		}
-		b.pass(took)
+		b.advance(took)
 		for _, attempt := range all {
 			b.finish(attempt)
 		}
 	}
 	for range 200 {
-		burst(1, 20*time.Millisecond)
+		runConcurrently(1, 20*time.Millisecond)
 	}
 	require.Equal(t, 8, b.gate.Status().Slots)
-	require.InDelta(t, 20, b.gate.predict(call).Milliseconds(), 2)
-	require.EqualValues(t, 20, b.gate.estimate(call))
+	require.InDelta(t, 20, b.gate.predictRuntime(call).Milliseconds(), 2)
+	require.EqualValues(t, 20, b.gate.estimateCost(call))
 	for range 10 {
-		burst(8, 80*time.Millisecond)
+		runConcurrently(8, 80*time.Millisecond)
 	}
 	require.Less(t, b.gate.Status().Slots, 8, "together they take four times as long")
 }
@@ -506,8 +506,8 @@
 // Symptom: a quarter of the servers gets a quarter of the work that they can take, while requests are refused. Sequence:
 // events that wait behind a prompt arrive together; their gaps look like a pace that no engine has, and the true one like
 // three times slower. Cause: a limit learnt where the server itself says how many it runs at once.
-func TestAnnouncedSlotsAreUsedWhateverThePace(t *testing.T) {
-	l := limiter{floor: 1}
+func TestFloorOfOneUsesAllAnnouncedSlots(t *testing.T) {
+	l := concurrencyLimiter{floor: 1}
 	l.announce(8)
 	l.observe(0.001, 8)
 	for range 50 {
@@ -521,7 +521,7 @@
 // by which those who came back, with less time left, go first.
 func TestOverdueReservationGoesLastOfItsClass(t *testing.T) {
 	overdue := func(w *wire.Work) { w.Overdue, w.Precedence = true, 2 }
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.start(entryA, id("running", 1), work())
 	b.reserve(entryA, id("back", 1), workOf(func(w *wire.Work) { overdue(w); w.RemainingMs = 1000 }))
 	b.reserve(entryB, id("fresh", 1), workOf(func(w *wire.Work) { w.Precedence, w.RemainingMs = 2, 4000 }))
@@ -538,11 +538,11 @@
 // Symptom: long answers of the last class are given room while the first waits, at all gates. Sequence: the last class is starved at one
 // entry, which says that it goes first; reservations of other entries wait for both classes. Cause: the precedence of a class
 // taken from the last word of any entry.
-func TestPrecedenceIsOfTheReservationAlone(t *testing.T) {
+func TestPrecedenceAppliesToTheReservationOnly(t *testing.T) {
 	class := func(name string, precedence uint32) *wire.Work {
 		return workOf(func(w *wire.Work) { w.Class, w.Precedence = name, precedence })
 	}
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	owners := map[string]EntryID{"running": entryA, "chat-a": entryA, "review-a": entryA, "chat-b": entryB}
 	b.start(entryA, id("running", 1), work())
 	b.reserve(entryA, id("chat-a", 1), class("chat", 4))
--- a/gate/preempt.go
+++ b/gate/preempt.go
@@ -4,16 +4,16 @@
 
 // Waiting for a slot that is about to be free costs nothing, while a preemption wastes a prefill.
 const (
-	slackSafe = 8 // slack has to be so many times the wait
+	safeSlackFactor = 8 // slack has to be so many times the wait
 
-	// patienceShare is the part of its slack that a first-tier reservation waits before anything is preempted for it.
-	patienceShare = 4
-	// patienceLeast is the slack, at least, that it must have left to be patient: a preemption takes time as well.
-	patienceLeast = 500 * time.Millisecond
+	// preemptDelayShare is the part of its slack that a first-tier reservation waits before anything is preempted for it.
+	preemptDelayShare = 4
+	// minDelaySlack is the slack, at least, that it must have left to be patient: a preemption takes time as well.
+	minDelaySlack = 500 * time.Millisecond
 )
 
-// lowerWork tells whether work of a lower tier than a's runs or waits here.
-func (g *Gate) lowerWork(a *attempt) bool {
+// hasLowerTierWork tells whether work of a lower tier than a's runs or waits here.
+func (g *Gate) hasLowerTierWork(a *attempt) bool {
 	if g.lowestWaiting() > a.tier() {
 		return true
 	}
@@ -31,16 +31,16 @@
 	if a.tier() != firstTier || g.server.state != serverReady {
 		return false
 	}
-	for g.blocked != roomEnough && g.lapseLower(a) {
-		g.blocked = g.noRoom(a)
+	for g.blocked != notBlocked && g.lapseLowerOffer(a) {
+		g.blocked = g.blockReasonOf(a)
 	}
-	if g.blocked == roomEnough {
-		return g.give(a)
+	if g.blocked == notBlocked {
+		return g.grantRoom(a)
 	}
-	if g.soonFree(a) || g.patient(a) {
+	if g.slotsFreeSoon(a) || g.delaysPreemption(a) {
 		return false
 	}
-	for missing := g.waiting.tier(firstTier).count - g.preempting(); missing > 0; missing-- {
+	for missing := g.waiting.tier(firstTier).count - g.preemptionsInProgress(); missing > 0; missing-- {
 		victim := g.victim(a)
 		if victim == nil {
 			return false
@@ -50,52 +50,52 @@
 	return false
 }
 
-// lapseLower takes back an offer to a lower tier.
-func (g *Gate) lapseLower(a *attempt) bool {
+// lapseLowerOffer takes back an offer to a lower tier.
+func (g *Gate) lapseLowerOffer(a *attempt) bool {
 	for _, held := range g.held {
 		if held.state == offered && held.tier() > a.tier() {
-			return g.fire(held, onLapse, occasion{})
+			return g.fire(held, onLapse, eventDetails{})
 		}
 	}
 	return false
 }
 
-// soonFree tells whether slots for all of the first tier that waits are predicted to be free so soon that a's deadline
+// slotsFreeSoon tells whether slots for all of the first tier that waits are predicted to be free so soon that a's deadline
 // doesn't feel it.
-func (g *Gate) soonFree(a *attempt) bool {
-	if g.blocked != whySlots || a.deadline.IsZero() {
+func (g *Gate) slotsFreeSoon(a *attempt) bool {
+	if g.blocked != blockedSlots || a.deadline.IsZero() {
 		return false
 	}
 	wait, known := g.nthFree(g.waiting.tier(firstTier).count)
-	return known && g.slack(a) >= slackSafe*max(wait, time.Millisecond)
+	return known && g.slack(a) >= safeSlackFactor*max(wait, time.Millisecond)
 }
 
-// patient tells whether a reservation leaves running work alone for now. It waits at several gates, each of which
+// delaysPreemption tells whether a reservation leaves running work alone for now. It waits at several gates, each of which
 // would otherwise cancel a run for it although it can use only one slot. One would notice by several preemptions for
-// each first-tier request. It is patient for a part of its slack only, so that a request that is served nowhere else
+// each first-tier request. It is delaysPreemption for a part of its slack only, so that a request that is served nowhere else
 // still gets its preemption in time.
-func (g *Gate) patient(a *attempt) bool {
+func (g *Gate) delaysPreemption(a *attempt) bool {
 	if a.state != reserved || a.deadline.IsZero() || g.pace.prefill.rate <= 0 {
 		return false
 	}
-	whole := a.deadline.Sub(a.arrived) - g.predict(a.work)
-	return g.slack(a) >= patienceLeast && g.now.Sub(a.arrived) < whole/patienceShare
+	initialSlack := a.deadline.Sub(a.arrived) - g.predictRuntime(a.work)
+	return g.slack(a) >= minDelaySlack && g.now.Sub(a.arrived) < initialSlack/preemptDelayShare
 }
 
 // slack is the time that an attempt with a deadline may still wait.
 func (g *Gate) slack(a *attempt) time.Duration {
-	return a.deadline.Sub(g.now) - g.predict(a.work)
+	return a.deadline.Sub(g.now) - g.predictRuntime(a.work)
 }
 
-// preemptPatience is how long a cancelled run counts as a slot that will be free. An engine that doesn't confirm
+// preemptConfirmTimeout is how long a cancelled run counts as a slot that will be free. An engine that doesn't confirm
 // must not keep the first tier waiting while there are other runs to preempt.
-const preemptPatience = time.Second
+const preemptConfirmTimeout = time.Second
 
-// preempting is how many runs are being cancelled and will give their slots back.
-func (g *Gate) preempting() int {
+// preemptionsInProgress is how many runs are being cancelled and will give their slots back.
+func (g *Gate) preemptionsInProgress() int {
 	n := 0
 	for _, a := range g.held {
-		if a.state == cancelling && g.now.Sub(a.cancel.since) < preemptPatience {
+		if a.state == cancelling && g.now.Sub(a.cancel.requestedAt) < preemptConfirmTimeout {
 			n++
 		}
 	}
@@ -108,10 +108,10 @@
 	var best *attempt
 	var least int64
 	for _, run := range g.runs {
-		if !preemptible(run) || run.tier() <= a.tier() || g.blocked == whyPrefill && run.run.prefill == 0 {
+		if !preemptible(run) || run.tier() <= a.tier() || g.blocked == blockedPrefill && run.run.pendingPrefill == 0 {
 			continue
 		}
-		waste := g.wasteOf(run)
+		waste := g.wastedTokens(run)
 		if best == nil || waste < least || waste == least && run.tier() >= best.tier() {
 			best, least = run, waste
 		}
@@ -120,34 +120,34 @@
 }
 
 func preemptible(a *attempt) bool {
-	return a.state == running && a.run.holds && a.work.GetPreemptible() && a.work.GetRepeatable() &&
+	return a.state == running && a.run.holdsRoom && a.work.GetPreemptible() && a.work.GetRepeatable() &&
 		!a.work.GetService()
 }
 
-// wasteOf is the work lost if the run is cancelled now, in tokens: prompt tokens computed, and tokens produced.
-func (g *Gate) wasteOf(a *attempt) int64 {
-	return g.prefilled(a) + int64(a.run.tokens)
+// wastedTokens is the work lost if the run is cancelled now, in tokens: prompt tokens computed, and tokens produced.
+func (g *Gate) wastedTokens(a *attempt) int64 {
+	return g.prefilledTokens(a) + int64(a.run.tokens)
 }
 
-// prefilled is how many uncached prompt tokens the engine has computed for an attempt, as far as can be told.
-func (g *Gate) prefilled(a *attempt) int64 {
-	if !a.begun() || a.work.GetService() {
+// prefilledTokens is how many uncached prompt tokens the engine has computed for an attempt, as far as can be told.
+func (g *Gate) prefilledTokens(a *attempt) int64 {
+	if !a.hasStarted() || a.work.GetService() {
 		return 0
 	}
 	if !a.run.firstToken.IsZero() {
-		return a.uncached()
+		return a.uncachedTokens()
 	}
 	since := g.now.Sub(a.run.started)
-	queued := g.pace.prefillTime(a.run.prefillAhead - a.uncached())
-	done := int64(max(since-queued, 0).Seconds() * g.pace.prefillRateOrGuess())
-	return min(done, a.uncached())
+	queued := g.pace.prefillTime(a.run.prefillAtStart - a.uncachedTokens())
+	done := int64(max(since-queued, 0).Seconds() * g.pace.prefillRateOrDefault())
+	return min(done, a.uncachedTokens())
 }
 
 func (g *Gate) preempt(a *attempt, tier uint32) {
-	a.cancel.tier = tier
-	g.headroom.wasted(float64(g.wasteOf(a)))
+	a.cancel.preemptorTier = tier
+	g.headroom.recordWaste(float64(g.wastedTokens(a)))
 	g.emit(Count{Counter: Preemptions, Tier: a.tier(), Add: 1})
-	g.fire(a, onPreempt, occasion{cause: CausePreempted})
+	g.fire(a, onPreempt, eventDetails{cause: CausePreempted})
 }
 
 // resumable tells whether the engine still holds what a preempted attempt computed.
--- a/gate/shield.go
+++ b/gate/prompt_interference.go
@@ -6,14 +6,14 @@
 // answers of higher tiers down. Without the bounds here those tiers are refused, because they can't finish in time at
 // that pace, while the low tier is served. One would notice by refusals of a tier whose lower tiers have goodput.
 
-// slowsHigher tells whether a long prompt would make a running answer of a higher tier late that can be in time without it.
+// delaysHigherTier tells whether a long prompt would make a running answer of a higher tier late that can be in time without it.
 // How fast that answer goes on is taken from the present pace, which other prompts have a part in.
-func (g *Gate) slowsHigher(a *attempt) bool {
-	if a.work.GetService() || a.uncached() < leastJudged {
+func (g *Gate) delaysHigherTier(a *attempt) bool {
+	if a.work.GetService() || a.uncachedTokens() < minSlownessPrompt {
 		return false
 	}
-	prompts := g.pace.prefillTime(g.use.prefill + a.uncached())
-	quiet := g.pace.quietTime(len(g.runs) + 1)
+	prompts := g.pace.prefillTime(g.usage.prefillTokens + a.uncachedTokens())
+	decodeOnly := g.pace.decodeOnlyTokenTime(len(g.runs) + 1)
 	present := g.pace.tokenTime(len(g.runs)+1, g.now)
 	for _, run := range g.runs {
 		if run.tier() >= a.tier() || run.deadline.IsZero() || run.state != running {
@@ -21,7 +21,7 @@
 		}
 		left := time.Duration(max(int64(run.work.GetOutputTokens())-int64(run.run.tokens), 0))
 		remaining := run.deadline.Sub(g.now)
-		if remaining > left*quiet && remaining < left*present+prompts {
+		if remaining > left*decodeOnly && remaining < left*present+prompts {
 			return true
 		}
 	}
@@ -31,19 +31,19 @@
 // tokenTimeFor is the time between two tokens that work of a tier can count on: prompts of lower tiers are kept from
 // slowing it down too much, see slowsHigher.
 func (g *Gate) tokenTimeFor(tier uint32) time.Duration {
-	if g.lowerPrompts(tier) {
-		return g.pace.quietTime(len(g.runs) + 1)
+	if g.hasLowerTierPrompts(tier) {
+		return g.pace.decodeOnlyTokenTime(len(g.runs) + 1)
 	}
 	return g.pace.tokenTime(len(g.runs)+1, g.now)
 }
 
-// lowerPrompts tells whether a prompt of a lower tier runs or waits.
-func (g *Gate) lowerPrompts(tier uint32) bool {
+// hasLowerTierPrompts tells whether a prompt of a lower tier runs or waits.
+func (g *Gate) hasLowerTierPrompts(tier uint32) bool {
 	if g.lowestWaiting() > tier {
 		return true
 	}
 	for _, run := range g.runs {
-		if run.tier() > tier && run.run.prefill > 0 {
+		if run.tier() > tier && run.run.pendingPrefill > 0 {
 			return true
 		}
 	}
--- a/gate/shield_test.go
+++ b/gate/prompt_interference_test.go
@@ -11,10 +11,10 @@
 
 func TestLongPromptDoesNotMakeAHigherTierLate(t *testing.T) {
 	// Symptom: drafts end after their deadline although each had a slot in time.
-	// Sequence: a draft runs and has little time to spare; the long prompt of a packet starts beside it.
+	// Sequence: a draft runs and has little time to spare; the long prompt of a longPrompt starts beside it.
 	// Cause: only slots, memory and prompt tokens were looked at, not what the prompt does to running answers.
-	packet := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }) // a second
-	draft := func(remaining uint32) *wire.Work {
+	longPrompt := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }) // a second
+	answer := func(remaining uint32) *wire.Work {
 		return workOf(func(w *wire.Work) { w.PromptTokens, w.OutputTokens, w.RemainingMs = 100, 50, remaining })
 	}
 	for name, c := range map[string]struct {
@@ -25,13 +25,13 @@
 		"ample time":           {8000, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
-			b.teach(20*time.Millisecond, 100)
-			b.start(entryA, id("draft", 1), draft(c.remaining))
+			b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+			b.trainPace(20*time.Millisecond, 100)
+			b.start(entryA, id("draft", 1), answer(c.remaining))
 			b.progress(id("draft", 1), "x")
-			require.Len(t, offeredIDs(b.reserve(entryA, id("packet", 1), packet)), c.offered)
+			require.Len(t, offeredIDs(b.reserve(entryA, id("packet", 1), longPrompt)), c.offered)
 			if c.offered == 0 {
-				require.Equal(t, string(whyPace), b.gate.Status().Blocked)
+				require.Equal(t, string(blockedPace), b.gate.Status().Blocked)
 				require.Len(t, offeredIDs(b.finish(id("draft", 1))), 1)
 			}
 		})
@@ -39,24 +39,24 @@
 }
 
 func TestPaceOfLowerPromptsDoesNotRefuseAHigherTier(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
-	b.teach(20*time.Millisecond, 100)
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("packet", 1), workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }))
-	b.gate.pace.gap, b.gate.pace.gapAt = 0.2, b.now // as its prompt makes it
-	draft := workOf(func(w *wire.Work) { w.OutputTokens, w.RemainingMs = 50, 5000 })
-	require.Empty(t, overs(b.reserve(entryB, id("draft", 1), draft), entryB))
+	b.gate.pace.gap, b.gate.pace.gapSeenAt = 0.2, b.now // as its prompt makes it
+	answer := workOf(func(w *wire.Work) { w.OutputTokens, w.RemainingMs = 50, 5000 })
+	require.Empty(t, oversTo(b.reserve(entryB, id("draft", 1), answer), entryB))
 }
 
 func TestPresentPaceCountsForRunningAnswers(t *testing.T) {
 	// Symptom: drafts are late although no prompt was let in that would have made them late by itself.
 	// Sequence: prompts are computed one after the other beside the draft; each leaves it just enough time.
 	// Cause: the draft was taken to go on as fast as without any prompt.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))
-	b.teach(20*time.Millisecond, 100)
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
+	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("draft", 1), workOf(func(w *wire.Work) { w.OutputTokens, w.RemainingMs = 50, 4000 }))
 	b.progress(id("draft", 1), "x")
-	b.gate.pace.gap, b.gate.pace.gapAt = 0.07, b.now
-	packet := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 })
-	require.Empty(t, offeredIDs(b.reserve(entryA, id("packet", 1), packet)))
-	require.Equal(t, string(whyPace), b.gate.Status().Blocked)
+	b.gate.pace.gap, b.gate.pace.gapSeenAt = 0.07, b.now
+	longPrompt := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 })
+	require.Empty(t, offeredIDs(b.reserve(entryA, id("packet", 1), longPrompt)))
+	require.Equal(t, string(blockedPace), b.gate.Status().Blocked)
 }
--- a/gate/proofs_test.go
+++ b/gate/proofs_test.go
@@ -38,14 +38,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := openBench(t)
+			b := newReadyHarness(t)
 			b.start(entryA, id("r", 1), work())
 			if c.events {
 				b.progress(id("r", 1), "x")
 			}
-			ended := b.ends(id("r", 1), c.outcome, c.err)
+			ended := b.endRun(id("r", 1), c.outcome, c.err)
 			onlyOver(t, ended, entryA, c.proof)
-			assert.Len(t, of[CancelEngine](ended), len(overs(ended, entryA))*boolInt(c.proof == unprovenProof))
+			assert.Len(t, actionsOf[CancelEngine](ended), len(oversTo(ended, entryA))*boolInt(c.proof == unprovenProof))
 			noChartErrors(t, b)
 		})
 	}
@@ -58,37 +58,37 @@
 	return 0
 }
 
-func TestUnknownIDProvesOnlyIfAskedAfterTheRun(t *testing.T) {
+func TestUnknownIDIsProofOnlyAfterTheRun(t *testing.T) {
 	// Symptom: two engines run one request.
 	// Sequence: a cancel reaches the engine before the dispatch that it cancels, over another connection; the engine
 	// says "unknown id"; the dispatch arrives and runs.
 	// Cause: "unknown id" was taken for "over" although the dispatch could still arrive. The same if the run's
 	// connection is lost before that answer to the early cancel comes.
 	t.Run("while the run goes on", func(t *testing.T) {
-		b := openBench(t)
+		b := newReadyHarness(t)
 		b.start(entryA, id("r", 1), work())
 		b.callerLeft(entryA, id("r", 1))
-		onlyOver(t, b.answer(id("r", 1), engine.CancelUnknownID), entryA, unprovenProof)
+		onlyOver(t, b.answerCancel(id("r", 1), engine.CancelUnknownID), entryA, unprovenProof)
 		require.Len(t, b.gate.runs, 1)
 	})
 	t.Run("asked before the run's end, answered after", func(t *testing.T) {
-		b := openBench(t)
+		b := newReadyHarness(t)
 		b.start(entryA, id("r", 1), work())
-		early := of[CancelEngine](b.callerLeft(entryA, id("r", 1)))[0]
-		lost := b.lost(id("r", 1))
+		early := actionsOf[CancelEngine](b.callerLeft(entryA, id("r", 1)))[0]
+		lost := b.loseConnection(id("r", 1))
 		onlyOver(t, lost, entryA, unprovenProof)
-		late := of[CancelEngine](lost)
+		late := actionsOf[CancelEngine](lost)
 		require.Len(t, late, 1)
 		answer := EngineCancelled{Attempt: id("r", 1), Try: early.Try, Result: engine.CancelUnknownID}
-		require.Empty(t, overs(b.step(answer), entryA))
+		require.Empty(t, oversTo(b.step(answer), entryA))
 		answer.Try = late[0].Try
 		onlyOver(t, b.step(answer), entryA, cancelledProof)
 	})
 	t.Run("without the try", func(t *testing.T) {
-		b := openBench(t)
+		b := newReadyHarness(t)
 		b.start(entryA, id("r", 1), work())
-		b.lost(id("r", 1))
-		require.Empty(t, overs(b.step(EngineCancelled{Attempt: id("r", 1), Result: engine.CancelUnknownID}), entryA))
+		b.loseConnection(id("r", 1))
+		require.Empty(t, oversTo(b.step(EngineCancelled{Attempt: id("r", 1), Result: engine.CancelUnknownID}), entryA))
 	})
 }
 
@@ -96,46 +96,46 @@
 	// Symptom: a request waits for ever for a proof.
 	// Sequence: a connection is lost; the engine refuses cancels for a while; one answer never comes.
 	// Cause: the cancel was asked for once.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
-	b.lost(id("r", 1))
+	b.loseConnection(id("r", 1))
 	b.step(EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnknown})
-	b.pass(time.Second)
-	tries := of[CancelEngine](b.actions)
+	b.advance(time.Second)
+	tries := actionsOf[CancelEngine](b.actions)
 	require.Len(t, tries, 2, "one more, not answered yet")
-	b.pass(answerTimeout)
-	require.Len(t, of[CancelEngine](b.actions), 3, "an answer that doesn't come is asked for again")
+	b.advance(answerTimeout)
+	require.Len(t, actionsOf[CancelEngine](b.actions), 3, "an answer that doesn't come is asked for again")
 	var waits []time.Duration
 	for range 10 {
 		last := b.now
-		b.answer(id("r", 1), engine.CancelNone)
-		count := len(of[CancelEngine](b.actions))
-		for len(of[CancelEngine](b.actions)) == count {
-			b.pass(TickInterval)
+		b.answerCancel(id("r", 1), engine.CancelNone)
+		count := len(actionsOf[CancelEngine](b.actions))
+		for len(actionsOf[CancelEngine](b.actions)) == count {
+			b.advance(TickInterval)
 		}
 		waits = append(waits, b.now.Sub(last))
 	}
 	require.Greater(t, waits[4], waits[0])
-	require.LessOrEqual(t, waits[9], longestWait+TickInterval)
-	require.Len(t, overs(b.actions, entryA), 1, "unproven is told once")
-	onlyOver(t, b.answer(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
+	require.LessOrEqual(t, waits[9], maxBackoff+TickInterval)
+	require.Len(t, oversTo(b.actions, entryA), 1, "unproven is told once")
+	onlyOver(t, b.answerCancel(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
 	noChartErrors(t, b)
 }
 
 func TestRepeatedCancelGetsTheSameAnswer(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("done", 1), work())
 	b.progress(id("done", 1), "x")
 	first := onlyOver(t, b.finish(id("done", 1)), entryA, completedProof)
 	b.start(entryA, id("cut", 1), work())
 	b.callerLeft(entryA, id("cut", 1))
-	require.Len(t, overs(b.callerLeft(entryA, id("cut", 1)), entryA), 1, "asked again: not proved yet")
-	second := onlyOver(t, b.answer(id("cut", 1), engine.CancelConfirmed), entryA, cancelledProof)
+	require.Len(t, oversTo(b.callerLeft(entryA, id("cut", 1)), entryA), 1, "asked again: not proved yet")
+	second := onlyOver(t, b.answerCancel(id("cut", 1), engine.CancelConfirmed), entryA, cancelledProof)
 	for range 2 {
 		again := onlyOver(t, b.callerLeft(entryA, id("done", 1)), entryA, completedProof)
 		require.Equal(t, first.Answer.Digest, again.Answer.Digest)
 		require.Equal(t, second.Code, onlyOver(t, b.callerLeft(entryA, id("cut", 1)), entryA, cancelledProof).Code)
-		b.pass(DefaultOverRetention + time.Second)
+		b.advance(DefaultOverRetention + time.Second)
 	}
 }
 
@@ -144,56 +144,56 @@
 	// Sequence: an attempt's connection is lost and nothing is proved; the next attempt, of the same entry or of one
 	// that took over, comes to the same server.
 	// Cause: only the entry's own record was relied on.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	over := onlyOver(t, b.dispatch(entryB, id("r", 2), work()), entryB, neverStartedProof)
 	require.EqualValues(t, result.AttemptSuperseded, over.Code)
-	b.lost(id("r", 1))
+	b.loseConnection(id("r", 1))
 	refusedWith(t, b.dispatch(entryA, id("r", 3), work()), result.AttemptSuperseded)
 	refusedWith(t, b.reserve(entryA, id("r", 4), work()), result.AttemptSuperseded)
-	b.answer(id("r", 1), engine.CancelUnknownID)
-	require.Len(t, of[StartEngine](b.dispatch(entryA, id("r", 5), work())), 1)
+	b.answerCancel(id("r", 1), engine.CancelUnknownID)
+	require.Len(t, actionsOf[StartEngine](b.dispatch(entryA, id("r", 5), work())), 1)
 }
 
 func TestLaterReservationReplacesAnEarlierOne(t *testing.T) {
-	b := openBench(t)
-	b.fill()
+	b := newReadyHarness(t)
+	b.fillSlots()
 	b.reserve(entryA, id("r", 1), work())
 	refusedWith(t, b.reserve(entryB, id("r", 2), work()), result.AttemptSuperseded)
 	require.Equal(t, 1, b.gate.Status().WaitingCount)
 }
 
 func TestRepeatedDispatchStartsNothing(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
-	require.Empty(t, of[StartEngine](b.dispatch(entryA, id("r", 1), work())))
+	require.Empty(t, actionsOf[StartEngine](b.dispatch(entryA, id("r", 1), work())))
 	b.finish(id("r", 1))
 	again := b.dispatch(entryA, id("r", 1), work())
-	require.Empty(t, of[StartEngine](again))
+	require.Empty(t, actionsOf[StartEngine](again))
 	onlyOver(t, again, entryA, completedProof)
 }
 
-func TestLateEndOfACancelledRunIsTaken(t *testing.T) {
-	b := openBench(t)
+func TestLateEndOfACancelledRunIsAccepted(t *testing.T) {
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.callerLeft(entryA, id("r", 1))
-	onlyOver(t, b.answer(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
-	require.Empty(t, overs(b.progress(id("r", 1), "late"), entryA))
-	require.Empty(t, overs(b.lost(id("r", 1)), entryA))
+	onlyOver(t, b.answerCancel(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
+	require.Empty(t, oversTo(b.progress(id("r", 1), "late"), entryA))
+	require.Empty(t, oversTo(b.loseConnection(id("r", 1)), entryA))
 	noChartErrors(t, b)
 }
 
-func TestCopyOfARunningAttemptFromAnEndedEntry(t *testing.T) {
+func TestDuplicateDispatchFromAnEndedEntry(t *testing.T) {
 	// Symptom: "never started" is said of an attempt that runs.
 	// Sequence: an entry dispatches and is ended by control; its dispatch arrives a second time, before or after the
 	// new owner's cancel.
 	// Cause: messages of ended entries were refused without a look at what runs. Found by TestMachine.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.step(EntryEnded{Entry: entryA})
 	onlyOver(t, b.dispatch(entryA, id("r", 1), work()), entryA, unprovenProof)
 	b.cancelAttempt(entryB, id("r", 9), takeoverCause)
 	onlyOver(t, b.dispatch(entryA, id("r", 1), work()), entryA, unprovenProof)
-	b.answer(id("r", 1), engine.CancelConfirmed)
+	b.answerCancel(id("r", 1), engine.CancelConfirmed)
 	onlyOver(t, b.dispatch(entryA, id("r", 1), work()), entryA, cancelledProof)
 }
--- a/gate/receive.go
+++ b/gate/receive.go
@@ -5,7 +5,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func (g *Gate) received(from EntryID, message *wire.EntryMessage) {
+func (g *Gate) handleMessage(from EntryID, message *wire.EntryMessage) {
 	owner := g.entries.get(from, g.now)
 	owner.active = owner.active || message.GetHeartbeat() == nil
 	switch m := message.GetKind().(type) {
@@ -18,9 +18,9 @@
 	case *wire.EntryMessage_Dispatch:
 		g.dispatch(owner, m.Dispatch)
 	case *wire.EntryMessage_Withdraw:
-		g.takeBack(owner, m.Withdraw.GetAttempt(), onWithdraw)
+		g.releaseReservation(owner, m.Withdraw.GetAttempt(), onWithdraw)
 	case *wire.EntryMessage_Decline:
-		g.takeBack(owner, m.Decline.GetAttempt(), onDecline)
+		g.releaseReservation(owner, m.Decline.GetAttempt(), onDecline)
 	case *wire.EntryMessage_Cancel:
 		g.cancelUpTo(owner, m.Cancel)
 	default:
@@ -40,22 +40,22 @@
 	in := arrival{owner, m.GetAttempt(), m.GetServer(), m.GetWork()}
 	r := g.records.get(in.id.GetRequest())
 	if a := g.currentOf(r, in); a != nil {
-		g.fire(a, onReserve, occasion{work: m.GetWork()})
+		g.fire(a, onReserve, eventDetails{work: m.GetWork()})
 		return
 	}
-	a := g.admissible(in, r)
+	a := g.admissibleAttempt(in, r)
 	if a == nil {
 		return
 	}
-	if no, refused := g.tooLate(a); refused {
-		g.fire(a, onRefuse, occasion{refusal: no})
+	if reason, refused := g.deadlineRefusal(a); refused {
+		g.fire(a, onRefuse, eventDetails{refusal: reason})
 		return
 	}
-	if !g.makePlace(a) {
+	if !g.ensureCapacity(a) {
 		return
 	}
-	g.accept(a)
-	g.fire(a, onReserve, occasion{})
+	g.makeCurrent(a)
+	g.fire(a, onReserve, eventDetails{})
 }
 
 // dispatch takes a body: of an offer, of an offer that lapsed, or without any.
@@ -64,19 +64,19 @@
 	r := g.records.get(in.id.GetRequest())
 	a := g.currentOf(r, in)
 	if a == nil {
-		if a = g.admissible(in, r); a == nil {
+		if a = g.admissibleAttempt(in, r); a == nil {
 			return
 		}
-		g.accept(a)
+		g.makeCurrent(a)
 	}
 	before := a.state
-	if !g.fire(a, onDispatch, occasion{}) || a.state != admitted || before == admitted {
+	if !g.fire(a, onDispatch, eventDetails{}) || a.state != admitted || before == admitted {
 		return
 	}
 	a.dispatch = m
 	a.fingerprint = poison.Fingerprint(m.GetFingerprint())
 	if before != absent {
-		g.waiting.taken.note(true)
+		g.waiting.servedShare.observe(true)
 	}
 	g.admit(a, before, m.GetOffered())
 }
@@ -84,32 +84,32 @@
 // admit starts a dispatched attempt, refuses it, or lets it wait with its body.
 func (g *Gate) admit(a *attempt, before attemptState, withOffer bool) {
 	if before == offered {
-		g.ahead.note(g.now.Sub(a.wait.offeredAt))
-		if !a.work.GetService() || g.server.state != serverReady || g.slotFree() {
-			g.fire(a, onStart, occasion{})
+		g.offerLatency.observe(g.now.Sub(a.wait.offeredAt))
+		if !a.work.GetService() || g.server.state != serverReady || g.hasFreeSlot() {
+			g.fire(a, onStart, eventDetails{})
 		}
 		return
 	}
-	if no, refused := g.tooLate(a); refused && before == absent {
-		g.fire(a, onRefuse, occasion{refusal: no})
+	if reason, refused := g.deadlineRefusal(a); refused && before == absent {
+		g.fire(a, onRefuse, eventDetails{refusal: reason})
 		return
 	}
 	if g.roomForDispatch(a) {
-		g.fire(a, onStart, occasion{})
+		g.fire(a, onStart, eventDetails{})
 		return
 	}
-	if g.throttled() != roomEnough {
+	if g.throttleBlock() != notBlocked {
 		g.refuseThrottled(a)
 		return
 	}
-	if a.tier() == firstTier && g.lowerWork(a) {
+	if a.tier() == firstTier && g.hasLowerTierWork(a) {
 		return
 	}
 	if withOffer || before == reserved {
-		g.fire(a, onRefuse, occasion{refusal: refuseLateOffer})
+		g.fire(a, onRefuse, eventDetails{refusal: refuseLapsedOffer})
 		return
 	}
-	g.fire(a, onRefuse, occasion{refusal: refuseNoOffer})
+	g.fire(a, onRefuse, eventDetails{refusal: refuseNoOffer})
 }
 
 // currentOf returns the attempt under way that a repeated message speaks of.
@@ -117,22 +117,22 @@
 	if r == nil || r.current == nil || r.current.number != in.id.GetNumber() || r.current.owner != in.owner {
 		return nil
 	}
-	if !in.owner.mayAsk() {
+	if !in.owner.acceptsMessages() {
 		return nil
 	}
 	return r.current
 }
 
-// admissible makes an attempt of an arrival, or answers why not.
-func (g *Gate) admissible(in arrival, r *record) *attempt {
-	who := asker{entry: in.owner.id, number: in.id.GetNumber(), server: in.server}
-	if r != nil && r.current != nil && r.current.number == who.number {
+// admissibleAttempt makes an attempt of an arrival, or answers why not.
+func (g *Gate) admissibleAttempt(in arrival, r *record) *attempt {
+	inq := inquirer{entry: in.owner.id, number: in.id.GetNumber(), server: in.server}
+	if r != nil && r.current != nil && r.current.number == inq.number {
 		// A copy, from an entry whose word doesn't count any more: the attempt itself may be running.
-		g.unproven(who, r.request, false)
+		g.sendUnproven(inq, r.request, false)
 		return nil
 	}
-	if r != nil && r.over(who.number) {
-		g.answerArrival(r, who)
+	if r != nil && r.isOver(inq.number) {
+		g.answerArrival(r, inq)
 		return nil
 	}
 	r = g.recordFor(in, r)
@@ -140,8 +140,8 @@
 		return nil
 	}
 	a := g.newAttempt(r, in.owner, in.id, in.server, in.work)
-	if no, refused := g.refuses(a); refused {
-		g.fire(a, onRefuse, occasion{refusal: no})
+	if reason, refused := g.arrivalRefusal(a); refused {
+		g.fire(a, onRefuse, eventDetails{refusal: reason})
 		return nil
 	}
 	return a
@@ -155,70 +155,70 @@
 	}
 	r = g.records.add(in.id.GetRequest(), 2*g.config.MaxRecords)
 	if r == nil {
-		g.unproven(asker{entry: in.owner.id, number: in.id.GetNumber(), server: in.server}, in.id.GetRequest(), false)
+		g.sendUnproven(inquirer{entry: in.owner.id, number: in.id.GetNumber(), server: in.server}, in.id.GetRequest(), false)
 	}
 	return r
 }
 
-// refuses says why an arrival can't become an attempt now, whatever the room.
-func (g *Gate) refuses(a *attempt) (refusal, bool) {
+// arrivalRefusal says why an arrival can't become an attempt now, whatever the room.
+func (g *Gate) arrivalRefusal(a *attempt) (refusal, bool) {
 	switch {
-	case !a.owner.mayAsk():
+	case !a.owner.acceptsMessages():
 		return refuseEnded, true
-	case !a.owner.valid():
+	case !a.owner.leaseValid():
 		return refuseExpired, true
 	case g.server.state == serverAnnounced:
 		return refuseStarting, true
 	case g.server.state != serverReady && g.server.state != serverSuspect:
 		return refuseLeaving, true
 	case !g.serves(a.work):
-		return refuseTarget, true
+		return refuseUnknownTarget, true
 	case g.records.len() > g.config.MaxRecords:
-		return refuseTable, true
+		return refuseRecordsFull, true
 	case a.record.current != nil:
-		return g.refusesBeside(a)
+		return g.concurrentRefusal(a)
 	}
 	return refusal{}, false
 }
 
-// refusesBeside decides between two attempts of one request. One that runs, or may run, keeps all others out; of
+// concurrentRefusal decides between two attempts of one request. One that runs, or may run, keeps all others out; of
 // two that only wait the later one stays.
-func (g *Gate) refusesBeside(a *attempt) (refusal, bool) {
+func (g *Gate) concurrentRefusal(a *attempt) (refusal, bool) {
 	other := a.record.current
-	if other.begun() || other.number >= a.number {
-		return refuseOtherOne, true
+	if other.hasStarted() || other.number >= a.number {
+		return refuseConcurrent, true
 	}
-	g.fire(other, onRefuse, occasion{refusal: refuseSuperseded})
+	g.fire(other, onRefuse, eventDetails{refusal: refuseSuperseded})
 	return refusal{}, false
 }
 
-// accept makes an attempt the current one of its request.
-func (g *Gate) accept(a *attempt) {
+// makeCurrent makes an attempt the current one of its request.
+func (g *Gate) makeCurrent(a *attempt) {
 	a.record.current = a
 	g.records.retain(a.record)
 }
 
-// takeBack handles Withdraw and Decline. Nothing is promised by them, so no tombstone is left; for an attempt that
+// releaseReservation handles Withdraw and Decline. Nothing is promised by them, so no tombstone is left; for an attempt that
 // is not known, or over, they mean nothing.
-func (g *Gate) takeBack(owner *entryState, id *wire.AttemptID, e attemptEvent) {
+func (g *Gate) releaseReservation(owner *entryState, id *wire.AttemptID, e attemptEvent) {
 	r := g.records.get(id.GetRequest())
 	if r == nil || r.current == nil || r.current.number != id.GetNumber() || r.current.owner != owner {
 		return
 	}
-	if !g.fire(r.current, e, occasion{}) {
+	if !g.fire(r.current, e, eventDetails{}) {
 		return
 	}
-	g.waiting.taken.note(false)
+	g.waiting.servedShare.observe(false)
 	r.current = nil
 	g.records.release(r, g.now.Add(g.config.TombstoneLifetime))
 }
 
 // cancelUpTo ends all attempts of a request up to a number. One that was never heard of gets its tombstone too.
 func (g *Gate) cancelUpTo(owner *entryState, m *wire.Cancel) {
-	who := asker{owner.id, m.GetAttempt().GetNumber(), m.GetServer(), m.GetCause()}
+	inq := inquirer{owner.id, m.GetAttempt().GetNumber(), m.GetServer(), m.GetCause()}
 	request := m.GetAttempt().GetRequest()
-	if !owner.mayAsk() {
-		g.unproven(who, request, false)
+	if !owner.acceptsMessages() {
+		g.sendUnproven(inq, request, false)
 		return
 	}
 	r := g.records.get(request)
@@ -226,30 +226,30 @@
 		r = g.records.add(request, 2*g.config.MaxRecords)
 	}
 	if r == nil {
-		g.unproven(who, request, false)
+		g.sendUnproven(inq, request, false)
 		return
 	}
-	o := occasion{refusal: refuseCancelled, cause: cancelCauses[who.cause], asker: who}
-	if a := r.current; a != nil && a.number <= who.number {
-		r.raise(who.number)
+	o := eventDetails{refusal: refuseCancelled, cause: cancelCauses[inq.cause], inquirer: inq}
+	if a := r.current; a != nil && a.number <= inq.number {
+		r.raiseFloor(inq.number)
 		g.fire(a, onCancel, o)
 		return
 	}
-	if r.over(who.number) {
-		g.answerCancel(r, who)
+	if r.isOver(inq.number) {
+		g.answerCancel(r, inq)
 		return
 	}
-	a := g.newAttempt(r, owner, m.GetAttempt(), who.server, nil)
-	a.unheard = true
+	a := g.newAttempt(r, owner, m.GetAttempt(), inq.server, nil)
+	a.cancelOnly = true
 	g.fire(a, onCancel, o)
 }
 
-// mayRunUnseen tells whether an attempt that a takeover asks about may be running, started by an earlier incarnation: at
+// mayRunUntracked tells whether an attempt that a takeover asks about may be running, started by an earlier incarnation: at
 // a server that keeps no list of what it runs, nothing that this incarnation did ended it.
 //
 // Otherwise: an entry and the agent of a plain service die while the service is at a call; the next owner asks, hears
 // that all is over, and the call runs a second time beside the first.
-func (g *Gate) mayRunUnseen(cause wire.CancelCause) bool {
+func (g *Gate) mayRunUntracked(cause wire.CancelCause) bool {
 	return g.clearing.unlisted && cause == wire.CancelCause_CANCEL_CAUSE_TAKEOVER && g.mayPredate(cause)
 }
 
@@ -263,5 +263,5 @@
 	if cause == wire.CancelCause_CANCEL_CAUSE_TAKEOVER {
 		horizon = g.config.OperationLifetime
 	}
-	return g.now.Sub(g.begun) < horizon
+	return g.now.Sub(g.firstStep) < horizon
 }
--- a/gate/records.go
+++ b/gate/records.go
@@ -14,33 +14,33 @@
 // tombstone the dispatch would start after its entry was told "never started" and had sent the request elsewhere:
 // two engines would run it, and one would notice by a doubled pass.
 type record struct {
-	request string
-	floor   uint64   // all attempts with lower numbers are over here
-	current *attempt // not over yet, nil for none
-	last    *attempt // whose run ended last
-	answer  *wire.Over
-	awaited []*attempt // over, with a run or cancel of which the agent hasn't told the end
-
-	// refused is the Over of the attempt that was refused last, refusedBy its owner.
-	refused   *wire.Over
-	refusedBy EntryID
-
-	// ran is the highest number that ran here, proof the strongest end of those that did, unspecified if none. A proof
+	request     string
+	floor       uint64   // all attempts with lower numbers are over here
+	current     *attempt // not over yet, nil for none
+	lastRun     *attempt // whose run ended last
+	lastRunOver *wire.Over
+	awaited     []*attempt // over, with a run or cancel of which the agent hasn't told the end
+
+	// lastRefused is the Over of the attempt that was lastRefused last, refusedBy its owner.
+	lastRefused  *wire.Over
+	refusedOwner EntryID
+
+	// highestRun is the highest number that highestRun here, proof the strongest end of those that did, unspecified if none. A proof
 	// for later numbers must cover it: a new owner asks about all attempts at once.
-	ran   uint64
-	proof wire.Proof
-	// unsure: an earlier incarnation may have run attempts of it.
-	unsure bool
+	highestRun uint64
+	proof      wire.Proof
+	// mayHaveRunEarlier: an earlier incarnation may have run attempts of it.
+	mayHaveRunEarlier bool
 
 	expires time.Time
 	index   int // in the expiry heap, -1 if not there
 }
 
-// over tells whether the attempt of that number is over here, whether it ever came or not.
-func (r *record) over(number uint64) bool { return number < r.floor }
+// isOver tells whether the attempt of that number is isOver here, whether it ever came or not.
+func (r *record) isOver(number uint64) bool { return number < r.floor }
 
-// raise makes all attempts up to a number be over.
-func (r *record) raise(number uint64) {
+// raiseFloor makes all attempts up to a number be over.
+func (r *record) raiseFloor(number uint64) {
 	floor := number + 1
 	if floor == 0 {
 		floor = number
@@ -51,16 +51,16 @@
 // hasRun tells whether an attempt of the request is known to have run here.
 func (r *record) hasRun() bool { return r.proof != wire.Proof_PROOF_UNSPECIFIED }
 
-// await keeps an attempt that is over for the late events of its run and cancels, and drops those that have had all.
-func (r *record) await(a *attempt) {
-	r.awaited = slices.DeleteFunc(r.awaited, func(other *attempt) bool { return other == a || !other.isAwaited() })
-	if a.isAwaited() && len(r.awaited) < mostAwaited {
+// awaitEvents keeps an attempt that is over for the late events of its run and cancels, and drops those that have had all.
+func (r *record) awaitEvents(a *attempt) {
+	r.awaited = slices.DeleteFunc(r.awaited, func(other *attempt) bool { return other == a || !other.awaitsEvents() })
+	if a.awaitsEvents() && len(r.awaited) < maxAwaited {
 		r.awaited = append(r.awaited, a)
 	}
 }
 
-// mostAwaited bounds the attempts of one request whose late events are expected.
-const mostAwaited = 16
+// maxAwaited bounds the attempts of one request whose late events are expected.
+const maxAwaited = 16
 
 // find returns the attempt that an engine event speaks of, or nil. It may be over.
 func (r *record) find(number uint64) *attempt {
@@ -72,8 +72,8 @@
 			return a
 		}
 	}
-	if r.last != nil && r.last.number == number {
-		return r.last
+	if r.lastRun != nil && r.lastRun.number == number {
+		return r.lastRun
 	}
 	return nil
 }
--- a/gate/refusals.go
+++ b/gate/refusals.go
@@ -15,28 +15,28 @@
 
 // Waits that refusals advise.
 const (
-	retrySoon   = 100 * time.Millisecond
-	retryLater  = time.Second
-	retryAtMost = 30 * time.Second
+	retrySoon     = 100 * time.Millisecond
+	retryLater    = time.Second
+	maxRetryAfter = 30 * time.Second
 )
 
 var (
-	refuseStarting    = refusal{result.Starting, "the agent has not yet proved its backend server free", retryLater}
-	refuseLeaving     = refusal{result.NoServer, "the backend server is leaving or gone", 0}
-	refuseTarget      = refusal{result.NoServer, "the backend server does not have this model or service", 0}
-	refuseOtherOne    = refusal{result.AttemptSuperseded, "another attempt of the request is not over here", retryLater}
-	refuseSuperseded  = refusal{result.AttemptSuperseded, "a later attempt of the request came", 0}
-	refuseEnded       = refusal{result.LeaseExpired, "this incarnation of the entry has ended", 0}
-	refuseExpired     = refusal{result.LeaseExpired, "the entry did not renew its lease", 0}
-	refuseTombstone   = refusal{result.RefusedNeverStarted, "the attempt was cancelled or refused before", 0}
-	refuseTable       = refusal{result.QueueFull, "too many requests are remembered", retryLater}
-	refuseNoOffer     = refusal{result.RefusedNeverStarted, "no room for a dispatch without an offer", retrySoon}
-	refuseLateOffer   = refusal{result.RefusedNeverStarted, "the offer had lapsed and its slot was taken", retrySoon}
-	refuseRateLimited = refusal{result.ServerRateLimited, "the backend server takes only so many requests a second", 0}
-	refuseBackoff     = refusal{result.ServerBackoff, "the backend server asks to keep away for a while", 0}
-	refuseLapsed      = refusal{result.RefusedNeverStarted, "offers were not answered", 0}
-	refuseDeadline    = refusal{result.DeadlinePassedInQueue, "the deadline passed while the request waited", 0}
-	refuseCancelled   = refusal{result.Cancelled, "cancelled before it started", 0}
+	refuseStarting      = refusal{result.Starting, "the agent has not yet proved its backend server free", retryLater}
+	refuseLeaving       = refusal{result.NoServer, "the backend server is leaving or gone", 0}
+	refuseUnknownTarget = refusal{result.NoServer, "the backend server does not have this model or service", 0}
+	refuseConcurrent    = refusal{result.AttemptSuperseded, "another attempt of the request is not over here", retryLater}
+	refuseSuperseded    = refusal{result.AttemptSuperseded, "a later attempt of the request came", 0}
+	refuseEnded         = refusal{result.LeaseExpired, "this incarnation of the entry has ended", 0}
+	refuseExpired       = refusal{result.LeaseExpired, "the entry did not renew its lease", 0}
+	refuseTombstone     = refusal{result.RefusedNeverStarted, "the attempt was cancelled or refused before", 0}
+	refuseRecordsFull   = refusal{result.QueueFull, "too many requests are remembered", retryLater}
+	refuseNoOffer       = refusal{result.RefusedNeverStarted, "no room for a dispatch without an offer", retrySoon}
+	refuseLapsedOffer   = refusal{result.RefusedNeverStarted, "the offer had lapsed and its slot was taken", retrySoon}
+	refuseRateLimited   = refusal{result.ServerRateLimited, "the backend server takes only so many requests a second", 0}
+	refuseBackoff       = refusal{result.ServerBackoff, "the backend server asks to keep away for a while", 0}
+	refuseUnanswered    = refusal{result.RefusedNeverStarted, "offers were not answered", 0}
+	refuseDeadline      = refusal{result.DeadlinePassedInQueue, "the deadline passed while the request waited", 0}
+	refuseCancelled     = refusal{result.Cancelled, "cancelled before it started", 0}
 )
 
 // refuseFull is for a full waiting list; the wait is how long the list is expected to take.
@@ -55,5 +55,5 @@
 }
 
 func clampRetry(wait time.Duration) time.Duration {
-	return min(max(wait, retrySoon), retryAtMost)
+	return min(max(wait, retrySoon), maxRetryAfter)
 }
--- a/gate/keep.go
+++ b/gate/retained.go
@@ -11,43 +11,43 @@
 // package sched.
 const epochShift = 16
 
-// keptOver is an ended attempt whose Over and answer are kept for those who lost them.
-type keptOver struct {
+// retainedOver is an ended attempt whose Over and answer are kept for those who lost them.
+type retainedOver struct {
 	attempt *attempt
 	over    *wire.Over
 	until   time.Time
 }
 
-func (g *Gate) keepOver(a *attempt, over *wire.Over) {
-	if a.unheard {
+func (g *Gate) retainOver(a *attempt, over *wire.Over) {
+	if a.cancelOnly {
 		return
 	}
-	g.kept = append(g.kept, keptOver{a, over, g.now.Add(g.config.OverRetention)})
+	g.retained = append(g.retained, retainedOver{a, over, g.now.Add(g.config.OverRetention)})
 }
 
-// dropKept forgets answers that were kept long enough. The tombstones stay.
-func (g *Gate) dropKept() {
-	for len(g.kept) > 0 && g.kept[0].until.Before(g.now) {
-		g.dropOldestKept()
+// expireRetained forgets answers that were kept long enough. The tombstones stay.
+func (g *Gate) expireRetained() {
+	for len(g.retained) > 0 && g.retained[0].until.Before(g.now) {
+		g.dropOldestRetained()
 	}
 }
 
-func (g *Gate) dropOldestKept() {
-	k := g.kept[0]
-	g.kept[0] = keptOver{}
-	g.kept = g.kept[1:]
+func (g *Gate) dropOldestRetained() {
+	k := g.retained[0]
+	g.retained[0] = retainedOver{}
+	g.retained = g.retained[1:]
 	k.attempt.frames.drop()
 	r := k.attempt.record
-	if r.answer == k.over {
-		r.answer = stripped(k.over)
+	if r.lastRunOver == k.over {
+		r.lastRunOver = minimalOver(k.over)
 	}
-	if r.refused == k.over {
-		r.refused = stripped(k.over)
+	if r.lastRefused == k.over {
+		r.lastRefused = minimalOver(k.over)
 	}
 }
 
-// stripped is an Over without the texts and figures that nobody asks for again.
-func stripped(over *wire.Over) *wire.Over {
+// minimalOver is an Over without the texts and figures that nobody asks for again.
+func minimalOver(over *wire.Over) *wire.Over {
 	return &wire.Over{
 		Attempt: over.GetAttempt(),
 		Server:  over.GetServer(),
@@ -69,7 +69,7 @@
 		}
 		g.resendFrames(a)
 	}
-	for _, k := range g.kept {
+	for _, k := range g.retained {
 		if k.attempt.owner != e {
 			continue
 		}
@@ -80,29 +80,29 @@
 	}
 }
 
-// keepForControl reports an outcome whose entry is gone. Without it the record of the operation would stay without
+// reportIfOrphaned reports an outcome whose entry is gone. Without it the record of the operation would stay without
 // an outcome, and the caller of work that may not be repeated would never learn that it was done.
-func (g *Gate) keepForControl(a *attempt, over *wire.Over) {
-	if a.dispatch.GetReportToControl() && !a.owner.valid() {
-		g.report(a, over)
+func (g *Gate) reportIfOrphaned(a *attempt, over *wire.Over) {
+	if a.dispatch.GetReportToControl() && !a.owner.leaseValid() {
+		g.reportOutcome(a, over)
 	}
 }
 
-// reportKept reports the outcomes that ended shortly before their entry did, and may not have reached it.
-func (g *Gate) reportKept(e *entryState) {
-	for _, k := range g.kept {
-		if k.attempt.owner == e && k.attempt.dispatch.GetReportToControl() && k.attempt.begun() {
-			g.report(k.attempt, k.over)
+// reportRetained reports the outcomes that ended shortly before their entry did, and may not have reached it.
+func (g *Gate) reportRetained(e *entryState) {
+	for _, k := range g.retained {
+		if k.attempt.owner == e && k.attempt.dispatch.GetReportToControl() && k.attempt.hasStarted() {
+			g.reportOutcome(k.attempt, k.over)
 		}
 	}
 }
 
-// report proposes an outcome. An attempt of which only the end is proved has none.
-func (g *Gate) report(a *attempt, over *wire.Over) {
+// reportOutcome proposes an outcome. An attempt of which only the end is proved has none.
+func (g *Gate) reportOutcome(a *attempt, over *wire.Over) {
 	answer := &wire.Answer{Code: over.GetCode(), Message: over.GetMessage()}
 	switch over.GetProof() {
 	case wire.Proof_PROOF_COMPLETED:
-		answer = a.keptAnswer(over.GetAnswer())
+		answer = a.retainedAnswer(over.GetAnswer())
 	case wire.Proof_PROOF_FAILED:
 	default:
 		return
@@ -116,8 +116,8 @@
 	}})
 }
 
-// keptAnswer is the answer as the operation record keeps it.
-func (a *attempt) keptAnswer(end *wire.AnswerEnd) *wire.Answer {
+// retainedAnswer is the answer as the operation record keeps it.
+func (a *attempt) retainedAnswer(end *wire.AnswerEnd) *wire.Answer {
 	answer := &wire.Answer{Status: end.GetStatus(), ContentType: end.GetContentType()}
 	if a.frames.dropped {
 		answer.Dropped = true
--- a/gate/room.go
+++ b/gate/room.go
@@ -11,203 +11,203 @@
 // lowestTier stands for the lowest tier there may be.
 const lowestTier = math.MaxUint32
 
-// usage is what of the server is held.
-type usage struct {
-	prefill        int64 // uncached prompt tokens in flight that are not computed yet
-	memory         int64 // tokens of cache memory
+// resourceUsage is what of the server is held.
+type resourceUsage struct {
+	prefillTokens  int64 // uncached prompt tokens in flight that are not computed yet
+	memoryTokens   int64 // tokens of cache memory
 	memoryCapacity int64 // 0 if not known
 }
 
 // memoryShare is how much of the cache memory is given out: estimates of output are often too low.
 const memoryShare = 0.95
 
-// why says why an attempt has no room. The empty one says that it has.
-type why string
+// blockReason says blockReason an attempt has no room. The empty one says that it has.
+type blockReason string
 
 const (
-	roomEnough  why = ""
-	whyStarting why = "the engine is not proved free of earlier attempts"
-	whyLeaving  why = "the server is leaving or gone"
-	whySuspect  why = "the server is suspect"
-	whySlots    why = "all slots are taken"
-	whyHeadroom why = "the last slots are kept for the first tier"
-	whyPrefill  why = "too many prompt tokens are in flight"
-	whyMemory   why = "the cache memory is full"
-	whyPace     why = "its prompt would make running answers of a higher tier late"
-	whyRate     why = "the server takes only so many requests a second"
-	whyBackoff  why = "the server asks to keep away for a while"
-	whyTrial    why = "the first answer since the server may have asked to keep away is awaited"
-	whyAlone    why = "a request under which servers crashed runs alone"
+	notBlocked       blockReason = ""
+	blockedStarting  blockReason = "the engine is not proved free of earlier attempts"
+	blockedLeaving   blockReason = "the server is leaving or gone"
+	blockedSuspect   blockReason = "the server is suspect"
+	blockedSlots     blockReason = "all slots are taken"
+	blockedHeadroom  blockReason = "the last slots are kept for the first tier"
+	blockedPrefill   blockReason = "too many prompt tokens are in flight"
+	blockedMemory    blockReason = "the cache memory is full"
+	blockedPace      blockReason = "its prompt would make running answers of a higher tier late"
+	blockedRate      blockReason = "the server takes only so many requests a second"
+	blockedBackoff   blockReason = "the server asks to keep away for a while"
+	blockedTrial     blockReason = "the first answer since the server may have asked to keep away is awaited"
+	blockedExclusive blockReason = "a request under which servers crashed runs alone"
 )
 
-// noRoom says why an attempt can't start now.
-func (g *Gate) noRoom(a *attempt) why {
-	if reason := g.closed(); reason != roomEnough {
+// blockReasonOf says why an attempt can't start now.
+func (g *Gate) blockReasonOf(a *attempt) blockReason {
+	if reason := g.serverBlock(); reason != notBlocked {
 		return reason
 	}
-	if reason := g.notAlone(a); reason != roomEnough {
+	if reason := g.exclusivityBlock(a); reason != notBlocked {
 		return reason
 	}
-	if reason := g.throttled(); reason != roomEnough && !a.run.permitted {
+	if reason := g.throttleBlock(); reason != notBlocked && !a.run.holdsPermit {
 		return reason
 	}
 	if g.server.state == serverSuspect {
-		return g.probes.room(g, a)
+		return g.probes.block(g, a)
 	}
 	slots := g.limit.slots()
-	slots += g.offersAhead(a)
-	held := g.heldBefore(a)
+	slots += g.earlyOffers(a)
+	held := g.heldAheadOf(a)
 	if held >= slots {
-		return whySlots
+		return blockedSlots
 	}
 	if a.tier() > firstTier && held >= slots-g.headroom.slots() {
-		return whyHeadroom
+		return blockedHeadroom
 	}
-	if reason := g.noMemory(a); reason != roomEnough {
+	if reason := g.memoryBlock(a); reason != notBlocked {
 		return reason
 	}
-	if g.slowsHigher(a) {
-		return whyPace
+	if g.delaysHigherTier(a) {
+		return blockedPace
 	}
-	return g.noPrefill(a)
+	return g.prefillBlock(a)
 }
 
-// closed says why nothing at all can start.
-func (g *Gate) closed() why {
+// serverBlock says why nothing at all can start.
+func (g *Gate) serverBlock() blockReason {
 	switch g.server.state {
 	case serverReady, serverSuspect:
-		return roomEnough
+		return notBlocked
 	case serverAnnounced, serverLeaving:
-		return whyStarting
+		return blockedStarting
 	default:
-		return whyLeaving
+		return blockedLeaving
 	}
 }
 
-// noMemory compares what all attempts need at their end with the cache memory. An engine out of memory evicts the
+// memoryBlock compares what all attempts need at their end with the cache memory. An engine out of memory evicts the
 // prompts of running attempts and computes them again.
-func (g *Gate) noMemory(a *attempt) why {
-	if g.use.memoryCapacity <= 0 || len(g.held) == 0 || a.work.GetService() {
-		return roomEnough
+func (g *Gate) memoryBlock(a *attempt) blockReason {
+	if g.usage.memoryCapacity <= 0 || len(g.held) == 0 || a.work.GetService() {
+		return notBlocked
 	}
-	if float64(g.use.memory+need(a.work)) > memoryShare*float64(g.use.memoryCapacity) {
-		return whyMemory
+	if float64(g.usage.memoryTokens+memoryNeed(a.work)) > memoryShare*float64(g.usage.memoryCapacity) {
+		return blockedMemory
 	}
-	return roomEnough
+	return notBlocked
 }
 
-// noPrefill bounds the prompt tokens in flight that the next prompt would wait for. Engines compute prompts in order
+// prefillBlock bounds the prompt tokens in flight that the next prompt would wait for. Engines compute prompts in order
 // of arrival: beyond the bound more of them only wait inside the engine, where no tier counts. The first tier is let
 // in if it still ends in time.
-func (g *Gate) noPrefill(a *attempt) why {
-	if a.work.GetService() || g.use.prefill < g.pace.prefillBound() {
-		return roomEnough
+func (g *Gate) prefillBlock(a *attempt) blockReason {
+	if a.work.GetService() || g.usage.prefillTokens < g.pace.prefillBound() {
+		return notBlocked
 	}
-	if a.tier() == firstTier && !g.misses(a, g.pace.prefillTime(g.use.prefill)) {
-		return roomEnough
+	if a.tier() == firstTier && !g.missesDeadline(a, g.pace.prefillTime(g.usage.prefillTokens)) {
+		return notBlocked
 	}
-	return whyPrefill
+	return blockedPrefill
 }
 
-// need is the cache memory of an attempt at its end, in tokens.
-func need(w *wire.Work) int64 {
+// memoryNeed is the cache memory of an attempt at its end, in tokens.
+func memoryNeed(w *wire.Work) int64 {
 	return int64(w.GetPromptTokens()) + int64(w.GetOutputTokens())
 }
 
 // holdRoom takes room and charges the organisation. An attempt that holds room already keeps it.
 func (g *Gate) holdRoom(a *attempt) {
-	if a.run.holds {
+	if a.run.holdsRoom {
 		return
 	}
-	a.run.holds = true
-	a.run.prefill = a.uncached()
-	a.run.memory = need(a.work)
-	a.run.estimate = g.estimate(a.work)
-	g.use.prefill += a.run.prefill
-	g.use.memory += a.run.memory
+	a.run.holdsRoom = true
+	a.run.pendingPrefill = a.uncachedTokens()
+	a.run.cacheTokens = memoryNeed(a.work)
+	a.run.chargedCost = g.estimateCost(a.work)
+	g.usage.prefillTokens += a.run.pendingPrefill
+	g.usage.memoryTokens += a.run.cacheTokens
 	g.held = append(g.held, a)
 	g.takePermit(a)
 	if a.tier() <= firstTier && len(g.held) > g.limit.slots()-g.headroom.slots() {
-		g.headroom.took()
+		g.headroom.recordUse()
 	}
-	g.waiting.tier(a.tier()).clock.Start(a.work.GetOrganisation(), a.run.estimate)
+	g.waiting.tier(a.tier()).clock.Start(a.work.GetOrganisation(), a.run.chargedCost)
 	g.room.dirty = true
 }
 
 // releaseRoom gives room back and settles what the attempt has cost.
-func (g *Gate) releaseRoom(a *attempt, o *occasion) {
+func (g *Gate) releaseRoom(a *attempt, o *eventDetails) {
 	cost := int64(0)
-	if a.begun() {
+	if a.hasStarted() {
 		g.runs = slices.DeleteFunc(g.runs, func(other *attempt) bool { return other == a })
-		cost = g.settle(a, o)
+		cost = g.settleRun(a, o)
 	}
-	if a.run.estimate != 0 {
-		g.waiting.tier(a.tier()).clock.TrueUp(a.work.GetOrganisation(), a.run.estimate, cost)
-		a.run.estimate = 0
+	if a.run.chargedCost != 0 {
+		g.waiting.tier(a.tier()).clock.TrueUp(a.work.GetOrganisation(), a.run.chargedCost, cost)
+		a.run.chargedCost = 0
 	}
-	g.giveSlotBack(a)
+	g.releaseSlot(a)
 }
 
-func (g *Gate) giveSlotBack(a *attempt) {
-	if !a.run.holds {
+func (g *Gate) releaseSlot(a *attempt) {
+	if !a.run.holdsRoom {
 		return
 	}
-	a.run.holds = false
+	a.run.holdsRoom = false
 	g.returnPermit(a)
-	g.prefillDone(a)
-	g.use.memory -= a.run.memory
+	g.endPrefill(a)
+	g.usage.memoryTokens -= a.run.cacheTokens
 	g.held = slices.DeleteFunc(g.held, func(other *attempt) bool { return other == a })
 	g.room.dirty = true
 }
 
-func (g *Gate) prefillDone(a *attempt) {
-	if a.run.prefill == 0 {
+func (g *Gate) endPrefill(a *attempt) {
+	if a.run.pendingPrefill == 0 {
 		return
 	}
-	g.use.prefill -= a.run.prefill
-	a.run.prefill = 0
-	if g.use.prefill == 0 {
-		g.pace.quietSince = g.now
+	g.usage.prefillTokens -= a.run.pendingPrefill
+	a.run.pendingPrefill = 0
+	if g.usage.prefillTokens == 0 {
+		g.pace.decodeOnlySince = g.now
 	}
 }
 
 // Bounds of how often Room is broadcast, and of what counts as a change.
 const (
-	roomInterval  = 20 * time.Millisecond
-	roomTolerance = 0.25
-	roomBacklog   = 50 // ms
+	roomInterval     = 20 * time.Millisecond
+	roomTolerance    = 0.25
+	backlogTolerance = 50 // ms
 )
 
-// roomState is what entries were told of the room.
-type roomState struct {
-	dirty bool
-	told  *wire.Room
-	sent  time.Time
+// roomBroadcast is what entries were told of the room.
+type roomBroadcast struct {
+	dirty    bool
+	lastSent *wire.Room
+	sentAt   time.Time
 }
 
-// shareRoom broadcasts the room if it changed, at most once in roomInterval. A new condition goes at once.
-func (g *Gate) shareRoom() {
+// broadcastRoom broadcasts the room if it changed, at most once in roomInterval. A new condition goes at once.
+func (g *Gate) broadcastRoom() {
 	if !g.room.dirty || !g.cleared() || g.server.record == nil {
 		return
 	}
-	if g.now.Sub(g.room.sent) < roomInterval && g.room.told != nil && g.room.told.Condition == g.condition() {
+	if g.now.Sub(g.room.sentAt) < roomInterval && g.room.lastSent != nil && g.room.lastSent.Condition == g.condition() {
 		return
 	}
 	g.room.dirty = false
-	room := g.roomNow()
-	if g.room.told != nil && !differs(room, g.room.told) {
+	room := g.currentRoom()
+	if g.room.lastSent != nil && !roomChanged(room, g.room.lastSent) {
 		return
 	}
-	g.room.told = room
-	g.room.sent = g.now
+	g.room.lastSent = room
+	g.room.sentAt = g.now
 	g.emit(Broadcast{Message: &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}}})
 }
 
 func (g *Gate) roomMessage() *wire.AgentMessage {
-	return &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: g.roomNow()}}
+	return &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: g.currentRoom()}}
 }
 
-func (g *Gate) roomNow() *wire.Room {
+func (g *Gate) currentRoom() *wire.Room {
 	r := g.server.record
 	return &wire.Room{
 		Server:            r.GetServer(),
@@ -223,7 +223,7 @@
 		DecodeTokensPerS:  float32(g.pace.decodeRate()),
 		BacklogMs:         uint32(min(g.backlog(), time.Hour) / time.Millisecond),
 		Condition:         g.condition(),
-		Throttle:          throttles[g.throttle.Blocked(g.now)].wire,
+		Throttle:          throttleReasons[g.throttle.Blocked(g.now)].wire,
 		Resume:            r.GetCapabilities().GetResume(),
 		Kv:                r.GetCapabilities().GetKv(),
 	}
@@ -231,13 +231,13 @@
 
 // free is how many attempts may be dispatched without an offer.
 func (g *Gate) free() int {
-	if g.waiting.count > 0 || g.closed() != roomEnough || g.throttled() != roomEnough || g.holdsAlone() {
+	if g.waiting.count > 0 || g.serverBlock() != notBlocked || g.throttleBlock() != notBlocked || g.exclusiveRunHeld() {
 		return 0
 	}
 	if g.server.state == serverSuspect {
 		return g.probes.free(g)
 	}
-	if g.use.prefill >= g.pace.prefillBound() {
+	if g.usage.prefillTokens >= g.pace.prefillBound() {
 		return 0
 	}
 	return max(min(g.limit.slots()-g.headroom.slots()-len(g.held), g.throttle.Ready(g.now)), 0)
@@ -260,20 +260,20 @@
 	return 0
 }
 
-// differs tells whether an entry would decide differently.
-func differs(a, b *wire.Room) bool {
+// roomChanged tells whether an entry would decide differently.
+func roomChanged(a, b *wire.Room) bool {
 	same := a.Server == b.Server && a.Condition == b.Condition && a.Throttle == b.Throttle && a.Free == b.Free && a.Waiting == b.Waiting &&
 		a.Running == b.Running && a.LowestRunningTier == b.LowestRunningTier &&
 		a.LowestWaitingTier == b.LowestWaitingTier && a.Resume == b.Resume && a.Kv == b.Kv &&
 		slices.Equal(a.Targets, b.Targets)
-	return !same || apart(a.PrefillTokensPerS, b.PrefillTokensPerS) || apart(a.PrefillFixedMs, b.PrefillFixedMs) ||
-		apart(a.DecodeTokensPerS, b.DecodeTokensPerS) || backlogApart(a.BacklogMs, b.BacklogMs)
+	return !same || outsideTolerance(a.PrefillTokensPerS, b.PrefillTokensPerS) || outsideTolerance(a.PrefillFixedMs, b.PrefillFixedMs) ||
+		outsideTolerance(a.DecodeTokensPerS, b.DecodeTokensPerS) || backlogChanged(a.BacklogMs, b.BacklogMs)
 }
 
-func apart(a, b float32) bool {
+func outsideTolerance(a, b float32) bool {
 	return math.Abs(float64(a-b)) > roomTolerance*math.Abs(float64(b))
 }
 
-func backlogApart(a, b uint32) bool {
-	return math.Abs(float64(a)-float64(b)) > max(roomBacklog, roomTolerance*float64(b))
+func backlogChanged(a, b uint32) bool {
+	return math.Abs(float64(a)-float64(b)) > max(backlogTolerance, roomTolerance*float64(b))
 }
