--- a/gate/runs.go
+++ b/gate/runs.go
@@ -12,7 +12,7 @@
 // Bounds of repeated cancels.
 const (
 	firstBackoff  = 50 * time.Millisecond
-	longestWait   = 5 * time.Second
+	maxBackoff    = 5 * time.Second
 	answerTimeout = 10 * time.Second // after which an unanswered cancel is repeated
 )
 
@@ -21,7 +21,7 @@
 func (g *Gate) inFlight() int {
 	n := 0
 	for _, a := range g.runs {
-		if a.run.holds || !a.cancel.unsupported {
+		if a.run.holdsRoom || !a.cancel.unsupported {
 			n++
 		}
 	}
@@ -40,14 +40,14 @@
 // startEngine is the only place that lets an attempt begin.
 func (g *Gate) startEngine(a *attempt) {
 	a.run.started = g.now
-	a.run.open = true
+	a.run.callOpen = true
 	g.usePermit(a)
-	a.run.prefillAhead = g.use.prefill
-	a.run.busy = g.started()
+	a.run.prefillAtStart = g.usage.prefillTokens
+	a.run.concurrency = g.usedSlots()
 	a.frames.begin(a.dispatch)
 	g.runs = append(g.runs, a)
 	if a.dispatch.GetOperation() != "" || a.dispatch.GetIdempotencyKey() != "" {
-		g.memory.add(a.record.request, g.now)
+		g.history.add(a.record.request, g.now)
 	}
 	g.emit(StartEngine{Dispatch: a.dispatch})
 	g.send(a.owner.id, &wire.AgentMessage{Kind: &wire.AgentMessage_Started{
@@ -61,23 +61,23 @@
 		g.chartError("progress of an unknown attempt")
 		return
 	}
-	if !a.run.open {
+	if !a.run.callOpen {
 		g.chartError("progress after the end of the run")
 		return
 	}
-	tokens := e.count()
+	tokens := e.tokenCount()
 	if a.state != tombstoned {
-		g.noteProgress(a, tokens)
+		g.observeProgress(a, tokens)
 	}
-	g.fire(a, onProgress, occasion{events: e.Events, eventTokens: e.Tokens, tokens: tokens})
+	g.fire(a, onProgress, eventDetails{events: e.Events, eventTokens: e.Tokens, tokens: tokens})
 }
 
-// count is the number of tokens that arrived. An engine that doesn't say how many has one in each event; one that says
+// tokenCount is the number of tokens that arrived. An engine that doesn't say how many has one in each event; one that says
 // none has sent the opening of an answer, which comes before its prompt is computed.
 //
 // Taking that for the first token makes a prefill look finished at once: one would notice by a learnt prefill rate of
 // millions of tokens a second, long prompts piled up in the engine, and servers that look slow by that rate.
-func (e EngineProgress) count() uint32 {
+func (e EngineProgress) tokenCount() uint32 {
 	if len(e.Tokens) == 0 {
 		return uint32(len(e.Events))
 	}
@@ -94,23 +94,23 @@
 		g.chartError("end of an unknown attempt")
 		return
 	}
-	if !a.run.open {
+	if !a.run.callOpen {
 		g.chartError("second end of a run")
 		return
 	}
-	a.run.open = false
+	a.run.callOpen = false
 	wasCancelled := a.cancel.cause != ""
 	if !wasCancelled {
 		a.cancel.cause = endCause(e)
 	}
 	if !wasCancelled && errors.Is(e.Err, engine.ErrUnknown) {
-		g.noteBroken(a)
+		g.recordBroken(a)
 	}
 	unreachable := errors.Is(e.Err, engine.ErrUnreachable)
 	if unreachable {
-		g.unreachable()
+		g.markUnreachable()
 	}
-	g.fire(a, endEvent(a, e), occasion{end: &e, cause: a.cancel.cause, refusal: refusal{
+	g.fire(a, endEvent(a, e), eventDetails{end: &e, cause: a.cancel.cause, refusal: refusal{
 		code:       refuseNoOffer.code,
 		message:    "the call never left the agent",
 		retryAfter: retrySoon,
@@ -151,7 +151,7 @@
 }
 
 func (g *Gate) engineCancelled(e EngineCancelled) {
-	if g.clearing.answered(g, e) {
+	if g.clearing.handleCancelAnswer(g, e) {
 		return
 	}
 	a := g.find(e.Attempt)
@@ -164,29 +164,29 @@
 		a.cancel.pending = false
 	}
 	a.cancel.unsupported = errors.Is(e.Err, engine.ErrUnsupported)
-	knows := e.Err == nil && e.Result == engine.CancelConfirmed
+	engineKnew := e.Err == nil && e.Result == engine.CancelConfirmed
 	unknown := e.Err == nil && e.Result == engine.CancelUnknownID
-	if !knows && !unknown {
-		g.fire(a, onNoAnswer, occasion{})
+	if !engineKnew && !unknown {
+		g.fire(a, onNoAnswer, eventDetails{})
 		return
 	}
-	after := a.cancel.firstAfter != 0 && e.Try >= a.cancel.firstAfter
-	g.fire(a, onConfirm, occasion{knows: knows, runOver: unknown && after, cause: a.cancel.cause})
+	after := a.cancel.firstTryAfterRun != 0 && e.Try >= a.cancel.firstTryAfterRun
+	g.fire(a, onConfirm, eventDetails{engineKnew: engineKnew, askedAfterRun: unknown && after, cause: a.cancel.cause})
 }
 
 // beginCancel notes why the end is asked for, and asks the engine.
-func (g *Gate) beginCancel(a *attempt, o *occasion) {
+func (g *Gate) beginCancel(a *attempt, o *eventDetails) {
 	if a.cancel.cause == "" {
 		a.cancel.cause = o.cause
 	}
-	if a.cancel.since.IsZero() {
-		a.cancel.since = g.now
+	if a.cancel.requestedAt.IsZero() {
+		a.cancel.requestedAt = g.now
 	}
-	a.addAsker(o.asker)
-	if a.cancel.unsureSince.IsZero() && !a.run.open {
-		a.cancel.unsureSince = g.now
+	a.addInquirer(o.inquirer)
+	if a.cancel.unprovenSince.IsZero() && !a.run.callOpen {
+		a.cancel.unprovenSince = g.now
 	}
-	if a.cancel.pending && (a.run.open || a.cancel.firstAfter != 0) {
+	if a.cancel.pending && (a.run.callOpen || a.cancel.firstTryAfterRun != 0) {
 		return
 	}
 	g.issueCancel(a)
@@ -197,18 +197,18 @@
 func (g *Gate) issueCancel(a *attempt) {
 	a.cancel.try++
 	a.cancel.unanswered++
-	if !a.run.open && a.cancel.firstAfter == 0 {
-		a.cancel.firstAfter = a.cancel.try
+	if !a.run.callOpen && a.cancel.firstTryAfterRun == 0 {
+		a.cancel.firstTryAfterRun = a.cancel.try
 	}
 	a.cancel.pending = true
-	a.cancel.issued = g.now
-	g.emit(CancelEngine{Attempt: a.id(), Stream: a.stream(), Try: a.cancel.try})
+	a.cancel.issuedAt = g.now
+	g.emit(CancelEngine{Attempt: a.id(), Stream: a.engineID(), Try: a.cancel.try})
 }
 
 // backOff plans the next try.
 func (g *Gate) backOff(a *attempt) {
-	a.cancel.backoff = min(max(2*a.cancel.backoff, firstBackoff), longestWait)
-	a.cancel.again = g.now.Add(a.cancel.backoff)
+	a.cancel.backoff = min(max(2*a.cancel.backoff, firstBackoff), maxBackoff)
+	a.cancel.nextTryAt = g.now.Add(a.cancel.backoff)
 }
 
 // retryCancels asks the engine again about all attempts whose end isn't proved.
@@ -220,20 +220,20 @@
 		if g.cancelDue(a) {
 			g.issueCancel(a)
 		}
-		if g.unsureTooLong(a) {
-			g.giveSlotBack(a)
+		if g.unprovenHoldElapsed(a) {
+			g.releaseSlot(a)
 		}
 	}
 }
 
 func (g *Gate) cancelDue(a *attempt) bool {
 	if a.cancel.pending {
-		return g.now.Sub(a.cancel.issued) >= answerTimeout
+		return g.now.Sub(a.cancel.issuedAt) >= answerTimeout
 	}
-	return !g.now.Before(a.cancel.again)
+	return !g.now.Before(a.cancel.nextTryAt)
 }
 
-func (g *Gate) unsureTooLong(a *attempt) bool {
-	since := a.cancel.unsureSince
-	return a.run.holds && !since.IsZero() && g.now.Sub(since) >= g.config.UnprovenHold
+func (g *Gate) unprovenHoldElapsed(a *attempt) bool {
+	since := a.cancel.unprovenSince
+	return a.run.holdsRoom && !since.IsZero() && g.now.Sub(since) >= g.config.UnprovenHold
 }
--- a/gate/taken_test.go
+++ b/gate/served_share_test.go
@@ -10,12 +10,12 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestReservationsTakenElsewhereDontCountAsWork(t *testing.T) {
+func TestReservationsServedElsewhereDontCountAsBacklog(t *testing.T) {
 	// Symptom: requests are refused because they can't finish in time while the servers have time left.
 	// Sequence: every request waits at several gates; each gate adds up all that wait at it.
 	// Cause: the predicted wait was as many times too long as a request has reservations.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(1))
-	b.teach(20*time.Millisecond, 100)
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
+	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("runs", 1), workOf(func(w *wire.Work) { w.OutputTokens = 1 }))
 	for i := range 20 {
 		b.reserve(entryA, id(fmt.Sprint("waits-", i), 1), work())
@@ -29,5 +29,5 @@
 	require.Positive(t, whole)
 	require.Less(t, b.gate.backlog(), whole/4)
 	soon := workOf(func(w *wire.Work) { w.RemainingMs = uint32((whole / 2).Milliseconds()) })
-	require.Empty(t, overs(b.reserve(entryB, id("soon", 1), soon), entryB))
+	require.Empty(t, oversTo(b.reserve(entryB, id("soon", 1), soon), entryB))
 }
--- a/gate/server.go
+++ b/gate/server.go
@@ -8,23 +8,23 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// doubts are the reasons for which a server is suspect, as a set.
-type doubts uint8
+// suspectReasons are the reasons for which a server is suspect, as a set.
+type suspectReasons uint8
 
 const (
-	doubtSilent doubts = 1 << iota
-	doubtProbe
-	doubtPace
+	suspectSilent suspectReasons = 1 << iota
+	suspectProbe
+	suspectPace
 )
 
 // server is the backend server as its agent sees it.
 type server struct {
-	state    serverState
-	doubts   doubts
-	record   *wire.ServerRecord // nil before the first announcement
-	heard    time.Time          // last announcement
-	failures int                // probes failed in a row
-	changed  *wire.ServerRecord // as control was last told
+	state          serverState
+	suspectReasons suspectReasons
+	record         *wire.ServerRecord // nil before the first announcement
+	lastAnnounced  time.Time          // last announcement
+	failedProbes   int                // probes failed in a row
+	lastReported   *wire.ServerRecord // as control was last told
 }
 
 // cleared tells whether all that the engine ran before this incarnation is proved over.
@@ -49,100 +49,100 @@
 	}
 }
 
-func (g *Gate) announced(record *wire.ServerRecord) {
-	g.server.heard = g.now
+func (g *Gate) handleAnnounced(record *wire.ServerRecord) {
+	g.server.lastAnnounced = g.now
 	g.server.record = proto.CloneOf(record)
 	g.limit.announce(int(record.GetSlots()))
-	g.server.doubts &^= doubtSilent
+	g.server.suspectReasons &^= suspectSilent
 	g.fireServer(onAnnounce)
 	g.room.dirty = true
-	g.tellControl()
-	g.clearing.begin(g)
+	g.reportToControl()
+	g.clearing.start(g)
 }
 
-func (g *Gate) probed(e Probed) {
+func (g *Gate) handleProbed(e Probed) {
 	if !e.OK {
-		g.server.failures++
-		if g.server.failures >= g.config.ProbeFailures {
-			g.doubt(doubtProbe, onProbeFailed)
+		g.server.failedProbes++
+		if g.server.failedProbes >= g.config.ProbeFailures {
+			g.addSuspicion(suspectProbe, onProbeFailed)
 		}
 		return
 	}
-	g.server.failures = 0
-	g.trust(doubtProbe, onProbeSucceeded)
+	g.server.failedProbes = 0
+	g.removeSuspicion(suspectProbe, onProbeSucceeded)
 }
 
-// unreachable takes a connection that could not be made for as many failed probes as it takes, until one succeeds.
+// markUnreachable takes a connection that could not be made for as many failed probes as it takes, until one succeeds.
 //
 // A server that has crashed refuses calls within a millisecond, so its places are free at once: of all servers it looks
 // like the one with room, and draws the requests of all entries. One would notice by many refusals that "never left the
 // agent" with other servers idle: 309 in the 1.5 s until the second probe had failed, of four servers that crashed at
 // once.
-func (g *Gate) unreachable() {
-	g.server.failures = max(g.server.failures, g.config.ProbeFailures)
-	g.doubt(doubtProbe, onProbeFailed)
+func (g *Gate) markUnreachable() {
+	g.server.failedProbes = max(g.server.failedProbes, g.config.ProbeFailures)
+	g.addSuspicion(suspectProbe, onProbeFailed)
 }
 
-// doubt adds a reason for suspicion.
-func (g *Gate) doubt(reason doubts, e serverEvent) {
-	if g.server.doubts&reason != 0 {
+// addSuspicion adds a reason for suspicion.
+func (g *Gate) addSuspicion(reason suspectReasons, e serverEvent) {
+	if g.server.suspectReasons&reason != 0 {
 		return
 	}
-	g.server.doubts |= reason
+	g.server.suspectReasons |= reason
 	g.fireServer(e)
 }
 
-// trust takes a reason away.
-func (g *Gate) trust(reason doubts, e serverEvent) {
-	if g.server.doubts&reason == 0 {
+// removeSuspicion takes a reason away.
+func (g *Gate) removeSuspicion(reason suspectReasons, e serverEvent) {
+	if g.server.suspectReasons&reason == 0 {
 		return
 	}
-	g.server.doubts &^= reason
-	if reason == doubtPace {
+	g.server.suspectReasons &^= reason
+	if reason == suspectPace {
 		g.limit.restart()
 	}
 	g.fireServer(e)
 }
 
-// checkServer looks for silence. A server that died says nothing: without this its slots would be filled until the
+// checkSilence looks for silence. A server that died says nothing: without this its slots would be filled until the
 // directory notices.
-func (g *Gate) checkServer() {
+func (g *Gate) checkSilence() {
 	if g.server.record == nil {
 		return
 	}
-	silence := g.now.Sub(g.server.heard)
+	silence := g.now.Sub(g.server.lastAnnounced)
 	if silence >= g.config.SilentAfter {
-		g.doubt(doubtSilent, onSilent)
+		g.addSuspicion(suspectSilent, onSilent)
 	}
 	if silence >= g.config.GoneAfter && g.server.state == serverSuspect {
 		g.fireServer(onGone)
 	}
 }
 
-// checkEmptied ends a drain once nothing is in flight, streams and unproven attempts included.
-func (g *Gate) checkEmptied() {
+// checkDrained ends a drain once nothing is in flight, streams and unproven attempts included.
+func (g *Gate) checkDrained() {
 	if g.server.state == serverDraining && g.inFlight() == 0 {
 		g.fireServer(onEmptied)
 	}
 }
 
-// tellCondition tells entries at once and control when the condition is another.
-func (g *Gate) tellCondition() {
+// publishCondition tells entries at once and control when the condition is another.
+func (g *Gate) publishCondition() {
 	g.room.dirty = true
-	g.tellControl()
+	g.reportToControl()
 }
 
-// tellControl passes the record on if control was told another one.
-func (g *Gate) tellControl() {
+// reportToControl passes the record on if control was told another one.
+func (g *Gate) reportToControl() {
 	if !g.cleared() || g.server.record == nil {
 		return
 	}
 	record := proto.CloneOf(g.server.record)
 	record.Condition = g.condition()
-	if proto.Equal(record, g.server.changed) {
+	if proto.Equal(record, g.server.lastReported) {
 		return
 	}
-	g.server.changed = record
+	g.server.lastReported = record
 	g.emit(ServerChanged{Server: proto.CloneOf(record)})
 }
 
--- a/gate/server_test.go
+++ b/gate/server_test.go
@@ -30,7 +30,7 @@
 // rooms returns the rooms told to all.
 func rooms(actions []Action) []*wire.Room {
 	var out []*wire.Room
-	for _, s := range of[Broadcast](actions) {
+	for _, s := range actionsOf[Broadcast](actions) {
 		if r := s.Message.GetRoom(); r != nil {
 			out = append(out, r)
 		}
@@ -38,49 +38,49 @@
 	return out
 }
 
-func TestNothingBeforeTheEngineIsCleared(t *testing.T) {
+func TestNothingIsAdmittedBeforeTheEngineIsCleared(t *testing.T) {
 	// Symptom: two engines run one request.
 	// Sequence: an agent dies while its engine runs an attempt; its successor announces itself; the entry takes that
 	// for the proof that the attempt is over and sends it elsewhere.
 	// Cause: the successor announced itself before it had cancelled what the engine ran on.
-	b := newBench(t, Config{NoPredecessor: true})
-	require.Len(t, of[ListEngine](b.step(Announced{Server: sampleRecord(2)})), 1)
+	b := newHarness(t, Config{NoPredecessor: true})
+	require.Len(t, actionsOf[ListEngine](b.step(Announced{Server: sampleRecord(2)})), 1)
 	b.step(EntryConnected{Entry: entryA})
 	b.receive(entryA, heartbeat())
 	refusedWith(t, b.reserve(entryA, id("new", 1), work()), result.Starting)
 	onlyOver(t, b.cancelAttempt(entryA, id("old", 1), retryCause), entryA, unprovenProof)
 	b.step(EngineListed{Err: engine.ErrUnknown})
-	b.pass(time.Second)
-	require.Len(t, of[ListEngine](b.actions), 2)
+	b.advance(time.Second)
+	require.Len(t, actionsOf[ListEngine](b.actions), 2)
 	listed := b.step(EngineListed{Streams: streams("old.1", "strange", "old.7")})
-	require.Len(t, of[CancelEngine](listed), 3)
-	b.answer(id("old", 1), engine.CancelConfirmed)
-	b.answer(id("strange", 0), engine.CancelUnknownID)
-	b.answer(id("old", 7), engine.CancelNone)
+	require.Len(t, actionsOf[CancelEngine](listed), 3)
+	b.answerCancel(id("old", 1), engine.CancelConfirmed)
+	b.answerCancel(id("strange", 0), engine.CancelUnknownID)
+	b.answerCancel(id("old", 7), engine.CancelNone)
 	refusedWith(t, b.dispatch(entryA, id("new", 2), work()), result.Starting)
-	b.pass(time.Second)
-	require.Empty(t, of[ServerChanged](b.actions))
+	b.advance(time.Second)
+	require.Empty(t, actionsOf[ServerChanged](b.actions))
 	require.Empty(t, rooms(b.actions))
-	b.answer(id("old", 7), engine.CancelConfirmed)
-	require.Len(t, of[ListEngine](b.actions), 3, "what was on its way at the first listing shows now")
-	require.Len(t, of[CancelEngine](b.step(EngineListed{Streams: streams("old.8")})), 1)
-	b.answer(id("old", 8), engine.CancelConfirmed)
-	require.Empty(t, of[ServerChanged](b.actions))
+	b.answerCancel(id("old", 7), engine.CancelConfirmed)
+	require.Len(t, actionsOf[ListEngine](b.actions), 3, "what was on its way at the first listing shows now")
+	require.Len(t, actionsOf[CancelEngine](b.step(EngineListed{Streams: streams("old.8")})), 1)
+	b.answerCancel(id("old", 8), engine.CancelConfirmed)
+	require.Empty(t, actionsOf[ServerChanged](b.actions))
 	open := b.step(EngineListed{})
-	require.Equal(t, ready, of[ServerChanged](open)[0].Server.Condition)
+	require.Equal(t, ready, actionsOf[ServerChanged](open)[0].Server.Condition)
 	require.Len(t, rooms(open), 1)
-	require.Equal(t, neverStartedProof, overs(open, entryA)[0].Proof)
-	require.Len(t, of[StartEngine](b.dispatch(entryA, id("new", 3), work())), 1)
+	require.Equal(t, neverStartedProof, oversTo(open, entryA)[0].Proof)
+	require.Len(t, actionsOf[StartEngine](b.dispatch(entryA, id("new", 3), work())), 1)
 	noChartErrors(t, b)
 }
 
-func TestServerWithoutAListGetsTimeToEnd(t *testing.T) {
-	b := newBench(t, Config{})
+func TestServerWithoutAListGetsASettleTime(t *testing.T) {
+	b := newHarness(t, Config{})
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(EngineListed{Err: &engine.CallError{Call: "streams", Class: engine.ErrUnsupported}})
-	b.pass(DefaultUnlistedSettle / 2)
+	b.advance(DefaultUnlistedSettle / 2)
 	require.False(t, b.gate.Status().Cleared)
-	b.pass(DefaultUnlistedSettle)
+	b.advance(DefaultUnlistedSettle)
 	require.True(t, b.gate.Status().Cleared)
 	require.True(t, b.gate.Status().Unlisted)
 }
@@ -88,25 +88,25 @@
 // Symptom: after a loss of all machines model servers get work a settle time later than entries have their state.
 // Sequence: an agent starts, and hears of its server only once control has a leader; then it waits as if its predecessor
 // had just died. Cause: a wait that counts from the listing.
-func TestServerWithoutAListGetsItsTimeFromTheStartOfTheProcess(t *testing.T) {
-	b := newBench(t, Config{ProcessStarted: time.Unix(1000, 0)})
-	b.pass(DefaultUnlistedSettle)
+func TestSettleTimeCountsFromTheProcessStart(t *testing.T) {
+	b := newHarness(t, Config{ProcessStarted: time.Unix(1000, 0)})
+	b.advance(DefaultUnlistedSettle)
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(EngineListed{Err: &engine.CallError{Call: "streams", Class: engine.ErrUnsupported}})
-	b.pass(TickInterval)
+	b.advance(TickInterval)
 	require.True(t, b.gate.Status().Cleared)
 }
 
 // A server that was gone may have work that is younger than the process.
-func TestServerThatWasGoneGetsItsTimeAnew(t *testing.T) {
-	b := newBench(t, Config{ProcessStarted: time.Unix(1000, 0)})
-	b.pass(DefaultUnlistedSettle)
+func TestSettleTimeRestartsAfterTheServerWasGone(t *testing.T) {
+	b := newHarness(t, Config{ProcessStarted: time.Unix(1000, 0)})
+	b.advance(DefaultUnlistedSettle)
 	b.gate.clearing.restart()
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(EngineListed{Err: &engine.CallError{Call: "streams", Class: engine.ErrUnsupported}})
-	b.pass(DefaultUnlistedSettle / 2)
+	b.advance(DefaultUnlistedSettle / 2)
 	require.False(t, b.gate.Status().Cleared)
-	b.pass(DefaultUnlistedSettle)
+	b.advance(DefaultUnlistedSettle)
 	require.True(t, b.gate.Status().Cleared)
 }
 
@@ -114,94 +114,94 @@
 	// Symptom: a stream is cut by a graceful shutdown, or a server that leaves gets new work.
 	// Sequence: a server with work running, waiting, offered and unproven asks to leave; the entry's dispatch crosses.
 	// Cause: drained was said while something was in flight, or the offer was still honoured.
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(3))
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(3))
 	b.start(entryA, id("run", 1), work())
 	b.start(entryA, id("lost", 1), work())
-	b.lost(id("lost", 1))
+	b.loseConnection(id("lost", 1))
 	b.reserve(entryA, id("offered", 1), work())
 	b.reserve(entryA, id("wait", 1), work())
 	left := b.step(Leaving{})
-	require.Len(t, overs(left, entryA), 2)
+	require.Len(t, oversTo(left, entryA), 2)
 	require.Equal(t, draining, rooms(left)[0].Condition)
 	require.Zero(t, rooms(left)[0].Free)
-	require.Equal(t, draining, of[ServerChanged](left)[0].Server.Condition)
+	require.Equal(t, draining, actionsOf[ServerChanged](left)[0].Server.Condition)
 	refusedWith(t, b.dispatchOffered(entryA, id("offered", 1), work()), result.NoServer)
 	refusedWith(t, b.dispatch(entryA, id("new", 1), work()), result.NoServer)
 	refusedWith(t, b.reserve(entryA, id("new", 2), firstTierWork()), result.NoServer)
 	require.Len(t, framesOf(b.progress(id("run", 1), "x"), "run"), 1)
-	b.pass(10 * time.Second)
+	b.advance(10 * time.Second)
 	b.step(Leaving{})
 	onlyOver(t, b.finish(id("run", 1)), entryA, completedProof)
 	require.NotEqual(t, drained, b.gate.Status().Condition, "one attempt is not proved over")
 	require.False(t, b.gate.fireServer(onEmptied), "the chart refuses it too")
 	b.gate.chartErrors = 0
-	over := b.answer(id("lost", 1), engine.CancelConfirmed)
-	require.Equal(t, drained, of[ServerChanged](over)[0].Server.Condition)
+	over := b.answerCancel(id("lost", 1), engine.CancelConfirmed)
+	require.Equal(t, drained, actionsOf[ServerChanged](over)[0].Server.Condition)
 	require.Equal(t, drained, rooms(over)[0].Condition)
-	b.pass(time.Minute)
+	b.advance(time.Minute)
 	refusedWith(t, b.dispatch(entryA, id("new", 3), work()), result.NoServer)
 	require.Equal(t, drained, b.gate.Status().Condition)
 	noChartErrors(t, b)
 }
 
 func TestDrainBeforeTheEngineIsCleared(t *testing.T) {
-	b := newBench(t, Config{})
+	b := newHarness(t, Config{})
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(Leaving{})
-	require.Empty(t, of[ServerChanged](b.actions))
+	require.Empty(t, actionsOf[ServerChanged](b.actions))
 	b.step(EngineListed{Streams: streams("old.1")})
-	b.answer(id("old", 1), engine.CancelConfirmed)
-	require.Empty(t, of[ServerChanged](b.actions))
-	changed := of[ServerChanged](b.step(EngineListed{}))
+	b.answerCancel(id("old", 1), engine.CancelConfirmed)
+	require.Empty(t, actionsOf[ServerChanged](b.actions))
+	changed := actionsOf[ServerChanged](b.step(EngineListed{}))
 	require.Equal(t, drained, changed[len(changed)-1].Server.Condition)
 }
 
-func TestLostCallAtAServerWithoutCancelEndsADrainInTime(t *testing.T) {
+func TestDrainEndsDespiteAnUnprovableCall(t *testing.T) {
 	// Symptom: a server's shutdown never ends.
 	// Sequence: the connection of a service call is lost; the service has no cancel call; then it is to leave.
 	// Cause: an attempt that can never be proved over was waited for.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.Service = true }))
-	b.lost(id("r", 1))
+	b.loseConnection(id("r", 1))
 	b.step(Leaving{})
 	unsupported := EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnsupported}
 	b.step(unsupported)
-	b.pass(DefaultUnprovenHold - time.Second)
+	b.advance(DefaultUnprovenHold - time.Second)
 	require.Equal(t, draining, b.gate.Status().Condition)
-	b.pass(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Equal(t, drained, b.gate.Status().Condition)
 	refusedWith(t, b.dispatch(entryA, id("r", 2), work()), result.NoServer)
 }
 
-func TestLostCallAtAServerWithoutCancelIsToldAtOnce(t *testing.T) {
+func TestUnprovableCallIsReportedAtOnce(t *testing.T) {
 	// Symptom: the caller of a plain service hears nothing until its deadline, or long after.
 	// Sequence: a cancel finds that the service has no such call; later the service loses the answer.
 	// Cause: the entry was told once that nothing was proved yet, and went on waiting for a proof that can't come.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.Service = true }))
 	b.cancelAttempt(entryA, id("r", 1), wire.CancelCause_CANCEL_CAUSE_RETRY)
 	unsupported := EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnsupported}
-	for _, over := range overs(b.step(unsupported), entryA) {
+	for _, over := range oversTo(b.step(unsupported), entryA) {
 		require.False(t, over.Unprovable, "its answer may still come")
 	}
-	actions := append(b.lost(id("r", 1)), b.step(EngineCancelled{Attempt: id("r", 1), Try: 2, Err: engine.ErrUnsupported})...)
+	actions := append(b.loseConnection(id("r", 1)), b.step(EngineCancelled{Attempt: id("r", 1), Try: 2, Err: engine.ErrUnsupported})...)
 	var told bool
-	for _, over := range overs(actions, entryA) {
+	for _, over := range oversTo(actions, entryA) {
 		require.Equal(t, wire.Proof_PROOF_UNPROVEN, over.Proof)
 		told = told || over.Unprovable
 	}
 	require.True(t, told)
 }
 
-func TestTakeoverOfAServiceCallIsNotProvedByAForgetfulAgent(t *testing.T) {
+func TestTakeoverAtAServerWithoutAListIsUnproven(t *testing.T) {
 	// Symptom: a service call runs twice at a time.
 	// Sequence: an entry and the agent of a service die while the service is at a call; the agent's successor, whose
 	// service keeps no list, is asked by the next owner about a request that it never heard of.
 	// Cause: "all is over" was said by an incarnation that ended nothing, since it could not.
-	b := newBench(t, Config{})
+	b := newHarness(t, Config{})
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(EngineListed{Err: &engine.CallError{Call: "streams", Class: engine.ErrUnsupported}})
-	b.pass(DefaultUnlistedSettle + time.Second)
+	b.advance(DefaultUnlistedSettle + time.Second)
 	actions := b.cancelAttempt(entryA, id("r", 1<<16-1), wire.CancelCause_CANCEL_CAUSE_TAKEOVER)
 	over := onlyOver(t, actions, entryA, wire.Proof_PROOF_UNPROVEN)
 	require.True(t, over.Unprovable)
@@ -211,34 +211,34 @@
 	// Symptom: requests go to a server that died minutes ago.
 	// Sequence: a server dies without a word, with one slot offered, one free, and one request waiting.
 	// Cause: only a leave notice stopped new work.
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
 	silent := func() {
 		b.receive(entryA, heartbeat())
 		b.receive(entryB, heartbeat())
 	}
-	b.passWith(DefaultSilentAfter+200*time.Millisecond, silent)
+	b.advanceWith(DefaultSilentAfter+200*time.Millisecond, silent)
 	require.Equal(t, suspect, b.gate.Status().Condition)
 	require.Equal(t, []string{"no announcement"}, b.gate.Status().SuspectReasons)
 	b.reserve(entryA, id("wait", 1), work())
 	refusedWith(t, b.dispatch(entryA, id("new", 1), work()), result.RefusedNeverStarted)
 	require.Empty(t, offeredIDs(b.actions))
-	b.passWith(DefaultGoneAfter-DefaultSilentAfter, silent)
+	b.advanceWith(DefaultGoneAfter-DefaultSilentAfter, silent)
 	require.Equal(t, gone, b.gate.Status().Condition)
-	require.Equal(t, "wait", overs(b.actions, entryA)[1].Attempt.Request)
+	require.Equal(t, "wait", oversTo(b.actions, entryA)[1].Attempt.Request)
 	refusedWith(t, b.reserve(entryA, id("new", 2), work()), result.NoServer)
 	require.Len(t, b.gate.runs, 1, "what runs is left alone")
 	back := b.step(Announced{Server: sampleRecord(2)})
-	require.Len(t, of[ListEngine](back), 1, "it may have run anything meanwhile")
+	require.Len(t, actionsOf[ListEngine](back), 1, "it may have run anything meanwhile")
 	refusedWith(t, b.reserve(entryA, id("new", 3), work()), result.Starting)
 	cleared := b.step(EngineListed{Streams: streams("run.1")})
-	require.Empty(t, of[CancelEngine](cleared), "its own run is not an old one")
+	require.Empty(t, actionsOf[CancelEngine](cleared), "its own run is not an old one")
 	require.Equal(t, ready, b.gate.Status().Condition)
 	noChartErrors(t, b)
 }
 
 func TestFailingProbe(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.reserve(entryA, id("r", 1), work())
 	b.step(Probed{})
 	require.Equal(t, ready, b.gate.Status().Condition)
@@ -251,12 +251,12 @@
 	require.Equal(t, ready, b.gate.Status().Condition)
 }
 
-func TestStatusExplains(t *testing.T) {
-	b := openBench(t)
-	b.fill()
+func TestStatusShowsBlockedAndWaitingAttempts(t *testing.T) {
+	b := newReadyHarness(t)
+	b.fillSlots()
 	b.reserve(entryB, id("wait", 1), work())
 	s := b.gate.Status()
-	require.Equal(t, string(whySlots), s.Blocked)
+	require.Equal(t, string(blockedSlots), s.Blocked)
 	require.Len(t, s.Running, 2)
 	require.Equal(t, "running", s.Running[0].State)
 	require.Len(t, s.Waiting, 1)
--- a/gate/status.go
+++ b/gate/status.go
@@ -7,8 +7,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// statusWaiting bounds the waiting attempts that a Status lists.
-const statusWaiting = 100
+// maxStatusWaiting bounds the waiting attempts that a Status lists.
+const maxStatusWaiting = 100
 
 // Status explains what the gate does and why.
 type Status struct {
@@ -72,13 +72,13 @@
 	Unproven bool
 }
 
-var doubtNames = []struct {
-	doubt doubts
-	name  string
+var suspectReasonNames = []struct {
+	reason suspectReasons
+	name   string
 }{
-	{doubtSilent, "no announcement"},
-	{doubtProbe, "probe fails"},
-	{doubtPace, "slower than its own past"},
+	{suspectSilent, "no announcement"},
+	{suspectProbe, "probe fails"},
+	{suspectPace, "slower than its own past"},
 }
 
 // Status returns what the gate does at present. It changes nothing.
@@ -93,28 +93,28 @@
 		Headroom:               g.headroom.slots(),
 		Held:                   len(g.held),
 		Free:                   g.free(),
-		PrefillTokens:          g.use.prefill,
+		PrefillTokens:          g.usage.prefillTokens,
 		PrefillBound:           g.pace.prefillBound(),
-		MemoryTokens:           g.use.memory,
-		MemoryCapacity:         g.use.memoryCapacity,
+		MemoryTokens:           g.usage.memoryTokens,
+		MemoryCapacity:         g.usage.memoryCapacity,
 		PrefillTokensPerSecond: g.pace.prefill.rate,
 		DecodeTokensPerSecond:  g.pace.decodeRate(),
 		PaceRatio:              g.pace.ratio,
 		RateLimit:              g.throttle.Rate(),
-		NextSend:               g.throttledFor(1),
+		NextSend:               g.throttleWait(1),
 		Backlog:                g.backlog(),
 		Blocked:                string(g.blocked),
 		WaitingCount:           g.waiting.count,
 		Records:                g.records.len(),
 		ChartErrors:            g.chartErrors,
 	}
-	for _, d := range doubtNames {
-		if g.server.doubts&d.doubt != 0 {
+	for _, d := range suspectReasonNames {
+		if g.server.suspectReasons&d.reason != 0 {
 			s.SuspectReasons = append(s.SuspectReasons, d.name)
 		}
 	}
 	for _, e := range g.entries.order {
-		if e.valid() {
+		if e.leaseValid() {
 			s.Entries++
 		}
 	}
@@ -127,14 +127,14 @@
 		s.Running = append(s.Running, a.status())
 	}
 	waiting := g.waiting.collect(func(*attempt) bool { return true })
-	for _, a := range waiting[:min(len(waiting), statusWaiting)] {
+	for _, a := range waiting[:min(len(waiting), maxStatusWaiting)] {
 		s.Waiting = append(s.Waiting, a.status())
 	}
 }
 
 func (a *attempt) status() AttemptStatus {
 	since := a.arrived
-	if a.begun() {
+	if a.hasStarted() {
 		since = a.run.started
 	}
 	return AttemptStatus{
@@ -148,6 +148,6 @@
 		Deadline:     a.deadline,
 		Tokens:       a.run.tokens,
 		Late:         a.wait.late,
-		Unproven:     a.state == cancelling && !a.run.open,
+		Unproven:     a.state == cancelling && !a.run.callOpen,
 	}
 }
--- a/gate/step_test.go
+++ b/gate/step_test.go
@@ -12,7 +12,7 @@
 // progress events, end.
 func BenchmarkStep(b *testing.B) {
 	const waiting, organisations, classes, steps = 1000, 8, 4, 11
-	w := openBenchWith(b, Config{NoPredecessor: true, MaxRecords: 1 << 22}, sampleRecord(16))
+	w := newReadyHarnessWith(b, Config{NoPredecessor: true, MaxRecords: 1 << 22}, sampleRecord(16))
 	makeWork := func(i int) *wire.Work {
 		return workOf(func(w *wire.Work) {
 			w.Organisation = fmt.Sprint("org-", i%organisations)
--- a/gate/throttle.go
+++ b/gate/throttle.go
@@ -7,11 +7,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// heard takes what an answer of the server said of the work that it takes.
+// handleObservation takes what an answer of the server said of the work that it takes.
 //
 // Room that was given before the word is taken back where nothing was sent: offers and bodies that came ahead would otherwise still
 // go out beyond the limit, and those that are waiting here can go to other servers.
-func (g *Gate) heard(o backpressure.Observation) {
+func (g *Gate) handleObservation(o backpressure.Observation) {
 	if !g.throttle.Hear(o) {
 		return
 	}
@@ -27,63 +27,63 @@
 	}
 }
 
-// shareRate has the server's rate shared by so many senders.
-func (g *Gate) shareRate(senders int) {
+// setSenders has the server's rate shared by so many senders.
+func (g *Gate) setSenders(senders int) {
 	if g.throttle.Share(g.now, senders) {
 		g.room.dirty = true
 	}
 }
 
-// throttles are the reasons as attempts and entries are told them.
-var throttles = map[backpressure.Reason]struct {
-	why  why
-	wire wire.Throttle
-	no   refusal
+// throttleReasons are the reasons as attempts and entries are told them.
+var throttleReasons = map[backpressure.Reason]struct {
+	reason  blockReason
+	wire    wire.Throttle
+	refusal refusal
 }{
-	backpressure.ReasonNone:      {roomEnough, wire.Throttle_THROTTLE_UNSPECIFIED, refusal{}},
-	backpressure.ReasonRateLimit: {whyRate, wire.Throttle_THROTTLE_RATE_LIMIT, refuseRateLimited},
-	backpressure.ReasonBackoff:   {whyBackoff, wire.Throttle_THROTTLE_BACKOFF, refuseBackoff},
-	backpressure.ReasonTrial:     {whyTrial, wire.Throttle_THROTTLE_TRIAL, refuseBackoff},
+	backpressure.ReasonNone:      {notBlocked, wire.Throttle_THROTTLE_UNSPECIFIED, refusal{}},
+	backpressure.ReasonRateLimit: {blockedRate, wire.Throttle_THROTTLE_RATE_LIMIT, refuseRateLimited},
+	backpressure.ReasonBackoff:   {blockedBackoff, wire.Throttle_THROTTLE_BACKOFF, refuseBackoff},
+	backpressure.ReasonTrial:     {blockedTrial, wire.Throttle_THROTTLE_TRIAL, refuseBackoff},
 }
 
-// throttled says why the server may get nothing now, whatever room it has.
-func (g *Gate) throttled() why { return throttles[g.throttle.Blocked(g.now)].why }
+// throttleBlock says why the server may get nothing now, whatever room it has.
+func (g *Gate) throttleBlock() blockReason { return throttleReasons[g.throttle.Blocked(g.now)].reason }
 
-// noteThrottle has entries told when time alone has changed what the server may get.
-func (g *Gate) noteThrottle() {
-	if g.room.told != nil && g.room.told.GetThrottle() != throttles[g.throttle.Blocked(g.now)].wire {
+// checkThrottleChange has entries told when time alone has changed what the server may get.
+func (g *Gate) checkThrottleChange() {
+	if g.room.lastSent != nil && g.room.lastSent.GetThrottle() != throttleReasons[g.throttle.Blocked(g.now)].wire {
 		g.room.dirty = true
 	}
 }
 
-// throttledFor is the time until the server may get n more requests.
-func (g *Gate) throttledFor(n int) time.Duration { return g.throttle.Wait(g.now, n) }
+// throttleWait is the time until the server may get n more requests.
+func (g *Gate) throttleWait(n int) time.Duration { return g.throttle.Wait(g.now, n) }
 
 // refuseThrottled refuses a dispatch that the server may not get now.
 func (g *Gate) refuseThrottled(a *attempt) {
-	reason, wait := g.throttle.Blocked(g.now), g.throttledFor(g.waiting.count+1)
+	reason, wait := g.throttle.Blocked(g.now), g.throttleWait(g.waiting.count+1)
 	g.emit(Throttled{Attempt: a.id(), Class: a.work.GetClass(), Reason: reason, Wait: wait})
-	no := throttles[reason].no
-	no.retryAfter = clampRetry(wait)
-	g.fire(a, onRefuse, occasion{refusal: no})
+	refused := throttleReasons[reason].refusal
+	refused.retryAfter = clampRetry(wait)
+	g.fire(a, onRefuse, eventDetails{refusal: refused})
 }
 
 // takePermit counts an attempt that gets room against the server's rate. It holds the permit until it starts.
 func (g *Gate) takePermit(a *attempt) {
-	a.run.permitted = true
+	a.run.holdsPermit = true
 	a.run.permit = g.throttle.Take(g.now)
 }
 
 // usePermit notes that an attempt's request leaves now.
 func (g *Gate) usePermit(a *attempt) {
-	a.run.permitted = false
+	a.run.holdsPermit = false
 	g.throttle.Sent(g.now)
 }
 
 // returnPermit gives the permit back of an attempt that didn't start.
 func (g *Gate) returnPermit(a *attempt) {
-	if a.run.permitted {
-		a.run.permitted = false
+	if a.run.holdsPermit {
+		a.run.holdsPermit = false
 		g.throttle.GiveBack(a.run.permit)
 	}
 }
--- a/gate/throttle_test.go
+++ b/gate/throttle_test.go
@@ -13,22 +13,22 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// hearRate lets an answer name a rate.
-func (b *bench) hearRate(perSecond float64) []Action {
+// observeRate lets an answer name a rate.
+func (b *harness) observeRate(perSecond float64) []Action {
 	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Rate: backpressure.Rate{Limited: true, PerSecond: perSecond}},
 		Route:  backpressure.RouteRun, Asked: b.now, Heard: b.now,
 	}})
 }
 
-// hearNoRate lets an answer to a call of this moment name none.
-func (b *bench) hearNoRate() []Action {
+// observeNoRate lets an answer to a call of this moment name none.
+func (b *harness) observeNoRate() []Action {
 	return b.step(ServerObserved{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
 }
 
 // busyServer is a gate that entries reserve at all the time; its runs end after a while.
 type busyServer struct {
-	*bench
+	*harness
 	next    int
 	offered []*wire.AttemptID
 	started []time.Time
@@ -39,70 +39,70 @@
 	until := s.now.Add(d)
 	for s.now.Before(until) {
 		s.now = s.now.Add(TickInterval)
-		s.take(s.step(Tick{}))
+		s.processActions(s.step(Tick{}))
 		for range max(3-s.gate.waiting.count, 0) {
 			s.next++
-			s.take(s.reserve(entryA, id(fmt.Sprint("r", s.next), 1), work()))
+			s.processActions(s.reserve(entryA, id(fmt.Sprint("r", s.next), 1), work()))
 		}
 		offers := s.offered
 		s.offered = nil
 		for _, attempt := range offers {
-			s.take(s.dispatchOffered(entryA, attempt, work()))
+			s.processActions(s.dispatchOffered(entryA, attempt, work()))
 		}
-		if !s.now.Before(s.beat) {
-			s.beat = s.now.Add(500 * time.Millisecond)
-			s.take(s.receive(entryA, heartbeat()))
-			s.take(s.step(Announced{Server: s.gate.server.record}))
+		if !s.now.Before(s.nextHeartbeat) {
+			s.nextHeartbeat = s.now.Add(500 * time.Millisecond)
+			s.processActions(s.receive(entryA, heartbeat()))
+			s.processActions(s.step(Announced{Server: s.gate.server.record}))
 		}
 	}
 }
 
-func (s *busyServer) take(actions []Action) {
-	for _, a := range of[Send](actions) {
+func (s *busyServer) processActions(actions []Action) {
+	for _, a := range actionsOf[Send](actions) {
 		if offer := a.Message.GetOffer(); offer != nil {
 			s.offered = append(s.offered, offer.GetAttempt())
 		}
 	}
-	for _, a := range of[StartEngine](actions) {
+	for _, a := range actionsOf[StartEngine](actions) {
 		s.started = append(s.started, s.now)
-		s.take(s.finish(a.Dispatch.GetAttempt()))
+		s.processActions(s.finish(a.Dispatch.GetAttempt()))
 	}
 }
 
 // A limit bounds what goes out after offers as well, and is used while work waits.
 func TestRateLimitHoldsForOffersAndIsUsed(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 1, 2.8, 20} {
-		s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
-		s.hearRate(perSecond)
+		s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
+		s.observeRate(perSecond)
 		s.run(40 * time.Second)
 		require.LessOrEqual(t, float64(backpressure.MostWithin(s.started, 4*time.Second)), 4.1*perSecond+1, "%g a second", perSecond)
 		require.GreaterOrEqual(t, float64(len(s.started)), 0.9*perSecond*40, "%g a second", perSecond)
-		noChartErrors(t, s.bench)
+		noChartErrors(t, s.harness)
 	}
 }
 
 func TestRateLimitThatChangesAndEnds(t *testing.T) {
-	s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
-	s.hearRate(10)
+	s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
+	s.observeRate(10)
 	s.run(4 * time.Second)
 	s.started = nil
-	s.hearRate(2)
+	s.observeRate(2)
 	s.run(10 * time.Second)
 	require.LessOrEqual(t, backpressure.MostWithin(s.started, 4*time.Second), 9)
 	s.started = nil
-	s.hearNoRate()
+	s.observeNoRate()
 	s.run(time.Second)
 	require.Greater(t, len(s.started), 50, "nothing limits it any more")
 }
 
 // What was offered before the word must not go out beyond the limit, and its request must be free to go elsewhere.
-func TestOffersAreTakenBackWhenARateIsNamed(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(4))
+func TestOffersLapseWhenARateLimitArrives(t *testing.T) {
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(4))
 	for i := range 3 {
 		b.reserve(entryA, id(fmt.Sprint("r", i), 1), work())
 	}
 	require.Len(t, offeredIDs(b.actions), 3)
-	require.Len(t, of[ThrottleChanged](b.hearRate(1)), 1)
+	require.Len(t, actionsOf[ThrottleChanged](b.observeRate(1)), 1)
 	require.Empty(t, b.gate.held)
 	for i := range 3 {
 		over := refusedWith(t, b.dispatchOffered(entryA, id(fmt.Sprint("r", i), 1), work()), result.ServerRateLimited)
@@ -113,23 +113,23 @@
 
 // Cancelling work for the first tier buys nothing where the server takes no more requests.
 func TestNothingIsPreemptedForARateLimit(t *testing.T) {
-	b := openBench(t)
-	b.fill()
-	b.hearRate(0.5)
+	b := newReadyHarness(t)
+	b.fillSlots()
+	b.observeRate(0.5)
 	b.actions = nil
 	b.reserve(entryB, id("urgent", 1), firstTierWork())
-	b.pass(500 * time.Millisecond)
-	require.Empty(t, of[CancelEngine](b.actions))
+	b.advance(500 * time.Millisecond)
+	require.Empty(t, actionsOf[CancelEngine](b.actions))
 }
 
 // Entries choose by the room and the backlog that a gate tells: with the slots alone a limited server would look like the idlest one.
 func TestRateLimitShowsInTheRoom(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	require.Positive(t, b.gate.free())
-	b.hearRate(1)
+	b.observeRate(1)
 	require.Zero(t, b.gate.free())
 	require.InDelta(t, time.Second, b.gate.backlog(), float64(50*time.Millisecond))
-	b.pass(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	require.Equal(t, 1, b.gate.free())
 	b.start(entryA, id("r", 1), work())
 	require.Zero(t, b.gate.free())
@@ -140,16 +140,16 @@
 
 // A limited server is neither slow nor failing: it stays ready.
 func TestLimitedServerStaysReady(t *testing.T) {
-	s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
-	s.hearRate(0.3)
+	s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
+	s.observeRate(0.3)
 	s.run(time.Minute)
 	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, s.gate.condition())
 }
 
 func TestSendersShareARate(t *testing.T) {
-	s := &busyServer{bench: openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
+	s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
 	s.step(SendersChanged{Count: 4})
-	s.hearRate(8)
+	s.observeRate(8)
 	s.run(20 * time.Second)
 	require.LessOrEqual(t, backpressure.MostWithin(s.started, 4*time.Second), 9)
 	require.GreaterOrEqual(t, len(s.started), 36)
@@ -158,11 +158,11 @@
 // Drawn schedules of words, offers, lapses, dispatches and losses: no window has more starts than the highest rate of the time allows.
 func TestNoScheduleExceedsARateLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &busyServer{bench: openBenchWith(rt, Config{NoPredecessor: true}, sampleRecord(6))}
+		s := &busyServer{harness: newReadyHarnessWith(rt, Config{NoPredecessor: true}, sampleRecord(6))}
 		highest := rapid.Float64Range(0.2, 15).Draw(rt, "highest")
-		s.hearRate(highest)
+		s.observeRate(highest)
 		for range 60 {
-			s.disturb(rt, highest)
+			s.randomEvent(rt, highest)
 			s.run(time.Duration(rapid.IntRange(1, 400).Draw(rt, "pass")) * time.Millisecond)
 		}
 		// An offer that is answered late leaves up to DefaultOfferTimeout after its permit was taken.
@@ -173,22 +173,22 @@
 	})
 }
 
-// disturb lets something happen that a schedule may hold.
-func (s *busyServer) disturb(rt *rapid.T, highest float64) {
+// randomEvent lets something happen that a schedule may hold.
+func (s *busyServer) randomEvent(rt *rapid.T, highest float64) {
 	switch rapid.IntRange(0, 7).Draw(rt, "what") {
 	case 0:
-		s.hearRate(rapid.Float64Range(0, highest).Draw(rt, "rate"))
+		s.observeRate(rapid.Float64Range(0, highest).Draw(rt, "rate"))
 	case 1:
 		s.offered = nil // the entry doesn't answer
 	case 2:
 		s.next++
-		s.take(s.dispatch(entryB, id(fmt.Sprint("straight", s.next), 1), firstTierWork()))
+		s.processActions(s.dispatch(entryB, id(fmt.Sprint("straight", s.next), 1), firstTierWork()))
 	case 3:
 		s.step(EntryDisconnected{Entry: entryB})
 		s.step(EntryConnected{Entry: entryB})
 	case 4:
 		for _, attempt := range s.offered {
-			s.take(s.receive(entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Decline{
+			s.processActions(s.receive(entryA, &wire.EntryMessage{Kind: &wire.EntryMessage_Decline{
 				Decline: &wire.Decline{Attempt: attempt, Server: sampleServer},
 			}}))
 		}
@@ -201,8 +201,8 @@
 	}
 }
 
-// hearBackoff lets a refusal ask to keep away.
-func (b *bench) hearBackoff(backoff time.Duration) []Action {
+// observeBackoff lets a refusal ask to keep away.
+func (b *harness) observeBackoff(backoff time.Duration) []Action {
 	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Backoff: backoff},
 		Route:  backpressure.RouteRun, Refused: true, Asked: b.now, Heard: b.now,
@@ -210,17 +210,17 @@
 }
 
 // Entries must hear at once that the server wants nothing, and again when its time is over: nothing else would tell them.
-func TestTimeToKeepAwayIsToldToEntries(t *testing.T) {
-	b := openBench(t)
-	b.pass(100 * time.Millisecond)
-	told := rooms(b.hearBackoff(2 * time.Second))
+func TestBackoffIsBroadcast(t *testing.T) {
+	b := newReadyHarness(t)
+	b.advance(100 * time.Millisecond)
+	told := rooms(b.observeBackoff(2 * time.Second))
 	require.NotEmpty(t, told)
 	require.Equal(t, wire.Throttle_THROTTLE_BACKOFF, told[0].GetThrottle())
 	require.Zero(t, told[0].GetFree())
 	require.GreaterOrEqual(t, told[0].GetBacklogMs(), uint32(1900))
 	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, told[0].GetCondition())
 	b.actions = nil
-	b.pass(2100 * time.Millisecond)
+	b.advance(2100 * time.Millisecond)
 	told = rooms(b.actions)
 	require.NotEmpty(t, told)
 	require.Equal(t, wire.Throttle_THROTTLE_UNSPECIFIED, told[len(told)-1].GetThrottle())
@@ -228,20 +228,20 @@
 }
 
 // A body that came ahead must not be kept here through a time of rest: another server could have it.
-func TestDispatchToAServerThatRestsGoesElsewhereAtOnce(t *testing.T) {
-	b := openBench(t)
-	b.fill()
-	b.hearBackoff(2 * time.Second)
+func TestDispatchDuringBackoffIsRefusedAtOnce(t *testing.T) {
+	b := newReadyHarness(t)
+	b.fillSlots()
+	b.observeBackoff(2 * time.Second)
 	b.actions = nil
 	over := refusedWith(t, b.dispatch(entryA, id("urgent", 1), firstTierWork()), result.ServerBackoff)
 	require.GreaterOrEqual(t, over.RetryAfterMs, uint32(1900))
-	require.Len(t, of[Throttled](b.actions), 1)
+	require.Len(t, actionsOf[Throttled](b.actions), 1)
 }
 
-func TestOneTrialAtAServerThatHasRested(t *testing.T) {
-	b := openBenchWith(t, Config{NoPredecessor: true}, sampleRecord(4))
-	b.hearBackoff(time.Second)
-	b.pass(time.Second + TickInterval)
+func TestOneTrialAfterABackoff(t *testing.T) {
+	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(4))
+	b.observeBackoff(time.Second)
+	b.advance(time.Second + TickInterval)
 	for i := range 4 {
 		b.reserve(entryA, id(fmt.Sprint("r", i), 1), work())
 	}
--- a/gate/unreachable_test.go
+++ b/gate/unreachable_test.go
@@ -14,11 +14,11 @@
 // Sequence: a server crashes; the first call to it can't connect; its place is free again at once, and the gate goes on
 // offering it.
 // Cause: only probes made a server suspect, two in a row, half a second apart.
-func TestServerThatCannotBeReachedGetsNoNewWorkAtOnce(t *testing.T) {
-	b := openBench(t)
+func TestUnreachableServerGetsNoNewWorkAtOnce(t *testing.T) {
+	b := newReadyHarness(t)
 	require.Positive(t, b.gate.free())
 	b.start(entryA, id("r1", 1), work())
-	b.ends(id("r1", 1), engine.Outcome{}, &engine.CallError{Class: engine.ErrNeverSent, Err: engine.ErrUnreachable})
+	b.endRun(id("r1", 1), engine.Outcome{}, &engine.CallError{Class: engine.ErrNeverSent, Err: engine.ErrUnreachable})
 	require.Equal(t, serverSuspect, b.gate.server.state)
 	require.Zero(t, b.gate.free())
 
@@ -29,9 +29,9 @@
 
 // A server that turned a call away is there.
 func TestServerThatRejectsACallStaysReady(t *testing.T) {
-	b := openBench(t)
+	b := newReadyHarness(t)
 	b.start(entryA, id("r1", 1), work())
-	b.ends(id("r1", 1), engine.Outcome{}, &engine.CallError{Class: engine.ErrNeverSent})
-	b.pass(time.Millisecond)
+	b.endRun(id("r1", 1), engine.Outcome{}, &engine.CallError{Class: engine.ErrNeverSent})
+	b.advance(time.Millisecond)
 	require.Equal(t, serverReady, b.gate.server.state)
 }
--- a/gate/list.go
+++ b/gate/waiting_list.go
@@ -6,7 +6,7 @@
 )
 
 // collect returns the waiting attempts that match, in order of arrival.
-func (w *waiting) collect(match func(*attempt) bool) []*attempt {
+func (w *waitingList) collect(match func(*attempt) bool) []*attempt {
 	var out []*attempt
 	w.each(func(a *attempt) {
 		if match(a) {
@@ -22,13 +22,13 @@
 	return out
 }
 
-func (w *waiting) contains(match func(*attempt) bool) bool {
+func (w *waitingList) contains(match func(*attempt) bool) bool {
 	found := false
 	w.each(func(a *attempt) { found = found || match(a) })
 	return found
 }
 
-func (w *waiting) each(visit func(*attempt)) {
+func (w *waitingList) each(visit func(*attempt)) {
 	for _, t := range w.tiers {
 		for _, q := range t.queues {
 			for _, a := range q.timely {
@@ -42,47 +42,47 @@
 }
 
 // refuseWaiting refuses an attempt that has not started.
-func (g *Gate) refuseWaiting(a *attempt, no refusal) {
-	g.fire(a, onRefuse, occasion{refusal: no})
+func (g *Gate) refuseWaiting(a *attempt, reason refusal) {
+	g.fire(a, onRefuse, eventDetails{refusal: reason})
 }
 
 // refuseAllWaiting refuses all that wait and all that were offered a slot.
-func (g *Gate) refuseAllWaiting(no refusal) {
+func (g *Gate) refuseAllWaiting(reason refusal) {
 	all := g.waiting.collect(func(*attempt) bool { return true })
 	for _, a := range slices.Clone(g.held) {
-		if !a.begun() && a.wait.heap == nil {
+		if !a.hasStarted() && a.wait.heap == nil {
 			all = append(all, a)
 		}
 	}
 	for _, a := range all {
-		g.refuseWaiting(a, no)
+		g.refuseWaiting(a, reason)
 	}
 }
 
 // sweepWaiting refuses or sets back what waits beyond its deadline behind a head that doesn't.
 func (g *Gate) sweepWaiting() {
-	passed := g.waiting.collect(func(a *attempt) bool { return g.passed(a) && !a.work.GetMayBeLate() })
+	passed := g.waiting.collect(func(a *attempt) bool { return g.deadlinePassed(a) && !a.work.GetMayBeLate() })
 	for _, a := range passed {
-		a.wait.queue.class.noteLate(true)
+		a.wait.queue.class.recordLateness(true)
 		g.refuseWaiting(a, refuseDeadline)
 	}
 }
 
-// makePlace makes sure that the waiting list has a place for an attempt, and refuses the one that is last in order:
+// ensureCapacity makes sure that the waiting list has a place for an attempt, and refuses the one that is last in order:
 // the attempt itself or a waiting one. It reports whether the attempt has a place.
-func (g *Gate) makePlace(a *attempt) bool {
+func (g *Gate) ensureCapacity(a *attempt) bool {
 	if g.waiting.count < g.config.MaxWaiting {
 		return true
 	}
 	last := g.lastWaiting()
-	if a.tier() == firstTier && last.tier() == firstTier && g.lowerWork(a) {
+	if a.tier() == firstTier && last.tier() == firstTier && g.hasLowerTierWork(a) {
 		return true // lower tiers run: neither of the two is refused for want of room
 	}
-	if g.goesAfter(last, a) {
+	if g.orderedAfter(last, a) {
 		g.refuseWaiting(last, refuseShed(g.backlog()))
 		return true
 	}
-	g.fire(a, onRefuse, occasion{refusal: refuseFull(g.backlog())})
+	g.fire(a, onRefuse, eventDetails{refusal: refuseFull(g.backlog())})
 	return false
 }
 
@@ -95,7 +95,7 @@
 		}
 		var last *attempt
 		for _, q := range t.queues {
-			if a := q.last(); a != nil && (last == nil || g.goesAfter(a, last)) {
+			if a := q.last(); a != nil && (last == nil || g.orderedAfter(a, last)) {
 				last = a
 			}
 		}
@@ -106,12 +106,12 @@
 
 // last is the last of a queue. A heap's last leaf is not its greatest, so all are looked at.
 func (q *queue) last() *attempt {
-	heads := q.late
-	if len(heads) == 0 {
-		heads = q.timely
+	attempts := q.late
+	if len(attempts) == 0 {
+		attempts = q.timely
 	}
 	var last *attempt
-	for _, a := range heads {
+	for _, a := range attempts {
 		if last == nil || earlier(last, a) {
 			last = a
 		}
@@ -119,8 +119,8 @@
 	return last
 }
 
-// goesAfter tells whether a goes after b, b perhaps not waiting yet.
-func (g *Gate) goesAfter(a, b *attempt) bool {
+// orderedAfter tells whether a goes after b, b perhaps not waiting yet.
+func (g *Gate) orderedAfter(a, b *attempt) bool {
 	if a.tier() != b.tier() {
 		return a.tier() > b.tier()
 	}
@@ -135,22 +135,22 @@
 	return earlier(b, a)
 }
 
-// tooLate tells whether an arrival is predicted to miss its deadline. Refusing it now spends no prefill on it. The
+// deadlineRefusal tells whether an arrival is predicted to miss its deadline. Refusing it now spends no prefill on it. The
 // first tier waits: it is never refused for want of room.
-func (g *Gate) tooLate(a *attempt) (refusal, bool) {
+func (g *Gate) deadlineRefusal(a *attempt) (refusal, bool) {
 	if a.work.GetMayBeLate() || a.tier() == firstTier {
 		return refusal{}, false
 	}
-	if g.passed(a) {
+	if g.deadlinePassed(a) {
 		return refuseDeadline, true
 	}
-	wait := g.waitOf(a.tier())
-	if g.misses(a, wait) {
-		g.waiting.tier(a.tier()).class(a.work.GetClass()).noteLate(true)
+	wait := g.predictedWait(a.tier())
+	if g.missesDeadline(a, wait) {
+		g.waiting.tier(a.tier()).class(a.work.GetClass()).recordLateness(true)
 		return refuseTooLate(wait), true
 	}
 	return refusal{}, false
 }
 
 // backlog is the predicted time until a new attempt of the lowest tier would start.
-func (g *Gate) backlog() time.Duration { return g.waitOf(lowestTier) }
+func (g *Gate) backlog() time.Duration { return g.predictedWait(lowestTier) }
