--- a/gate/memory.go
+++ b/gate/history.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// requestHistory remembers, by digest, the keyed requests that ran here and whose records are forgotten.
+// requestHistory stores digests of the keyed requests that ran here and whose records have expired.
 //
-// Another entry may take a keyed operation over hours later and ask this agent what became of it. Without the
-// requestHistory the gate would answer that the attempt never started, since it has no record any more; the work would run
-// a second time.
+// Another entry may take over a keyed operation hours later and ask this agent for its outcome. Without the history
+// the gate would answer that the attempt never started, since it has no record any more, and the work would run a
+// second time.
 type requestHistory struct {
 	capacity        int
 	lifetime        time.Duration
 	recent          map[uint64]struct{}
 	previous        map[uint64]struct{}
-	rotatedAt       time.Time // when young was begun
-	incompleteUntil time.Time // until then requests may be asked about that were dropped for want of capacity
+	rotatedAt       time.Time // when the recent generation was started
+	incompleteUntil time.Time // until then, requests that were dropped for want of capacity may be asked about
 }
 
 func newRequestHistory(capacity int, life time.Duration) requestHistory {
@@ -36,8 +36,8 @@
 	m.recent[xxhash.Sum64String(request)] = struct{}{}
 }
 
-// mayContain tells whether the request mayContain have run here: it is remembered, or has the digest of one that is, or could be
-// one of those dropped early.
+// mayContain reports whether the request may have run here: its digest is stored, or it could be one of those
+// dropped early.
 func (m *requestHistory) mayContain(request string, now time.Time) bool {
 	if now.Before(m.incompleteUntil) {
 		return true
@@ -50,8 +50,8 @@
 	return found
 }
 
-// rotateIfDue begins a new generation once the young one is a whole life old, so that each request is remembered for one
-// life at least and two at most.
+// rotateIfDue starts a new generation once the recent one is a whole lifetime old, so that each request is stored
+// for at least one lifetime and at most two.
 func (m *requestHistory) rotateIfDue(now time.Time) {
 	if now.Sub(m.rotatedAt) >= m.lifetime {
 		m.rotate(now)
