--- a/gate/active_organisations.go
+++ b/gate/active_organisations.go
@@ -5,14 +5,15 @@
 // organisationHold is how long an organisation counts as waiting after its last reservation left.
 const organisationHold = 5 * time.Second
 
-// activeOrganisations keeps the organisations of a tier among the waiting ones for a while.
+// activeOrganisations keeps the organisations of a tier registered as waiting for a while after their last
+// reservation left.
 //
-// A request reserves at a few gates only, so that at one gate an organisation with much to do often has nothing waiting
-// for a moment. Start-time fair queueing takes that for idleness, and brings its tag up to the others': what it was
-// denied here is never made good, and organisations with requests at more entries get more. One would notice by equal
-// organisations whose shares differ by their entries.
+// A request reserves at a few gates only, so a busy organisation often has nothing waiting at one of them for a
+// moment. Start-time fair queueing treats that as idleness and raises the organisation's tag to that of the others,
+// which forfeits the service it was owed. Organisations whose requests arrive at more entries would then get a
+// larger share than others with the same demand.
 type activeOrganisations struct {
-	organisations []activeOrganisation // in order of first sight
+	organisations []activeOrganisation // in order of registration
 }
 
 type activeOrganisation struct {
@@ -20,7 +21,7 @@
 	until time.Time
 }
 
-// touch says that something of the organisation waited here until now.
+// touch registers that work of the organisation waited here until now.
 func (p *activeOrganisations) touch(t *tierQueues, organisation string, now time.Time) {
 	until := now.Add(organisationHold)
 	for i := range p.organisations {
@@ -33,7 +34,7 @@
 	p.organisations = append(p.organisations, activeOrganisation{organisation, until})
 }
 
-// expire lets the organisations go that had nothing waiting for presenceHold.
+// expire unregisters organisations that had nothing waiting for organisationHold.
 func (p *activeOrganisations) expire(t *tierQueues, now time.Time) {
 	left := p.organisations[:0]
 	for _, o := range p.organisations {
--- a/gate/active_organisations_test.go
+++ b/gate/active_organisations_test.go
@@ -14,9 +14,9 @@
 	return workOf(func(w *wire.Work) { w.Organisation = name })
 }
 
-// serveThenAbsent serves one organisation three times while the other one's only reservation is withdrawn for a while,
-// and returns the order in which both are served then.
-func serveThenAbsent(t *testing.T, absent time.Duration) []string {
+// offerOrderAfterAbsence serves one organisation three times while the only reservation of the other one is withdrawn,
+// waits for the given time, and returns the order in which both are served then.
+func offerOrderAfterAbsence(t *testing.T, absent time.Duration) []string {
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.start(entryA, id("steady-0", 1), workOfOrganisation("steady"))
 	b.reserve(entryB, id("elsewhere", 1), workOfOrganisation("torn"))
@@ -40,12 +40,11 @@
 }
 
 func TestOrganisationServedElsewhereKeepsItsShare(t *testing.T) {
-	// Symptom: of two organisations with the same demand the one that uses more entries gets more.
-	// Sequence: the only reservation of one is taken elsewhere; the other is served here; both reserve again.
-	// Cause: nothing waiting for a moment counted as idleness, which earns no credit.
-	require.Equal(t, []string{"t0", "t1", "t2"}, serveThenAbsent(t, time.Second))
+	// Guards against unequal shares of two organisations with the same demand: a reservation that is withdrawn
+	// because another gate serves it leaves nothing waiting for a moment, which must not count as idleness.
+	require.Equal(t, []string{"t0", "t1", "t2"}, offerOrderAfterAbsence(t, time.Second))
 }
 
 func TestIdleOrganisationEarnsNoCredit(t *testing.T) {
-	require.Contains(t, serveThenAbsent(t, 2*organisationHold), "s0")
+	require.Contains(t, offerOrderAfterAbsence(t, 2*organisationHold), "s0")
 }
--- a/gate/attempts.go
+++ b/gate/attempts.go
@@ -36,16 +36,16 @@
 	record   *record
 	owner    *entryState
 	number   uint64
-	server   string // as the entry named it
+	server   string // server name that the entry used
 	work     *wire.Work
 	dispatch *wire.Dispatch // nil for a reservation
 
-	fingerprint poison.Fingerprint // of the request, once dispatched
-	crash       *wire.Crash        // the end of the server's process while it ran, nil for none
+	fingerprint poison.Fingerprint // of the request, set at the dispatch
+	crash       *wire.Crash        // crash of the server while the attempt ran, nil for none
 
 	state      attemptState
-	cancelOnly bool   // known by its cancel only
-	sequence   uint64 // of arrival
+	cancelOnly bool   // known only from a Cancel
+	sequence   uint64 // order of arrival
 	arrived    time.Time
 	deadline   time.Time // zero for none
 
@@ -55,47 +55,47 @@
 	cancel cancelState
 }
 
-// waitState is an attempt's place among the waiting ones.
+// waitState is the position of an attempt in the waiting list.
 type waitState struct {
 	queue      *queue
 	heap       *attemptHeap
 	index      int
-	late       bool // can't meet its deadline any more, or let an offer lapse
+	late       bool // can't meet its deadline, or let an offer lapse
 	lapses     int
 	offerUntil time.Time
 	offeredAt  time.Time // when the offer was last sent
 }
 
-// runState is what an attempt holds of the server, and how its run goes.
+// runState holds the resources that an attempt uses at the server, and the progress of its run.
 type runState struct {
-	holdsRoom      bool // room
-	holdsPermit    bool // counted against the server's rate, and not sent
+	holdsRoom      bool // counts against the server's slots
+	holdsPermit    bool // counts against the server's rate and is not sent yet
 	permit         backpressure.Permit
-	callOpen       bool // StartEngine was issued and EngineEnded hasn't come
+	callOpen       bool // StartEngine was issued and EngineEnded hasn't arrived
 	started        time.Time
 	firstToken     time.Time
 	lastToken      time.Time
 	tokens         uint32 // produced by this attempt
-	pendingPrefill int64  // uncached prompt tokens not yet computed, of those in flight
+	pendingPrefill int64  // its uncached prompt tokens in flight that are not computed yet
 	prefillAtStart int64  // uncached prompt tokens in flight when it started, its own included
 	cacheTokens    int64  // tokens of cache memory
-	chargedCost    int64  // cost charged
+	chargedCost    int64  // cost charged at the start
 	concurrency    int    // runs at its start, its own included
-	wastedPrefill  uint32 // prompt tokens computed for nothing
+	wastedPrefill  uint32 // prompt tokens computed without use
 }
 
-// cancelState is how the end of an attempt is asked for.
+// cancelState tracks the cancellation of an attempt.
 type cancelState struct {
 	cause            string
-	preemptorTier    uint32 // that took the slot, 0 for none
+	preemptorTier    uint32 // tier that preempted the attempt, 0 for none
 	inquirers        []inquirer
-	try              uint32    // of the last CancelEngine
-	firstTryAfterRun uint32    // first try that was issued after the run's end, 0 for none
-	unanswered       int       // CancelEngines without an answer
-	pending          bool      // the last of them has none
-	requestedAt      time.Time // when the end was first asked for
+	try              uint32    // Try of the last CancelEngine
+	firstTryAfterRun uint32    // first try issued after the run's end, 0 for none
+	unanswered       int       // number of CancelEngines without an answer
+	pending          bool      // the last CancelEngine has no answer
+	requestedAt      time.Time // when the cancellation was first requested
 	issuedAt         time.Time
-	nextTryAt        time.Time
+	nextTryAt        time.Time // when the next try is due
 	backoff          time.Duration
 	unprovenSent     bool
 	unprovenSince    time.Time // when the run returned without a proof
@@ -103,7 +103,7 @@
 	unprovableSent   bool      // the owner was told that no proof will come
 }
 
-// inquirer is an entry that waits for the proof that attempts up to a number are over.
+// inquirer is an entry that waits for the proof that all attempts up to a number are over.
 type inquirer struct {
 	entry  EntryID
 	number uint64
@@ -117,20 +117,20 @@
 	return &wire.AttemptID{Request: a.record.request, Number: a.number}
 }
 
-// engineID is the engine's name of the attempt.
+// engineID returns the engine's identifier of the attempt.
 func (a *attempt) engineID() engine.AttemptID { return engineAttemptID(a.record.request, a.number) }
 
 func engineAttemptID(request string, number uint64) engine.AttemptID {
 	return engine.AttemptID(request + "." + strconv.FormatUint(number, 10))
 }
 
-// hasStarted tells whether StartEngine was issued.
+// hasStarted reports whether StartEngine was issued.
 func (a *attempt) hasStarted() bool { return !a.run.started.IsZero() }
 
-// awaitsEvents tells whether the agent still has something to tell about the attempt.
+// awaitsEvents reports whether an EngineEnded or EngineCancelled of the attempt is outstanding.
 func (a *attempt) awaitsEvents() bool { return a.run.callOpen || a.cancel.unanswered > 0 }
 
-// uncachedTokens is the number of prompt tokens that the engine is expected to compute.
+// uncachedTokens returns the number of prompt tokens that the engine is expected to compute.
 func (a *attempt) uncachedTokens() int64 {
 	return max(int64(a.work.GetPromptTokens())-int64(a.work.GetCachedTokens()), 0)
 }
--- a/gate/charts.go
+++ b/gate/charts.go
@@ -92,7 +92,7 @@
 	serverTable  = mustOpen[serverState, serverEvent]("server", serverStates, serverEvents)
 )
 
-// mustOpen panics if the embedded chart doesn't fit the code: a program with such a chart must not start.
+// mustOpen panics if the embedded chart doesn't match the code: a program with such a chart must not start.
 func mustOpen[S, E ~uint8](name string, states, events []string) *chart.Table[S, E] {
 	table, err := chart.Open[S, E](name, states, events)
 	if err != nil {
@@ -101,24 +101,24 @@
 	return table
 }
 
-// eventDetails is what is known about an event when the chart is asked what it does.
+// eventDetails holds the data of an event that guards and actions of a chart use.
 type eventDetails struct {
 	refusal  refusal
 	unsent   bool   // no connection to the server could be made
-	cause    string // of waste, see the Cause constants
+	cause    string // cause of wasted work, one of the Cause constants
 	inquirer inquirer
 	work     *wire.Work // of a repeated reservation
 	end      *EngineEnded
 	events   [][]byte
 	tokens   uint32
-	// eventTokens is the number of tokens in each of events, where the engine says so.
+	// eventTokens is the number of tokens in each of events, empty if the engine doesn't report them.
 	eventTokens   []uint32
 	engineKnew    bool // the engine knew the attempt
 	askedAfterRun bool // the engine was asked after the run's end
 }
 
-// fire lets an event happen to an attempt and reports whether the chart allows it. One that it doesn't allow is
-// counted: it means that the gate and its agent or an entry disagree on what happened.
+// fire applies an event to an attempt and reports whether the chart allows it. An event that the chart doesn't
+// allow is counted, because it means that the gate and its agent or an entry disagree about what happened.
 func (g *Gate) fire(a *attempt, e attemptEvent, o eventDetails) bool {
 	guard := func(name string) bool { return g.attemptGuard(a, name, &o) }
 	next, err := attemptTable.NextGuarded(a.state, e, guard)
@@ -189,7 +189,7 @@
 	}
 }
 
-// fireServer lets an event happen to the server, as fire does for an attempt.
+// fireServer applies an event to the server, as fire does for an attempt.
 func (g *Gate) fireServer(e serverEvent) bool {
 	next, err := serverTable.NextGuarded(g.server.state, e, g.serverGuard)
 	if err != nil {
--- a/gate/charts_test.go
+++ b/gate/charts_test.go
@@ -29,7 +29,7 @@
 	require.EqualValues(t, 1, b.gate.chartErrors)
 }
 
-// checkAction carries out one action of an attempt that is far enough to allow any.
+// checkAction carries out one action on an attempt that is complete enough for any action.
 func (b *harness) checkAction(name string) {
 	r := b.gate.records.add("chart-"+name, 100)
 	owner := b.gate.entries.get(entryA, b.now)
@@ -41,10 +41,9 @@
 }
 
 func TestEventThatTheChartDoesNotAllowIsCounted(t *testing.T) {
-	// Symptom: an attempt stays in a state for ever, and nobody knows why.
-	// Sequence: the agent reports the end of a run that was never started, of one that has ended, and an answer to
-	// a cancel that was never sent.
-	// Cause: an event that nothing expects was ignored.
+	// Guards against an attempt that stays in a state forever without any trace. The agent reports the end of a run
+	// that was never started or has already ended, or an answer to a cancel that was never sent; such events must
+	// not be ignored silently.
 	cases := map[string]func(*harness) []Action{
 		"end of an unknown run": func(b *harness) []Action { return b.finish(id("unknown", 1)) },
 		"second end": func(b *harness) []Action {
--- a/gate/classes.go
+++ b/gate/classes.go
@@ -6,24 +6,24 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Blending of urgency.
+// Constants of the class urgency.
 const (
 	maxUrgency     = 1000
 	urgencyBands   = 5
-	urgencyGain    = 0.1  // weight of one more report of the entries
-	latenessGain   = 0.05 // weight of one more ended attempt
-	reportedWeight = 0.7  // of the entries' view, which knows the targets, against the gate's own
-	ampleSlack     = 2.0  // slack of so many predicted run times counts as ample
+	urgencyGain    = 0.1  // weight of one urgency report of an entry
+	latenessGain   = 0.05 // weight of one ended attempt
+	reportedWeight = 0.7  // weight of the urgency reported by entries, which know the targets; the rest is local lateness
+	ampleSlack     = 2.0  // slack that counts as ample, in predicted run times
 )
 
-// classState is how near a class is to breaking its targets, as seen here. It holds for the class as a whole: were
-// it the single request's slack, an organisation with a long backlog would always look the most urgent.
+// classState estimates how close a class is to missing its targets, as seen by this gate. It applies to the class
+// as a whole: by the slack of single requests, an organisation with a long backlog would always be the most urgent.
 type classState struct {
 	name            string
-	reportedUrgency float64 // 0..1000, smoothed over what all entries say
+	reportedUrgency float64 // 0 to 1000, smoothed over the reports of all entries
 	hasReport       bool
 	lateness        float64 // share of late or refused attempts here, smoothed
-	slack           float64 // least slack of the heads, in predicted run times
+	slack           float64 // least slack of the queue heads, in predicted run times
 	band            int
 }
 
@@ -45,14 +45,15 @@
 	c.lateness += latenessGain * (value - c.lateness)
 }
 
-// updateBand sets the band from what was observed. Bands keep small differences from overruling equal shares.
+// updateBand derives the band from the observed values. Bands keep small differences in urgency from overriding
+// equal shares.
 func (c *classState) updateBand() {
 	blended := reportedWeight*c.reportedUrgency + (1-reportedWeight)*c.lateness*maxUrgency
 	slackUrgency := maxUrgency * min(max(1-c.slack/ampleSlack, 0), 1)
 	c.band = min(int(max(blended, slackUrgency))*urgencyBands/maxUrgency, urgencyBands-1)
 }
 
-// updateBands sets the bands of a tier's classes by the heads that wait.
+// updateBands sets the bands of a tier's classes from the heads of their queues.
 func (g *Gate) updateBands(t *tierQueues) {
 	for _, q := range t.queues {
 		q.class.slack = ampleSlack
@@ -67,7 +68,7 @@
 	}
 }
 
-// relativeSlack is the time that an attempt can still wait, in units of its predicted run time.
+// relativeSlack returns the time that an attempt can still wait, in units of its predicted run time.
 func (g *Gate) relativeSlack(a *attempt) float64 {
 	if a.deadline.IsZero() {
 		return ampleSlack
--- a/gate/clearing.go
+++ b/gate/clearing.go
@@ -12,26 +12,26 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of the listing.
+// Timeouts of the listing.
 const (
-	listTimeout = 10 * time.Second // after which an unanswered listing is repeated
+	listTimeout = 10 * time.Second // an unanswered listing is repeated after this time
 	listRetry   = 250 * time.Millisecond
 )
 
 // clearing proves the engine free of attempts of an earlier incarnation of this agent. Entries take a newer
-// incarnation for the proof that the older one's attempts are over: were it announced while the engine still runs
-// one, the request would run on two engines.
+// incarnation as proof that the attempts of the older one are over: if it were announced while the engine still
+// runs one, the request would run on two engines.
 //
-// It lists the engine's streams, cancels all of them, and lists again: an attempt of the old incarnation may have
-// been on its way to the engine at the first listing.
+// It lists the engine's streams, cancels all of them and lists again, because a dispatch of the earlier incarnation
+// may have been in transit to the engine during the first listing.
 type clearing struct {
 	state    clearState
 	issuedAt time.Time
 	retryAt  time.Time
-	// unlisted: the server keeps no list of what it runs, so nothing proves it free. It is given some time to end
-	// the short calls of an earlier incarnation.
+	// unlisted means that the server keeps no list of what it runs, so nothing proves it free. Instead it gets some
+	// time to end the short calls of an earlier incarnation.
 	unlisted bool
-	// afterGone: the server was gone, so that what may be left there is younger than this process.
+	// afterGone means that the server was gone, so that its remaining work may be younger than this process.
 	afterGone bool
 	remaining []*staleStream
 	confirmed map[engine.AttemptID]bool // streams whose end is confirmed
@@ -42,13 +42,13 @@
 
 const (
 	clearIdle       clearState = iota // before the first announcement
-	clearListing                      // a listing was asked for
-	clearWaiting                      // a listing failed, or no list is kept
-	clearCancelling                   // cancels are under way
-	clearComplete                     // proved free
+	clearListing                      // a listing was requested
+	clearWaiting                      // a listing failed, or the server keeps no list
+	clearCancelling                   // cancels are in progress
+	clearComplete                     // the engine is proved free
 )
 
-// staleStream is a listed stream.
+// staleStream is a listed stream that has to be cancelled.
 type staleStream struct {
 	id       engine.AttemptID
 	attempt  *wire.AttemptID
@@ -59,13 +59,13 @@
 	backoff  time.Duration
 }
 
-// deferredCancel is a cancel whose answer has to wait until the engine is cleared.
+// deferredCancel is a Cancel whose answer has to wait until the engine is cleared.
 type deferredCancel struct {
 	request  string
 	inquirer inquirer
 }
 
-// start lists at the first announcement: before it the agent has no address to ask.
+// start requests the list at the first announcement. Before that the agent has no address to ask.
 func (c *clearing) start(g *Gate) {
 	if c.state == clearIdle {
 		c.confirmed = map[engine.AttemptID]bool{}
@@ -73,7 +73,7 @@
 	}
 }
 
-// restart clears again, after the server was gone.
+// restart clears the engine again after the server was gone.
 func (c *clearing) restart() {
 	c.state = clearIdle
 	c.remaining = nil
@@ -113,10 +113,12 @@
 	c.cancelListed(g, e.Streams)
 }
 
-// settleDeadline is when a server that keeps no list has had its time to end what was left there.
+// settleDeadline returns when a server without a list has had its settle time to end what an earlier incarnation
+// started.
 //
-// Counted from the listing alone, an agent that waits for control after a loss of all machines makes its server wait
-// another settle time, while requests pass their objectives in the entries' queues.
+// It counts from the start of the process if that is known. Counted from the listing, an agent that waited for
+// control after a loss of all machines would make its server wait another settle time, while requests in the
+// entries' queues miss their targets.
 func (c *clearing) settleDeadline(g *Gate) time.Time {
 	from := g.now
 	if started := g.config.ProcessStarted; !started.IsZero() && !c.afterGone {
@@ -125,7 +127,8 @@
 	return from.Add(g.config.UnlistedSettle)
 }
 
-// cancelListed cancels what is listed. Attempts of this incarnation, after the server was gone, are the gate's own to end.
+// cancelListed cancels the listed streams. It skips runs of this incarnation, which exist if the server was gone:
+// the gate ends those itself.
 func (c *clearing) cancelListed(g *Gate, streams []engine.StreamInfo) {
 	c.remaining = nil
 	for _, s := range streams {
@@ -148,7 +151,7 @@
 	}
 }
 
-// parseStream reads the engine's name of an attempt. A name in another form keeps number 0.
+// parseStream parses the engine's identifier of an attempt. An identifier in another form yields number 0.
 func parseStream(id engine.AttemptID) *wire.AttemptID {
 	text := string(id)
 	if dot := strings.LastIndexByte(text, '.'); dot >= 0 {
@@ -166,8 +169,8 @@
 	g.emit(CancelEngine{Attempt: s.attempt, Stream: s.id, Try: s.try})
 }
 
-// handleCancelAnswer takes the answer to a cancel of a listed stream. An unknown id proves its end: the engine has listed it
-// before, so no dispatch of it is on its way.
+// handleCancelAnswer processes the answer to a cancel of a listed stream and reports whether it was one. An unknown
+// id proves the stream's end: the engine has listed it before, so no dispatch of it is in transit.
 func (c *clearing) handleCancelAnswer(g *Gate, e EngineCancelled) bool {
 	if c.state != clearCancelling {
 		return false
@@ -193,7 +196,7 @@
 	return true
 }
 
-// tick repeats what was not answered.
+// tick repeats requests that failed or were not answered.
 func (c *clearing) tick(g *Gate) {
 	switch c.state {
 	case clearListing:
@@ -229,13 +232,13 @@
 	c.requestList(g)
 }
 
-// complete opens the gate and answers what was asked meanwhile.
+// complete opens the gate for admission and answers the deferred cancels.
 func (c *clearing) complete(g *Gate) {
 	c.state = clearComplete
 	g.fireServer(onCleared)
-	waiting := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
-	for _, d := range waiting {
+	for _, d := range deferred {
 		if r := g.records.get(d.request); r != nil {
 			g.answerCancel(r, d.inquirer)
 		}
--- a/gate/config.go
+++ b/gate/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TickInterval is the time between two Ticks while anything waits or runs, and RestInterval while nothing does.
+// TickInterval is the time between two Ticks while attempts wait or run, and RestInterval the time while none do.
 const (
 	TickInterval = 20 * time.Millisecond
 	RestInterval = sweepInterval
@@ -30,58 +30,64 @@
 	DefaultMaxResendBytes    = 256 << 10
 )
 
-// Config holds the settings of a Gate. A zero value means the default of that name.
+// Config holds the settings of a Gate. A zero value selects the default of the same name, where there is one.
 type Config struct {
-	// LeaseDuration is how long an entry may be silent before its attempts are given up.
+	// LeaseDuration is how long an entry may stay silent before its attempts are given up.
 	LeaseDuration time.Duration
-	// OfferTimeout is how long an offered slot is kept for the dispatch.
+	// OfferTimeout is how long an offered slot is reserved for the dispatch.
 	OfferTimeout time.Duration
-	// TombstoneLifetime is how long an ended attempt is remembered after its end and after its deadline. It has to be
-	// longer than any message can be under way.
+	// TombstoneLifetime is how long an ended attempt is remembered after the later of its end and its deadline. It
+	// has to exceed the longest time that a message can be in transit.
 	TombstoneLifetime time.Duration
-	// OverRetention is how long an Over message and its answer are kept for those who lost it.
+	// OverRetention is how long an Over message and its answer are kept for an entry or control that did not
+	// receive them.
 	OverRetention time.Duration
-	// RequestLifetime is the longest that an entry itself may ask about an attempt after it sent it.
+	// RequestLifetime is the longest time after sending an attempt during which the same entry may ask about it.
 	RequestLifetime time.Duration
-	// OperationLifetime is the longest that another entry, which takes an operation over, may ask about an attempt.
+	// OperationLifetime is the longest time during which another entry that takes over an operation may ask about
+	// an attempt.
 	OperationLifetime time.Duration
-	// SilentAfter and GoneAfter are how long after its last announcement a server is suspect and then gone.
+	// SilentAfter and GoneAfter are the times since its last announcement after which a server is suspect and then
+	// gone.
 	SilentAfter, GoneAfter time.Duration
 	// UnlistedSettle is how long a new incarnation admits nothing at a server that keeps no list of what it runs.
 	UnlistedSettle time.Duration
-	// UnprovenHold is how long an attempt holds its room after its run returned without a proof. It may be running, so
-	// the room isn't free at once; a server that never tells must not lose its rooms one by one either.
+	// UnprovenHold is how long an attempt keeps its room after its run returned without a proof. The attempt may
+	// still be running, so its room isn't freed at once; the bound keeps a server that never proves an end from
+	// losing all its room.
 	UnprovenHold time.Duration
-	// SlowRatio is how many times its own past the present pace is when a server becomes suspect. An engine that computes
-	// prompts beside running answers is several times slower under load than its past by itself; one that is taken out
-	// for that leaves its load to the others.
+	// SlowRatio is the ratio of the present pace to the server's own baseline at which the server becomes suspect.
+	// An engine that computes prompts while it generates answers is several times slower under load than its
+	// baseline alone; taking it out for that would shift its load to the other servers.
 	SlowRatio float64
-	// MaxRecords bounds the requests remembered, tombstones included. Beyond it new work is refused; up to twice as
-	// many are held for the tombstones of what is refused or cancelled then.
+	// MaxRecords bounds the number of requests remembered, including tombstones. Beyond it new work is refused; up
+	// to twice as many records are kept, to hold the tombstones of what is refused or cancelled then.
 	MaxRecords int
-	// MaxWaiting bounds the attempts that wait for room.
+	// MaxWaiting bounds the number of attempts that wait for room.
 	MaxWaiting int
-	// SlotsFloor is the share of the announced slots that are used however slow the pace is.
+	// SlotsFloor is the share of the announced slots that is used however slow the pace is.
 	SlotsFloor float64
-	// ProcessStarted is when this incarnation's process began, zero if not known. What an earlier one left at a server that
-	// keeps no list lost its connections before that, so the settle time counts from here; otherwise from the listing.
+	// ProcessStarted is when this incarnation's process started, zero if unknown. What an earlier incarnation ran
+	// at a server without a list lost its connections before that, so the settle time counts from here; if it is
+	// zero, from the listing.
 	ProcessStarted time.Time
-	// MaxHistoryDigests bounds the digests of keyed requests that ran here, in each of two generations.
+	// MaxHistoryDigests bounds the number of digests of keyed requests that ran here, in each of two generations.
 	MaxHistoryDigests int
-	// ProbeFailures is how many failed probes in a row make the server suspect.
+	// ProbeFailures is the number of consecutive failed probes that make the server suspect.
 	ProbeFailures int
-	// MaxAnswerBytes and MaxResendBytes bound the bytes of an answer kept for control and for an entry that lost its link.
+	// MaxAnswerBytes and MaxResendBytes bound the bytes of an answer kept for control and for an entry that lost
+	// its link.
 	MaxAnswerBytes, MaxResendBytes int
-	// Reporter names this agent in what it reports of crashes.
+	// Reporter is the name of this agent in its crash reports.
 	Reporter string
-	// UniqueNamePerStart says that each start of a server has another name.
+	// UniqueNamePerStart means that a server gets a new name at each start.
 	UniqueNamePerStart bool
-	// TrialAtStart has the first attempts at a server wait for the first answer, since an earlier process may have been asked to keep
-	// away from it.
+	// TrialAtStart makes the first attempts at a server wait for the first answer, because the server may have
+	// asked an earlier process to back off.
 	TrialAtStart bool
-	// NoPredecessor says that no earlier incarnation of this agent can have run anything at this server. Without it
-	// a Cancel for an attempt that the gate never heard of is not answered with PROOF_NEVER_STARTED as long as it may
-	// speak of an attempt of an earlier incarnation.
+	// NoPredecessor means that no earlier incarnation of this agent can have run anything at this server. Without
+	// it, a Cancel for an unknown attempt is not answered with PROOF_NEVER_STARTED while the attempt may have been
+	// run by an earlier incarnation.
 	NoPredecessor bool
 }
 
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -9,20 +9,22 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// crashWindow is how far apart the broken connections of one crash may be noticed. A process loses all of them at once; the rest
-// is for an agent that reads them late.
+// crashWindow is the longest time between reading the broken connections of one crash. A process loses all of them
+// at once; the margin is for an agent that reads them late.
 const crashWindow = time.Second
 
-// brokenRuns holds the attempts whose connection the server broke off lately, until it is known whether its process ended.
+// brokenRuns holds the attempts whose connection the server broke recently, until it is known whether its process
+// ended.
 //
-// A server breaks off an answer for many reasons. Only the end of its process is evidence against what it ran: without the
-// question, requests at a server that spoils some of its answers would look like those that crash servers.
+// A server breaks off an answer for many reasons, and only the end of its process is evidence against the requests
+// that it ran. Without the check, requests at a server that corrupts some of its answers would look like requests
+// that crash servers.
 type brokenRuns struct {
 	attempts       []brokenAttempt // oldest first
-	verifying      bool            // a VerifyServer has no answer yet
-	verifyIssuedAt time.Time       // when the last one was asked for
-	exclusive      bool            // a request has the server for itself, as of the last tick
-	endedAt        time.Time       // when the process was found to have ended, zero if it wasn't
+	verifying      bool            // a VerifyServer is unanswered
+	verifyIssuedAt time.Time       // when the last VerifyServer was issued
+	exclusive      bool            // a request has exclusive use of the server, as of the last tick
+	endedAt        time.Time       // when the process was found to have ended, zero for never
 	reported       bool            // that end was reported with some of its attempts
 }
 
@@ -32,7 +34,8 @@
 	exclusive bool
 }
 
-// recordBroken notes that the server broke off an attempt that nobody had cancelled, and has its process looked for.
+// recordBroken records that the server broke off an attempt that nobody had cancelled, and requests a check of its
+// process.
 func (g *Gate) recordBroken(a *attempt) {
 	if g.isLeaving() {
 		return
@@ -54,12 +57,12 @@
 	g.emit(VerifyServer{})
 }
 
-// isLeaving tells whether the server's end is planned, or seen already.
+// isLeaving reports whether the server's end is planned or already known.
 func (g *Gate) isLeaving() bool {
 	return g.server.state != serverReady && g.server.state != serverSuspect
 }
 
-// handleVerified takes the answer to VerifyServer.
+// handleVerified processes the answer to a VerifyServer.
 func (g *Gate) handleVerified(e ServerVerified) {
 	b := &g.brokenRuns
 	b.verifying = false
@@ -68,7 +71,7 @@
 		return
 	}
 	if !e.Ended {
-		// What broke later may be of an end that came after the look.
+		// An attempt that broke after the check may belong to an end that the check could not see.
 		b.attempts = slices.DeleteFunc(b.attempts, func(one brokenAttempt) bool { return !one.brokenAt.After(b.verifyIssuedAt) })
 		if len(b.attempts) > 0 {
 			g.requestVerify()
@@ -80,22 +83,24 @@
 	g.attributeCrash()
 }
 
-// exclusiveTime is how long a watched request stays alone after its first token. One that crashes servers does so as it begins.
+// exclusiveTime is how long a watched request keeps exclusive use of the server after its first token. A request
+// that crashes servers does so when it begins.
 const exclusiveTime = 500 * time.Millisecond
 
-// needsExclusiveRun tells whether an attempt is to have the server for itself.
+// needsExclusiveRun reports whether an attempt has to have the server to itself.
 //
-// A request may have been beside another one that crashed two servers. Were it beside that one, or a further such one, at the third
-// crash too, it would be refused with it. Alone it either crashes the server itself or is served.
+// A watched request may have run beside another one that crashed two servers. If it ran beside that one, or another
+// such one, at the third crash too, it would be refused along with it. Alone, it either crashes the server itself
+// or is served.
 func (g *Gate) needsExclusiveRun(a *attempt) bool {
 	begun := !a.run.firstToken.IsZero() && g.now.Sub(a.run.firstToken) >= exclusiveTime
 	return a.work.GetWatched() && !begun
 }
 
-// exclusiveRunHeld tells whether a request is to have the server for itself now.
+// exclusiveRunHeld reports whether an attempt that holds room needs the server to itself.
 func (g *Gate) exclusiveRunHeld() bool { return slices.ContainsFunc(g.held, g.needsExclusiveRun) }
 
-// exclusivityBlock says whether an attempt has to wait until it, or another one, has had the server for itself.
+// exclusivityBlock returns whether an attempt has to wait because it, or another one, needs the server to itself.
 func (g *Gate) exclusivityBlock(a *attempt) blockReason {
 	if a.work.GetWatched() && len(g.held) > 0 || g.exclusiveRunHeld() {
 		return blockedExclusive
@@ -103,7 +108,7 @@
 	return notBlocked
 }
 
-// checkExclusive has entries hear when the server takes others again.
+// checkExclusive schedules a room update when the exclusive use of the server begins or ends.
 func (g *Gate) checkExclusive() {
 	if exclusive := g.exclusiveRunHeld(); exclusive != g.brokenRuns.exclusive {
 		g.brokenRuns.exclusive = exclusive
@@ -111,7 +116,7 @@
 	}
 }
 
-// attributeCrash reports the broken attempts as what the server ran when it crashed.
+// attributeCrash reports the broken attempts as those that the server ran when it crashed.
 func (g *Gate) attributeCrash() {
 	if len(g.brokenRuns.attempts) == 0 {
 		return
@@ -124,8 +129,8 @@
 		Once:     g.config.UniqueNamePerStart,
 	}
 	var runs []Run
-	for _, one := range g.brokenRuns.attempts {
-		a := one.attempt
+	for _, broken := range g.brokenRuns.attempts {
+		a := broken.attempt
 		a.crash = crash
 		g.sendCrashNotice(a)
 		runs = append(runs, Run{
@@ -139,8 +144,8 @@
 	g.brokenRuns.reported = true
 }
 
-// sendCrashNotice tells the owner of an attempt that isn't proved over of the crash. The proof may have to wait until the server is back,
-// and meanwhile the entry would send the request to the next one.
+// sendCrashNotice informs the owner of an attempt that isn't proved over of the crash. The proof may come only once
+// the server is back, and until then the entry would send the request to the next server.
 func (g *Gate) sendCrashNotice(a *attempt) {
 	if a.state != cancelling {
 		return
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -18,7 +18,7 @@
 	require.Len(b.t, actionsOf[StartEngine](actions), 1, "%v", actions)
 }
 
-// crashedFingerprints are the fingerprints of what the server ran when it crashedFingerprints.
+// crashedFingerprints returns the fingerprints of the runs in all crash reports.
 func crashedFingerprints(actions []Action) []poison.Fingerprint {
 	var prints []poison.Fingerprint
 	for _, crash := range actionsOf[Crashed](actions) {
@@ -29,9 +29,8 @@
 	return prints
 }
 
-// Symptom: nobody can tell which request crashes servers. Sequence: a server crashes with two requests on it; its agent reads the
-// end of one connection, looks for the process, and reads the end of the other one later. Cause: the ends of single attempts
-// noted and not that of the process.
+// Guards against a crash report that misses requests. The agent reads the end of one connection, has the process
+// checked, and reads the end of the second connection only later; both requests belong to the crash.
 func TestCrashReportNamesTheRunsOfTheServer(t *testing.T) {
 	b := newReadyHarness(t)
 	b.startWithFingerprint("r1", 1)
@@ -49,7 +48,7 @@
 	noChartErrors(t, b)
 }
 
-// The end of one process must count as one crash, however late the broken connections are read.
+// All broken connections of one process count as one crash, however late they are read.
 func TestBrokenConnectionsOfOneProcessAreOneCrash(t *testing.T) {
 	b := newReadyHarness(t)
 	b.startWithFingerprint("r1", 1)
@@ -65,8 +64,9 @@
 	require.True(t, crashes[1].Repeated)
 }
 
-// Symptom: a crash is evidence against nobody. Sequence: a server spoils an answer; while its process is looked for, it crashes
-// under another request; the look had found it. Cause: one look taken for all that broke until its answer came.
+// Guards against a crash that is attributed to no request. A server corrupts an answer and crashes under another
+// request while its process is being checked: the result of that check doesn't cover runs that broke after it was
+// issued.
 func TestCrashAfterACorruptAnswerIsDetected(t *testing.T) {
 	b := newReadyHarness(t)
 	b.startWithFingerprint("r1", 1)
@@ -76,13 +76,13 @@
 	b.loseConnection(id("r2", 1))
 	b.actions = nil
 	b.step(ServerVerified{})
-	require.Len(t, actionsOf[VerifyServer](b.actions), 1, "once more")
+	require.Len(t, actionsOf[VerifyServer](b.actions), 1, "another check")
 	b.step(ServerVerified{Ended: true})
 	require.Equal(t, []poison.Fingerprint{2}, crashedFingerprints(b.actions))
 }
 
-// Symptom: a request that never crashed a server is taken for one that does. Sequence: its server spoils its answer, is
-// cancelled, can't be reached, or ends after it said that it leaves. Cause: any broken answer taken for a crash.
+// Guards against a request that is taken for one that crashes servers although its run broke for another reason: a
+// corrupt answer, a cancel, an unreachable server, or a server that had announced its leave.
 func TestOtherBrokenRunsAreNoCrash(t *testing.T) {
 	for name, play := range map[string]func(b *harness){
 		"the process is there": func(b *harness) {
@@ -137,9 +137,8 @@
 
 func watchedWork() *wire.Work { return workOf(func(w *wire.Work) { w.Watched = true }) }
 
-// Symptom: a request is quarantined that was only beside the ones that crash servers. Sequence: it has been under two crashes,
-// and at the third there is another such request, or one that nobody knows yet, beside it. Cause: a third crash that may speak of
-// several requests.
+// Guards against quarantining a request that only ran beside those that crash servers. After two crashes it must
+// run alone, so that a third crash is evidence against it and no other request.
 func TestWatchedRequestStartsExclusively(t *testing.T) {
 	b := newReadyHarness(t)
 	b.start(entryA, id("r1", 1), work())
@@ -148,7 +147,7 @@
 	b.reserve(entryB, id("w2", 1), watchedWork())
 	b.actions = nil
 	b.finish(id("r1", 1))
-	require.Equal(t, []string{"w1.1"}, offeredIDs(b.actions), "the server has run empty for it")
+	require.Equal(t, []string{"w1.1"}, offeredIDs(b.actions), "offered once the server is empty")
 	b.dispatchOffered(entryA, id("w1", 1), watchedWork())
 	require.Zero(t, b.gate.free())
 	onlyOver(t, b.dispatch(entryB, id("r3", 1), work()), entryB, wire.Proof_PROOF_NEVER_STARTED)
@@ -158,7 +157,7 @@
 	require.Len(t, b.gate.held, 1)
 	b.actions = nil
 	b.advance(exclusiveTime/2 + 2*TickInterval)
-	require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions), "it has begun, and the server is there")
+	require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions), "offered once the watched request has begun")
 	b.dispatchOffered(entryB, id("r2", 1), work())
 	b.actions = nil
 	b.loseConnection(id("r2", 1))
@@ -176,11 +175,11 @@
 	b.step(ServerVerified{Ended: true})
 	require.True(t, actionsOf[Crashed](b.actions)[0].Crash.GetAlone())
 	over := onlyOver(t, b.answerCancel(id("w1", 1), engine.CancelUnknownID), entryA, wire.Proof_PROOF_CANCELLED)
-	require.Equal(t, actionsOf[Crashed](b.actions)[0].Crash, over.GetCrash(), "its entry reports the same crash")
+	require.Equal(t, actionsOf[Crashed](b.actions)[0].Crash, over.GetCrash(), "the entry is told of the same crash")
 }
 
-// Symptom: an entry sends more to a server that has crashed until a probe notices. Sequence: its process is found to have ended.
-// Cause: only a failed call or probe made a server suspect.
+// Guards against an entry that sends further requests to a crashed server until a probe fails. The server must be
+// suspect as soon as its process is found to have ended.
 func TestCrashedServerGetsNoNewWork(t *testing.T) {
 	b := newReadyHarness(t)
 	b.startWithFingerprint("r1", 1)
@@ -189,7 +188,7 @@
 	b.step(ServerVerified{Ended: true})
 	require.Equal(t, serverSuspect, b.gate.server.state)
 	over := onlyOver(t, b.answerCancel(id("r1", 1), engine.CancelUnknownID), entryA, wire.Proof_PROOF_CANCELLED)
-	require.NotNil(t, over.GetCrash(), "its entry hears of it")
+	require.NotNil(t, over.GetCrash(), "the entry is told of the crash")
 	b.step(Probed{OK: true})
 	require.Equal(t, serverReady, b.gate.server.state)
 }
--- a/gate/early_offers.go
+++ b/gate/early_offers.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// offerLatencyGain is the weight of one answered offer in the learnt delay.
+// offerLatencyGain is the weight of one answered offer in the learnt latency.
 const offerLatencyGain = 0.05
 
-// offerLatency is the learnt time from an offer to the body, smoothed.
+// offerLatency is the learnt time from an offer to the arrival of the body, smoothed.
 //
-// A plain service answers in a few milliseconds, about as long as an offer takes to bring the body. If each slot were
-// offered only once it is free, it would stand empty for the rest of the time. One would notice by a service that is
-// used to a part of its capacity while requests to it are refused for their deadline. So as many offers are made ahead
-// as slots become free in that time; what has come too early waits here, not in the service, and may still be refused
+// A plain service answers in a few milliseconds, about as long as an offer takes to bring the body. If each slot
+// were offered only once it is free, it would stay empty for that time: the service would run below its capacity
+// while requests to it are refused for their deadline. Therefore as many offers are made early as slots become free
+// during the latency. A body that arrives early waits in the gate, not in the service, so it can still be refused
 // or cancelled as never started.
 type offerLatency struct{ mean time.Duration }
 
@@ -21,8 +21,8 @@
 	d.mean += time.Duration(offerLatencyGain * float64(took-d.mean))
 }
 
-// earlyOffers is how many offers may be made for work like a's beyond the slots. A body that is here already needs a
-// slot, and a model's run takes so long that the delay doesn't count.
+// earlyOffers returns how many offers may be made for work like a's beyond the slots. A body that is already here
+// needs a slot, and the run of a model takes so long that the latency doesn't matter.
 func (g *Gate) earlyOffers(a *attempt) int {
 	if a.state != reserved || !a.work.GetService() {
 		return 0
@@ -36,7 +36,7 @@
 	return min(int(freed), slots)
 }
 
-// maxEarlyOffers is a bound on offersAhead for any attempt.
+// maxEarlyOffers returns an upper bound of earlyOffers over all attempts.
 func (g *Gate) maxEarlyOffers() int {
 	if len(g.pace.services) == 0 {
 		return 0
@@ -44,8 +44,8 @@
 	return g.limit.slots()
 }
 
-// heldAheadOf is how much of the room is held by what goes before an attempt: all that was started, and of the rest
-// what is of no lower tier. Bodies of lower tiers that came ahead must not keep the first tier waiting.
+// heldAheadOf returns the number of attempts that hold room and go before a: all that were started or offered, and
+// those of the same or a higher tier. Bodies of lower tiers that arrived early must not delay the first tier.
 func (g *Gate) heldAheadOf(a *attempt) int {
 	n := 0
 	for _, held := range g.held {
@@ -56,7 +56,7 @@
 	return n
 }
 
-// usedSlots is the number of slots in use.
+// usedSlots returns the number of held attempts that were started.
 func (g *Gate) usedSlots() int {
 	n := 0
 	for _, held := range g.held {
@@ -69,8 +69,9 @@
 
 func (g *Gate) hasFreeSlot() bool { return g.usedSlots() < g.limit.slots() }
 
-// startAdmitted starts bodies that came ahead, up to a tier, while slots are free. One that has waited too long meanwhile
-// is refused: its call would go on past the deadline, and its caller could only be told that nobody knows.
+// startAdmitted starts bodies that arrived early, up to a tier, while slots are free. One that can't meet its
+// deadline any more is refused: its call would go on past the deadline, and the caller could only be told that the
+// outcome is unknown.
 func (g *Gate) startAdmitted(maxTier uint32) {
 	for g.server.state == serverReady && g.hasFreeSlot() {
 		a := g.nextAdmitted(maxTier)
@@ -86,7 +87,7 @@
 	}
 }
 
-// nextAdmitted is the body that came ahead and starts next: of the highest tier, the one that came first.
+// nextAdmitted returns the early body that starts next: of the highest tier, the one that arrived first.
 func (g *Gate) nextAdmitted(maxTier uint32) *attempt {
 	var best *attempt
 	for _, a := range g.held {
--- a/gate/early_offers_test.go
+++ b/gate/early_offers_test.go
@@ -24,7 +24,7 @@
 
 func (b *harness) advanceClock(d time.Duration) { b.now = b.now.Add(d) }
 
-// trainCalls lets the gate learn how long calls take, and how long a body is on its way.
+// trainCalls lets the gate learn the duration of calls and the offer latency.
 func (b *harness) trainCalls() {
 	b.t.Helper()
 	for i := range 200 {
@@ -40,29 +40,28 @@
 }
 
 func TestShortCallsAreOfferedEarly(t *testing.T) {
-	// Symptom: a plain service is used to four fifths while requests to it are refused for their deadline.
-	// Sequence: a call ends, the next one is offered the slot, its body comes some milliseconds later.
-	// Cause: the slot was offered only once it was free, and a call takes hardly longer than the body's way.
+	// Guards against a plain service that runs at four fifths of its capacity while requests to it are refused for
+	// their deadline: if a slot is offered only once it is free, it is empty until the body arrives, and a call
+	// takes hardly longer than that.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(2))
 	b.trainCalls()
 	for i := range 5 {
 		b.reserve(entryA, id(fmt.Sprint("r", i), 1), callWork(3))
 	}
-	require.Equal(t, []string{"r0.1", "r1.1", "r2.1"}, offeredIDs(b.actions), "one for each slot, and one ahead")
+	require.Equal(t, []string{"r0.1", "r1.1", "r2.1"}, offeredIDs(b.actions), "one for each slot, and one early")
 	for i := range 3 {
 		b.dispatchOffered(entryA, id(fmt.Sprint("r", i), 1), callWork(3))
 	}
-	require.Equal(t, []string{"r0.1", "r1.1"}, startedIDs(b.actions), "the third waits here, not in the service")
+	require.Equal(t, []string{"r0.1", "r1.1"}, startedIDs(b.actions), "the third waits in the gate, not in the service")
 	next := b.finish(id("r0", 1))
-	require.Equal(t, []string{"r2.1"}, startedIDs(next), "the slot isn't empty for a moment")
+	require.Equal(t, []string{"r2.1"}, startedIDs(next), "the slot is used again at once")
 	require.Equal(t, []string{"r3.1"}, offeredIDs(next))
 	noChartErrors(t, b)
 }
 
 func TestEarlyBodyIsRefusedAsNeverStarted(t *testing.T) {
-	// Symptom: a request stays unanswered until its deadline after its backend server left.
-	// Sequence: its body came ahead and waits at the gate; the server leaves, or becomes suspect.
-	// Cause: only reservations and offers were given back then.
+	// Guards against a request that stays unanswered until its deadline after its server left or became suspect,
+	// because only reservations and offers were refused then and not bodies that arrived early.
 	for name, end := range map[string]func(*harness){
 		"leaving": func(b *harness) { b.step(Leaving{}) },
 		"suspect": func(b *harness) { b.step(Probed{}); b.step(Probed{}) },
@@ -102,9 +101,8 @@
 }
 
 func TestEarlyBodyThatMissesItsDeadlineIsRefused(t *testing.T) {
-	// Symptom: calls are answered "unproven at the deadline" under overload.
-	// Sequence: a body that came ahead waits for the call before it, and starts with less time left than it takes.
-	// Cause: only reservations were looked at for their deadline, not bodies.
+	// Guards against calls that end as unproven at the deadline under overload: an early body waits for the call
+	// before it and must not start with less time left than it takes.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.trainCalls()
 	short := func() *wire.Work { w := callWork(3); w.RemainingMs = 50; return w }
@@ -120,9 +118,8 @@
 }
 
 func TestOfferLatencyCountsAgainstTheDeadline(t *testing.T) {
-	// Symptom: calls of a full service end in time at the server, and are late or unproven at the entry.
-	// Sequence: a call starts with just the time left that it takes.
-	// Cause: the way back wasn't counted.
+	// Guards against calls that end in time at the server and arrive late or unproven at the entry, because the
+	// latency of the answer was not counted.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.trainCalls()
 	tight := callWork(3)
--- a/gate/estimate.go
+++ b/gate/estimate.go
@@ -8,7 +8,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// predictRuntime is the time that the work is expected to take here once it has a slot; 0 before anything is learnt.
+// predictRuntime returns the expected run time of the work here, 0 before anything is learnt.
 func (g *Gate) predictRuntime(w *wire.Work) time.Duration {
 	if w.GetService() {
 		if s := g.pace.service(w.GetTarget()); s != nil {
@@ -20,8 +20,8 @@
 	return g.pace.timeToFirstToken(uncached) + time.Duration(w.GetOutputTokens())*g.tokenTimeFor(w.GetTier())
 }
 
-// estimateCost is the cost that the work is charged with at its start: prompt tokens not cached and output tokens; for
-// a service milliseconds of service time, one at least.
+// estimateCost returns the cost charged for the work at its start: uncached prompt tokens plus output tokens, or
+// for a service the milliseconds of service time, at least 1.
 func (g *Gate) estimateCost(w *wire.Work) int64 {
 	if w.GetService() {
 		return max(g.predictRuntime(w).Milliseconds(), 1)
@@ -30,7 +30,7 @@
 	return max(uncached, 0) + int64(w.GetOutputTokens())
 }
 
-// remainingTime is the time until a run is expected to end.
+// remainingTime returns the time until a run is expected to end.
 func (g *Gate) remainingTime(a *attempt) time.Duration {
 	if !a.hasStarted() {
 		return g.predictRuntime(a.work)
@@ -42,7 +42,7 @@
 	return time.Duration(left) * g.pace.tokenTime(len(g.runs), g.now)
 }
 
-// nextFree is the time until the first slot is expected to be free. It is not known before anything is learnt.
+// nextFree returns the time until the first slot is expected to be free. It is not known before anything is learnt.
 func (g *Gate) nextFree() (wait time.Duration, known bool) {
 	for _, a := range g.held {
 		if g.predictRuntime(a.work) <= 0 {
@@ -55,7 +55,7 @@
 	return wait, known
 }
 
-// nthFree is the time until n slots are expected to be free. It is not known before anything is learnt.
+// nthFree returns the time until n slots are expected to be free. It is not known before anything is learnt.
 func (g *Gate) nthFree(n int) (wait time.Duration, known bool) {
 	var ends []time.Duration
 	for _, a := range g.held {
@@ -70,8 +70,8 @@
 	return ends[n-1], true
 }
 
-// predictedWait is the predicted time until a new attempt of a tier would start: what waits before it and will be served
-// here, spread over the slots, after what runs.
+// predictedWait returns the predicted time until a new attempt of a tier would start: after what runs, and after
+// the waiting work that goes before it and will be served here, spread over the slots.
 func (g *Gate) predictedWait(tier uint32) time.Duration {
 	slots := time.Duration(g.limit.slots())
 	ahead := time.Duration(0)
@@ -84,7 +84,7 @@
 	return max(g.waitForSlot(slots, ahead), g.throttleWait(1+g.countAhead(tier)))
 }
 
-// countAhead is how many of those that wait will probably be served here before a new attempt of a tier.
+// countAhead returns how many waiting attempts will probably be served here before a new attempt of a tier.
 func (g *Gate) countAhead(tier uint32) int {
 	count := 0
 	for _, t := range g.waiting.tiers {
@@ -95,7 +95,7 @@
 	return int(float64(count) * g.waiting.servedShare.value())
 }
 
-// waitForSlot is the time until a slot is free for an attempt that comes after so much work.
+// waitForSlot returns the time until a slot is free for an attempt that comes after the given amount of work.
 func (g *Gate) waitForSlot(slots, ahead time.Duration) time.Duration {
 	if len(g.held) < int(slots) {
 		return ahead / slots
@@ -104,7 +104,7 @@
 	return next + ahead/slots
 }
 
-// predictQueued is the predicted time of all that wait in a tier, by the head of each queue.
+// predictQueued returns the predicted run time of all waiting attempts of a tier, based on the head of each queue.
 func (g *Gate) predictQueued(t *tierQueues) time.Duration {
 	sum := time.Duration(0)
 	for _, q := range t.queues {
@@ -122,7 +122,7 @@
 	return q.late[0]
 }
 
-// settleRun takes what an ended run tells: its cost, which it returns, waste, pace, and whether it was late.
+// settleRun records what an ended run shows about waste, pace and lateness, and returns its cost.
 func (g *Gate) settleRun(a *attempt, o *eventDetails) int64 {
 	completed := o.end != nil && o.end.Err == nil && o.end.Outcome.End == engine.EndCompleted
 	late := !a.deadline.IsZero() && g.now.After(a.deadline)
@@ -145,8 +145,8 @@
 	return cost
 }
 
-// actualCost is what a run has used, in the unit of estimate. A preempted organisation isn't charged for the prompt: it
-// has to be computed again.
+// actualCost returns what a run has used, in the unit of estimateCost. The organisation of a preempted run isn't
+// charged for the prompt, because it has to be computed again.
 func (g *Gate) actualCost(a *attempt, o *eventDetails) int64 {
 	if a.work.GetService() {
 		return g.now.Sub(a.run.started).Milliseconds()
@@ -161,7 +161,7 @@
 	return g.prefilledTokens(a) + tokens
 }
 
-// countWaste counts the prompt tokens computed for nothing.
+// countWaste counts the prompt tokens that were computed without use.
 func (g *Gate) countWaste(a *attempt) {
 	wasted := g.prefilledTokens(a)
 	a.run.wastedPrefill = uint32(min(wasted, lowestTier))
--- a/gate/frames.go
+++ b/gate/frames.go
@@ -6,7 +6,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// frameState is how much of its answer an attempt has passed on.
+// frameState tracks how much of its answer an attempt has forwarded.
 type frameState struct {
 	base   uint64 // offset of its first event, over all attempts of the request
 	count  uint64 // events of this attempt
@@ -14,9 +14,9 @@
 	digest *xxhash.Digest
 
 	kept       [][]byte // for control, and for an entry that lost its link
-	keptTokens []uint32 // in each of kept, where known
+	keptTokens []uint32 // tokens in each of kept, if known
 	keptBytes  int
-	dropped    bool // more came than may be kept
+	dropped    bool // the events exceeded the bound and are not kept
 }
 
 func (f *frameState) begin(d *wire.Dispatch) {
@@ -26,7 +26,7 @@
 
 func (f *frameState) nextOffset() uint64 { return f.base + f.count }
 
-// add counts events and keeps them as long as the bound allows.
+// add counts events and keeps them as long as their size stays within the bound.
 func (f *frameState) add(events [][]byte, tokens []uint32, bound int) {
 	for i, event := range events {
 		f.count++
@@ -36,7 +36,7 @@
 	}
 }
 
-// keep keeps one event. The first of tokens, if there is one, is its own.
+// keep keeps one event. Its token count is the first of tokens, if there is one.
 func (f *frameState) keep(event []byte, tokens []uint32, bound int) {
 	if f.dropped {
 		return
@@ -63,8 +63,8 @@
 	f.dropped = true
 }
 
-// forward passes events on to the entry. After a cancel nobody wants them, but a preempted attempt goes on elsewhere
-// from the last event that the entry has.
+// forward sends events to the entry. After a cancel they are of no use, except for a preempted attempt: it is
+// continued on another server from the last event that the entry has.
 func (g *Gate) forward(a *attempt, events [][]byte, tokens []uint32) {
 	if len(events) == 0 {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// answerEnd closes a whole answer.
+// answerEnd returns the end of a completed answer.
 func (a *attempt) answerEnd(e *EngineEnded) *wire.AnswerEnd {
 	return &wire.AnswerEnd{
 		Events:       a.frames.nextOffset(),
--- a/gate/frames_test.go
+++ b/gate/frames_test.go
@@ -21,9 +21,8 @@
 }
 
 func TestFramesContinueOverAttempts(t *testing.T) {
-	// Symptom: a caller reads a sentence twice, or misses one.
-	// Sequence: an attempt is cut after some events and goes on in another one.
-	// Cause: offsets began at 0 with each attempt.
+	// Guards against a caller that receives events twice or misses some when an attempt is continued by another
+	// one: offsets have to continue over attempts instead of starting at 0.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, &wire.Dispatch{Attempt: id("r", 2), Work: work(), ResumeFrom: 7})
 	b.progress(id("r", 2), "h", "i")
@@ -48,9 +47,9 @@
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.callerLeft(entryA, id("r", 1))
-	require.Empty(t, framesOf(b.progress(id("r", 1), "x"), "r"), "nobody wants them")
+	require.Empty(t, framesOf(b.progress(id("r", 1), "x"), "r"), "events after a cancel are not sent")
 	finished := onlyOver(t, b.finish(id("r", 1)), entryA, completedProof)
-	require.EqualValues(t, 1, finished.Answer.Events, "the answer's end counts all events, so that a gap shows")
+	require.EqualValues(t, 1, finished.Answer.Events, "the answer's end counts all events, so that a gap is detected")
 }
 
 func TestKeptEventsAreBounded(t *testing.T) {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -8,11 +8,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Gate decides for one backend server. It isn't safe for use by several goroutines.
+// Gate makes the admission decisions for one backend server. It isn't safe for concurrent use.
 type Gate struct {
 	config    Config
-	now       time.Time // of the present Step
-	firstStep time.Time // of the first Step
+	now       time.Time // time of the present Step
+	firstStep time.Time // time of the first Step
 	actions   []Action
 	sequence  uint64
 
@@ -22,7 +22,7 @@
 	retained     []retainedOver // oldest first
 	waiting      waitingList
 	runs         []*attempt // running, cancelling or unproven, in order of start
-	held         []*attempt // those that hold room: offers and runs
+	held         []*attempt // attempts that hold room: offered, admitted early or started
 	usage        resourceUsage
 	server       server
 	clearing     clearing
@@ -40,8 +40,8 @@
 	chartErrors uint64
 }
 
-// New makes a gate. It admits nothing before the backend server has announced itself and all that the engine ran
-// before is proved over.
+// New returns a gate. It admits nothing before the backend server has announced itself and everything that the
+// engine ran before is proved over.
 func New(config Config) *Gate {
 	config = config.withDefaults()
 	g := &Gate{
@@ -59,7 +59,8 @@
 	return g
 }
 
-// Step takes one event and returns what the agent has to do, in order. Times must not go back.
+// Step processes one event and returns the actions that the agent has to carry out, in order. An earlier time than
+// that of the previous Step counts as the same time.
 func (g *Gate) Step(now time.Time, event Event) []Action {
 	if g.firstStep.IsZero() {
 		g.firstStep = now
@@ -116,11 +117,12 @@
 	}
 }
 
-// sweepInterval is how often what changes slowly is looked at: deadlines, leases, expiry.
+// sweepInterval is the period of the checks that need no tick precision: deadlines, leases and expiry.
 const sweepInterval = 100 * time.Millisecond
 
-// NextTick is when the next Tick is due. While nothing waits or runs here and nothing is to be told, they may be further apart: a
-// server at rest had its agent woken 50 times a second for a look that found nothing.
+// NextTick returns the time until the next Tick is due. The interval is longer while nothing waits or runs and no
+// room update is pending: an idle server would otherwise wake its agent 50 times a second for checks that find
+// nothing.
 func (g *Gate) NextTick() time.Duration {
 	if g.cleared() && g.waiting.count == 0 && len(g.held) == 0 && len(g.runs) == 0 && !g.room.dirty {
 		return RestInterval
@@ -160,5 +162,5 @@
 	g.usage.memoryCapacity = int64(load.KVCapacity)
 }
 
-// serverName is the announced name, empty before the first announcement.
+// serverName returns the announced name, empty before the first announcement.
 func (g *Gate) serverName() string { return g.server.record.GetServer() }
--- a/gate/harness_test.go
+++ b/gate/harness_test.go
@@ -23,27 +23,27 @@
 	sampleSlots  = 2
 )
 
-// tester is what testing.T, testing.B and rapid.T have in common.
+// tester is the common interface of testing.T, testing.B and rapid.T.
 type tester interface {
 	require.TestingT
 	Helper()
 }
 
-// harness drives a gate with fake time and remembers what it wanted since the last look.
+// harness drives a gate with a fake clock and records its actions until they are reset.
 type harness struct {
 	t             tester
 	gate          *Gate
 	now           time.Time
 	actions       []Action
-	nextHeartbeat time.Time // of the next heartbeats and announcement
+	nextHeartbeat time.Time // time of the next heartbeats and announcement
 }
 
-// newHarness makes a gate whose server has not announced itself.
+// newHarness returns a harness whose server has not announced itself.
 func newHarness(t tester, config Config) *harness {
 	return &harness{t: t, gate: New(config), now: time.Unix(1000, 0)}
 }
 
-// newReadyHarness makes a gate with a cleared server of two slots and no predecessor.
+// newReadyHarness returns a harness with a cleared server of two slots and no predecessor.
 func newReadyHarness(t tester) *harness {
 	return newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(sampleSlots))
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// work is repeatable, preemptible work of tier 2 with ample time.
+// work returns repeatable, preemptible work of tier 2 with ample time.
 func work() *wire.Work {
 	return &wire.Work{
 		Organisation: "org",
@@ -105,7 +105,7 @@
 	return actions
 }
 
-// advance lets time advance tick by tick, with heartbeats and announcements.
+// advance advances the clock tick by tick, with heartbeats and announcements.
 func (b *harness) advance(d time.Duration) {
 	b.advanceWith(d, func() {
 		b.receive(entryA, heartbeat())
@@ -116,7 +116,7 @@
 	})
 }
 
-// advanceWith lets time pass tick by tick and calls each about each half second.
+// advanceWith advances the clock tick by tick and calls each about every half second.
 func (b *harness) advanceWith(d time.Duration, each func()) {
 	until := b.now.Add(d)
 	for b.now.Before(until) {
@@ -180,7 +180,7 @@
 	return b.step(EngineEnded{Attempt: attempt, Outcome: o, Err: err, ContentType: "text/event-stream"})
 }
 
-// loseConnection ends a run whose connection broke.
+// loseConnection ends a run with a broken connection.
 func (b *harness) loseConnection(attempt *wire.AttemptID) []Action {
 	return b.endRun(attempt, engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown})
 }
@@ -201,7 +201,7 @@
 	return a.GetRequest() == b.GetRequest() && a.GetNumber() == b.GetNumber()
 }
 
-// actionsOf returns the actions actionsOf one type.
+// actionsOf returns the actions of one type.
 func actionsOf[T Action](actions []Action) []T {
 	var out []T
 	for _, a := range actions {
@@ -212,7 +212,7 @@
 	return out
 }
 
-// oversTo returns the Over messages sent, by entry.
+// oversTo returns the Over messages sent to an entry.
 func oversTo(actions []Action, to EntryID) []*wire.Over {
 	var out []*wire.Over
 	for _, s := range actionsOf[Send](actions) {
@@ -223,7 +223,7 @@
 	return out
 }
 
-// onlyOver requires one Over with that proof.
+// onlyOver requires exactly one Over to an entry, with the given proof, and returns it.
 func onlyOver(t tester, actions []Action, to EntryID, proof wire.Proof) *wire.Over {
 	t.Helper()
 	list := oversTo(actions, to)
@@ -258,7 +258,7 @@
 	return out
 }
 
-// start dispatches an attempt straight away and requires that it runs.
+// start dispatches an attempt without an offer and requires that it runs.
 func (b *harness) start(from EntryID, attempt *wire.AttemptID, w *wire.Work) {
 	b.t.Helper()
 	actions := b.dispatch(from, attempt, w)
--- a/gate/headroom.go
+++ b/gate/headroom.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Learning of the headroom.
+// Constants of the learnt headroom.
 const (
 	headroomInterval = time.Second
-	headroomDivisor  = 4   // at most one slot in so many
-	headroomDecay    = 0.9 // weight of the past, each interval
+	headroomDivisor  = 4   // at most one slot in this many is reserved
+	headroomDecay    = 0.9 // weight of the past in each interval
 )
 
-// headroom is how many slots are kept free for the first tier. A kept slot costs the tokens that lower tiers would
-// have made in it; none costs the prefill that preemptions waste. The cheaper of the two is chosen each second.
+// headroom is the number of slots reserved for the first tier. A reserved slot costs the tokens that lower tiers
+// could generate in it; without one, preemptions waste prefill. The cheaper option is chosen once a second.
 type headroom struct {
 	reserved      int
 	lostTokens    float64 // tokens lost to preemption in this interval
-	savedTokens   float64 // tokens that kept slots spared
-	rate          float64 // waste and savings, tokens a second, smoothed
-	perPreemption float64 // tokens of one preemption, smoothed
+	savedTokens   float64 // tokens that reserved slots saved
+	rate          float64 // lost and saved tokens a second, smoothed
+	perPreemption float64 // tokens lost in one preemption, smoothed
 	adjusted      time.Time
 }
 
@@ -30,10 +30,10 @@
 	h.perPreemption = headroomDecay*h.perPreemption + (1-headroomDecay)*tokens
 }
 
-// recordUse notes that a first-tier attempt used a slot that was kept for it.
+// recordUse records that a first-tier attempt used a slot that was reserved for it.
 func (h *headroom) recordUse() { h.savedTokens += h.perPreemption }
 
-// adjust weighs the cost of one more or one less kept slot.
+// adjust reserves one slot more or less if that is cheaper.
 func (h *headroom) adjust(g *Gate) {
 	if h.adjusted.IsZero() {
 		h.adjusted = g.now
@@ -45,7 +45,7 @@
 	h.adjusted = g.now
 	h.rate = headroomDecay*h.rate + (1-headroomDecay)*(h.lostTokens+h.savedTokens)/elapsed.Seconds()
 	h.lostTokens, h.savedTokens = 0, 0
-	slotCost := 0.0 // what one kept slot costs, tokens a second
+	slotCost := 0.0 // cost of one reserved slot, tokens a second
 	if g.lowestWaiting() > firstTier {
 		slotCost = g.pace.decodeRate()
 	}
--- a/gate/leases.go
+++ b/gate/leases.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// entryState is what is known of one run of an entry.
+// entryState is the state of one incarnation of an entry.
 type entryState struct {
 	id         EntryID
-	lastSeen   time.Time // last heartbeat, link or first message
-	roomSentAt time.Time // when the room was sent to this entry alone
-	active     bool      // it has sent something but heartbeats since then
+	lastSeen   time.Time // last heartbeat, connection or first message
+	roomSentAt time.Time // when the room was last sent to this entry alone
+	active     bool      // it has sent a message other than a heartbeat since roomSentAt
 	connected  bool      // its link is open
 	expired    bool      // silent for longer than the lease
 	ended      bool      // control committed its end
 }
 
-// leaseValid tells whether the entry's lease holds.
+// leaseValid reports whether the entry's lease is valid.
 func (e *entryState) leaseValid() bool { return !e.expired && !e.ended }
 
-// acceptsMessages tells whether messages of the entry count.
+// acceptsMessages reports whether messages of the entry are still acted on.
 func (e *entryState) acceptsMessages() bool { return !e.ended }
 
 // entryRetention is how long an expired entry without a link is kept.
 const entryRetention = 10 * time.Minute
 
-// entryTable holds the entries in the order in which they were first heard, and the last ended incarnation of each.
+// entryTable holds the entries in the order of their first message, and the last ended incarnation of each.
 type entryTable struct {
 	byID  map[EntryID]*entryState
 	order []*entryState
-	ended map[string]uint64 // name -> highest ended incarnation
+	ended map[string]uint64 // entry name to highest ended incarnation
 }
 
 func newEntryTable() entryTable {
 	return entryTable{byID: map[EntryID]*entryState{}, ended: map[string]uint64{}}
 }
 
-// get finds or makes an entry. A message from an ended incarnation may arrive long after its end, from a buffer or
-// from a process that control only believed dead: its state says so.
+// get returns the state of an entry and creates it if needed. A message of an ended incarnation may arrive long
+// after its end, from a buffer or from a process that control only assumed to be dead, so the new state is marked
+// as ended then.
 func (t *entryTable) get(id EntryID, now time.Time) *entryState {
 	if e := t.byID[id]; e != nil {
 		return e
@@ -50,7 +51,7 @@
 	return e
 }
 
-// removeExpired drops entries that were silent for long and own nothing.
+// removeExpired drops entries that were silent for longer than entryRetention and own nothing.
 func (t *entryTable) removeExpired(now time.Time, owns func(*entryState) bool) {
 	t.order = slices.DeleteFunc(t.order, func(e *entryState) bool {
 		if e.connected || e.leaseValid() || now.Sub(e.lastSeen) < entryRetention || owns(e) {
@@ -76,12 +77,13 @@
 	g.entries.get(id, g.now).connected = false
 }
 
-// idleRoomInterval is how often the room is sent to an entry that does nothing here, for one that missed a broadcast since its ring was
-// full. Sent on each heartbeat to all, it was a fifth of the messages of a link at rest.
+// idleRoomInterval is how often the room is sent to an entry that has no work here, in case it missed a broadcast
+// because its ring was full. Sent on each heartbeat to all entries, it would make up a fifth of the messages of an
+// idle link.
 const idleRoomInterval = time.Second
 
-// heartbeat renews the leases of all attempts of the entry, and tells it the room. One that has work here goes by room that it
-// counts its own attempts against, so it is told each time.
+// heartbeat renews the leases of all attempts of the entry and sends it the room. An entry with work here gets the
+// room each time, because it subtracts its own attempts from that room.
 func (g *Gate) heartbeat(e *entryState) {
 	if e.ended {
 		return
@@ -98,7 +100,7 @@
 	e.expired = false
 }
 
-// entryEnded ends the leases of an incarnation and of all before it.
+// entryEnded ends the leases of an incarnation and of all earlier ones.
 func (g *Gate) entryEnded(id EntryID) {
 	g.entries.ended[id.Name] = max(g.entries.ended[id.Name], id.Incarnation)
 	g.entries.get(id, g.now)
@@ -110,7 +112,7 @@
 	}
 }
 
-// expireLeases looks for entries that are silent for longer than a lease.
+// expireLeases ends the leases of entries that were silent for longer than the lease duration.
 func (g *Gate) expireLeases() {
 	for _, e := range g.entries.order {
 		if e.leaseValid() && g.now.Sub(e.lastSeen) > g.config.LeaseDuration {
@@ -126,8 +128,8 @@
 	return slices.ContainsFunc(g.runs, owned) || slices.ContainsFunc(g.held, owned) || g.waiting.contains(owned)
 }
 
-// endLease gives up what an entry owned. Nobody would take the answers: the engine would go on for nobody, and the
-// caller who comes back through another entry would meet his own request still running.
+// endLease gives up what an entry owned. Nobody would receive the answers: the engine would work without use, and a
+// caller that retries through another entry would find its own request still running.
 func (g *Gate) endLease(e *entryState) {
 	owned := g.waiting.collect(func(a *attempt) bool { return a.owner == e })
 	for _, a := range g.held {
--- a/gate/leases_test.go
+++ b/gate/leases_test.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// advanceWithoutEntryA lets time pass in which entry A says nothing.
+// advanceWithoutEntryA advances the clock without heartbeats of entry A.
 func (b *harness) advanceWithoutEntryA(d time.Duration) {
 	b.advanceWith(d, func() {
 		b.receive(entryB, heartbeat())
@@ -21,7 +21,7 @@
 	})
 }
 
-// keyedCall is a call that may not be repeated, whose outcome control needs.
+// keyedCall returns a call that may not be repeated and whose outcome is reported to control.
 func keyedCall(attempt *wire.AttemptID) *wire.Dispatch {
 	w := workOf(func(w *wire.Work) { w.Repeatable, w.Preemptible, w.Service = false, false, true })
 	return &wire.Dispatch{
@@ -30,10 +30,8 @@
 }
 
 func TestExpiryOfALease(t *testing.T) {
-	// Symptom: an engine works for nobody, and the caller who comes back through another entry meets his own request
-	// still running.
-	// Sequence: an entry dies, or control ends it, with work waiting and running here.
-	// Cause: work was tied to nothing that ends with its entry.
+	// Guards against an engine that works for an entry that died or was ended by control: nobody receives the
+	// answer, and a caller that retries through another entry finds its own request still running.
 	expiries := map[string]func(*harness){
 		"silent": func(b *harness) { b.advanceWithoutEntryA(DefaultLeaseDuration + time.Second) },
 		"ended":  func(b *harness) { b.step(EntryEnded{Entry: entryA}) },
@@ -77,9 +75,8 @@
 }
 
 func TestNonRepeatableCallFinishesAndIsReported(t *testing.T) {
-	// Symptom: a resident is charged and never learns it; or charged twice.
-	// Sequence: an entry dies while a pass is being issued. The caller comes back with the same key.
-	// Cause: the call was cancelled halfway, or its outcome went to the dead entry only.
+	// Guards against an operation that is charged twice or whose outcome is lost. An entry dies during a call that
+	// may not be repeated; the call must neither be cancelled nor report its outcome to the dead entry only.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 3<<epochShift+1)))
 	b.advanceWithoutEntryA(DefaultLeaseDuration + time.Second)
@@ -97,9 +94,9 @@
 }
 
 func TestOutcomeBeforeTheLeaseEndIsReported(t *testing.T) {
-	// Symptom: the record of an operation stays without an outcome although the agent had told its entry.
-	// Sequence: a call ends; its entry dies before it commits the outcome.
-	// Cause: only outcomes after the lease's end were reported.
+	// Guards against an operation record that stays without an outcome: a call ends, and its entry dies after the
+	// agent has told it and before it commits the outcome. Outcomes from before the lease's end have to be reported
+	// too.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.progress(id("r", 1), "done")
@@ -150,9 +147,8 @@
 }
 
 func TestCancelledCallHasNoOutcomeToReport(t *testing.T) {
-	// Symptom: an operation is recorded as failed, or as an empty answer, although nobody knows what it did.
-	// Sequence: a keyed call is cancelled with the engine's confirmation; its entry dies.
-	// Cause: every end was taken for an outcome.
+	// Guards against an operation recorded as failed, or with an empty answer, although its effect is unknown: a
+	// keyed call is cancelled with the engine's confirmation and its entry dies.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.callerLeft(entryA, id("r", 1))
@@ -161,9 +157,8 @@
 }
 
 func TestMessagesDroppedByALostLinkAreResent(t *testing.T) {
-	// Symptom: a stream that was nearly whole is cut, and its prefill wasted.
-	// Sequence: a link is lost for less than a lease; events, an offer and an end are dropped with it.
-	// Cause: the gate sends each message once, and nobody repeats it.
+	// Guards against cutting a stream that is nearly complete because its link was lost for less than a lease: the
+	// dropped events, offers and ends have to be sent again.
 	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
 	b.progress(id("run", 1), "a", "b")
--- a/gate/limit.go
+++ b/gate/limit.go
@@ -2,23 +2,23 @@
 
 // Constants of the concurrency limit.
 const (
-	paceTolerance  = 3.0 // the pace may be so many times the best one
+	paceTolerance  = 3.0 // highest acceptable ratio of the pace to the best one
 	growThreshold  = 0.8 // share of the tolerance below which the limit grows
 	shrinkFactor   = 0.9
-	bestSlowerGain = 0.002 // how fast the best pace forgets, each window
+	bestSlowerGain = 0.002 // weight of one window in the best pace while the pace is slower
 	bestFasterGain = 0.3
 )
 
-// concurrencyLimiter learns how many attempts the server runs well at a time: more of them make each slower, and beyond some
-// number all only wait for each other. It is bounded by the announced slots.
+// concurrencyLimiter learns how many attempts the server runs well at a time: each further one slows the others
+// down, and beyond some number they only wait for each other. The limit is bounded by the announced slots.
 type concurrencyLimiter struct {
-	floor     float64 // share of the announced slots that are always used
+	floor     float64 // share of the announced slots that is always used
 	announced int
 	limit     float64
-	bestPace  float64 // seconds between tokens, or of a service call, at its best
+	bestPace  float64 // best time between tokens, or of a service call, in seconds
 }
 
-// announce takes the announced slots. A limit that was not learnt yet follows them.
+// announce sets the announced slots. A limit that was not lowered yet follows them.
 func (l *concurrencyLimiter) announce(slots int) {
 	slots = max(slots, 1)
 	if l.limit == 0 || l.limit >= float64(l.announced) {
@@ -57,10 +57,10 @@
 	}
 }
 
-// restart begins again with one attempt at a time, after the server was too slow.
+// restart resets the limit to its minimum after the server was too slow.
 func (l *concurrencyLimiter) restart() {
 	l.limit = l.minimum()
 }
 
-// minimum is the limit at its lowest.
+// minimum returns the lowest limit.
 func (l *concurrencyLimiter) minimum() float64 { return max(float64(l.announced)*l.floor, 1) }
--- a/gate/machine_test.go
+++ b/gate/machine_test.go
@@ -15,8 +15,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// TestMain fixes the seed of the property tests, so that each run tries the same; -rapid.seed tries others. A failure
-// prints its steps, so no file is kept.
+// TestMain fixes the seed of the property tests, so that each run tries the same cases; -rapid.seed selects others.
+// A failure prints its steps, so no fail file is written.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// modelStream is a run as the model engine sees it.
+// modelStream is a run in the model of the engine.
 type modelStream struct {
 	attempt   *wire.AttemptID
 	inTransit bool // its dispatch has not reached the engine
@@ -34,14 +34,14 @@
 	open      bool // the agent's call has not returned
 }
 
-// modelCancel is a cancel call under way.
+// modelCancel is a cancel call in progress.
 type modelCancel struct {
 	cancel   CancelEngine
-	answered bool // by the engine; the answer is on its way
+	answered bool // by the engine; the answer is in transit
 	result   engine.CancelResult
 }
 
-// modelRequest is a request as its entry sees it. An entry starts the next attempt only with a proof.
+// modelRequest is a request in the model of its entry. An entry starts the next attempt only with a proof.
 type modelRequest struct {
 	name    string
 	owner   EntryID
@@ -51,23 +51,23 @@
 	asked   uint64
 }
 
-// modelBody is a dispatch on its way. It takes less than TombstoneLife.
+// modelBody is a dispatch in transit. The transit takes less than TombstoneLifetime.
 type modelBody struct {
 	dispatch *wire.Dispatch
 	from     EntryID
 	sent     time.Time
 }
 
-// machine is a gate between entries and an engine whose messages are late, lost and out of order.
+// machine is a gate between model entries and a model engine whose messages are delayed, lost and reordered.
 type machine struct {
 	*harness
 	rt            *rapid.T
 	streams       []*modelStream
 	cancels       []*modelCancel
 	requests      []*modelRequest
-	bodies        []modelBody // on their way from entries to the gate
+	bodies        []modelBody // in transit from entries to the gate
 	started       map[engine.AttemptID]bool
-	unsent        map[engine.AttemptID]bool // started, and the call never left the agent
+	unsent        map[engine.AttemptID]bool // started, and the call was never sent
 	promisedNever map[engine.AttemptID]bool // promised never to start
 	lowerTierWork bool                      // lower-tier work ran or waited before the step
 	ended         map[EntryID]bool
@@ -91,7 +91,7 @@
 	return m
 }
 
-// apply steps the gate and lets the model take what it wants.
+// apply steps the gate and lets the model process the actions.
 func (m *machine) apply(e Event) {
 	m.lowerTierWork = m.hasLowerTierWork()
 	for _, action := range m.gate.Step(m.now, e) {
@@ -112,7 +112,7 @@
 	case CancelEngine:
 		m.cancels = append(m.cancels, &modelCancel{cancel: a})
 	case ListEngine:
-		m.rt.Fatalf("the engine was cleared before")
+		m.rt.Fatalf("the engine was already cleared")
 	case Send:
 		m.processMessage(a.Entry, a.Message)
 	}
@@ -121,7 +121,7 @@
 func (m *machine) processStart(attempt *wire.AttemptID) {
 	name := engineAttemptID(attempt.Request, attempt.Number)
 	require.False(m.rt, m.started[name], "%s started twice", name)
-	require.False(m.rt, m.promisedNever[name], "%s started after the promise", name)
+	require.False(m.rt, m.promisedNever[name], "%s started after it was promised never to start", name)
 	m.started[name] = true
 	m.streams = append(m.streams, &modelStream{attempt: attempt, inTransit: true, open: true})
 }
@@ -159,16 +159,16 @@
 	name := engineAttemptID(over.Attempt.Request, over.Attempt.Number)
 	for _, s := range m.streams {
 		same := s.attempt.Request == over.Attempt.Request && s.attempt.Number == over.Attempt.Number
-		require.False(m.rt, same && (s.running || s.inTransit), "%s is proved over and isn't: %v", name, over)
+		require.False(m.rt, same && (s.running || s.inTransit), "%s is proved over but still runs: %v", name, over)
 	}
 	if over.Proof != neverStartedProof {
 		return
 	}
 	require.False(m.rt, m.started[name] && !m.unsent[name], "%s was started: %v", name, over)
-	if over.Attempt.Number == 1<<epochShift { // asked by a new owner about all earlier attempts
+	if over.Attempt.Number == 1<<epochShift { // from a new owner that asks about all earlier attempts
 		for _, s := range m.streams {
 			earlier := s.attempt.Request == over.Attempt.Request && s.attempt.Number < over.Attempt.Number
-			require.False(m.rt, earlier && !m.unsent[engineAttemptID(s.attempt.Request, s.attempt.Number)], "%s ran", name)
+			require.False(m.rt, earlier && !m.unsent[engineAttemptID(s.attempt.Request, s.attempt.Number)], "an earlier attempt of %s ran", name)
 		}
 	}
 	repeated := m.promisedNever[name]
@@ -176,7 +176,7 @@
 	r := m.request(over.Attempt.Request)
 	if r.tier == firstTier && m.lowerTierWork && !repeated {
 		for _, refused := range []refusal{refuseNoOffer, refuseLapsedOffer, refuseFull(0), refuseShed(0), refuseTooLate(0)} {
-			require.NotEqual(m.rt, refused.message, over.Message, "%s is of the first tier", name)
+			require.NotEqual(m.rt, refused.message, over.Message, "%s of the first tier is refused for want of room", name)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-// checkGate holds after every step.
+// checkGate checks the invariants that hold after every step.
 func (m *machine) checkGate() {
 	running := map[string]int{}
 	busy := 0
@@ -203,13 +203,13 @@
 	}
 	require.LessOrEqual(m.rt, len(m.gate.held), machineSlots)
 	if m.gate.condition() == drained {
-		require.Zero(m.rt, busy, "drained with runs")
+		require.Zero(m.rt, busy, "drained while runs are in progress")
 	}
 	require.Zero(m.rt, m.gate.chartErrors)
 	m.checkSums()
 }
 
-// checkSums compares what the gate keeps by counting with what it would count anew.
+// checkSums compares the gate's running totals with totals computed from scratch.
 func (m *machine) checkSums() {
 	var prefill, memory int64
 	for _, a := range m.gate.held {
@@ -241,7 +241,7 @@
 	})
 }
 
-// pickRequest chooses a request that fits, or skips the action.
+// pickRequest draws a request that fits, or skips the action.
 func (m *machine) pickRequest(rt *rapid.T, fits func(*modelRequest) bool) *modelRequest {
 	var all []*modelRequest
 	for _, r := range m.requests {
@@ -250,7 +250,7 @@
 		}
 	}
 	if len(all) == 0 {
-		rt.Skip("none fits")
+		rt.Skip("no request fits")
 	}
 	return rapid.SampledFrom(all).Draw(rt, "request")
 }
@@ -261,13 +261,13 @@
 	name := fmt.Sprintf("%d-request", len(m.requests))
 	owner := rapid.SampledFrom([]EntryID{entryA, entryB}).Draw(rt, "entry")
 	if m.ended[owner] || len(m.requests) >= 12 {
-		rt.Skip("no more")
+		rt.Skip("entry has ended or enough requests exist")
 	}
 	tier := rapid.Uint32Range(1, 3).Draw(rt, "tier")
 	m.requests = append(m.requests, &modelRequest{name: name, owner: owner, tier: tier})
 }
 
-// startAttempt begins the next startAttempt of a request whose earlier ones are proved over.
+// startAttempt begins the next attempt of a request whose earlier ones are proved over.
 func (m *machine) startAttempt(rt *rapid.T) {
 	r := m.pickRequest(rt, func(r *modelRequest) bool { return !r.pending && r.number < 6 })
 	r.number++
@@ -280,13 +280,13 @@
 	m.apply(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: message}}})
 }
 
-// bodyArrives delivers a body, in any order, perhaps long after its entry gave it up.
+// bodyArrives delivers a body, in any order and perhaps long after its entry gave it up.
 func (m *machine) bodyArrives(rt *rapid.T) {
 	m.bodies = slices.DeleteFunc(m.bodies, func(b modelBody) bool {
 		return m.now.Sub(b.sent) >= m.gate.config.TombstoneLifetime
 	})
 	if len(m.bodies) == 0 {
-		rt.Skip("none")
+		rt.Skip("no body in transit")
 	}
 	at := rapid.IntRange(0, len(m.bodies)-1).Draw(rt, "body")
 	body := m.bodies[at]
@@ -302,10 +302,10 @@
 	m.apply(MessageReceived{r.owner, &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: message}}})
 }
 
-// endEntry ends an entry; the other one takes its requests over and asks about all earlier attempts.
+// endEntry ends an entry; the other one takes over its requests and asks about all earlier attempts.
 func (m *machine) endEntry(rt *rapid.T) {
 	if m.ended[entryA] || rapid.IntRange(0, 5).Draw(rt, "seldom") > 0 {
-		rt.Skip("not now")
+		rt.Skip("entry has ended or event not drawn")
 	}
 	m.ended[entryA] = true
 	m.apply(EntryEnded{Entry: entryA})
@@ -329,7 +329,7 @@
 		}
 	}
 	if len(all) == 0 {
-		rt.Skip("none fits")
+		rt.Skip("no stream fits")
 	}
 	return rapid.SampledFrom(all).Draw(rt, "stream")
 }
@@ -345,7 +345,7 @@
 	m.apply(EngineProgress{Attempt: s.attempt, Events: [][]byte{[]byte("x")}})
 }
 
-// runEnds ends a run by itself, by an error, by its connection, or before it was sent.
+// runEnds ends a run by itself, by an error, by a lost connection, or before it was sent.
 func (m *machine) runEnds(rt *rapid.T) {
 	s := m.pickStream(rt, func(s *modelStream) bool { return s.open })
 	s.open = false
@@ -356,7 +356,7 @@
 		m.unsent[engineAttemptID(s.attempt.Request, s.attempt.Number)] = true
 		s.inTransit = false
 	case s.inTransit || s.running && rapid.Bool().Draw(rt, "lost"):
-		// What has not arrived by then never does; what runs goes on.
+		// A dispatch that has not arrived by then never does; a run at the engine goes on.
 		e.Err = engine.ErrUnknown
 		s.inTransit = false
 	case s.running:
@@ -398,7 +398,7 @@
 		}
 	}
 	if len(all) == 0 {
-		rt.Skip("none")
+		rt.Skip("no cancel fits")
 	}
 	return rapid.SampledFrom(all).Draw(rt, "cancel")
 }
@@ -418,7 +418,7 @@
 
 func (m *machine) leave(rt *rapid.T) {
 	if rapid.IntRange(0, 20).Draw(rt, "seldom") > 0 {
-		rt.Skip("not now")
+		rt.Skip("event not drawn")
 	}
 	m.apply(Leaving{})
 }
@@ -493,7 +493,7 @@
 			next = b.finish(attempt)
 		}
 		for _, name := range names[1:] {
-			require.InDelta(rt, served[names[0]], served[name], float64(2*most), "%v of %v", served, costs)
+			require.InDelta(rt, served[names[0]], served[name], float64(2*most), "served %v at costs %v", served, costs)
 		}
 	})
 }
--- a/gate/offers.go
+++ b/gate/offers.go
@@ -9,9 +9,8 @@
 // maxLapses is how many offers an entry may leave unanswered before its reservation is refused.
 const maxLapses = 3
 
-// schedule starts the attempts whose body was asked for ahead, and gives room to waiting attempts, the best first, until
-// the best one has none. It stops there rather than let smaller ones past: a large attempt would otherwise wait for
-// ever for its room.
+// schedule starts attempts whose body arrived early and gives room to waiting attempts, the best first, until there
+// is none for the best one. Smaller attempts don't overtake it, since a large attempt could otherwise wait forever.
 func (g *Gate) schedule() {
 	g.startAdmitted(firstTier)
 	g.admitWaiting()
@@ -40,7 +39,8 @@
 	}
 }
 
-// noCapacity is a cheap test that spares ordering the waiting ones when nothing could come of it.
+// noCapacity reports whether certainly nothing can be admitted. It is a cheap check that avoids ordering the
+// waiting attempts.
 func (g *Gate) noCapacity() bool {
 	if g.serverBlock() != notBlocked {
 		g.blocked = g.serverBlock()
@@ -78,7 +78,7 @@
 	return g.fire(a, onOffer, eventDetails{})
 }
 
-// sendOffer asks the entry for the body and keeps the room for a while.
+// sendOffer asks the entry for the body and reserves the room until the offer times out.
 func (g *Gate) sendOffer(a *attempt) {
 	a.wait.offerUntil = g.now.Add(g.config.OfferTimeout)
 	a.wait.offeredAt = g.now
@@ -87,8 +87,8 @@
 	}})
 }
 
-// lapseOffers takes the room back from offers that were not answered. Without it an entry that dies between its
-// reservation and the dispatch would keep the slot empty for a whole lease.
+// lapseOffers takes back the room of offers that were not answered in time. Otherwise an entry that dies between
+// its reservation and the dispatch would keep the slot empty for a whole lease.
 func (g *Gate) lapseOffers() {
 	for _, a := range slices.Clone(g.held) {
 		if a.state == offered && !g.now.Before(a.wait.offerUntil) {
@@ -107,7 +107,8 @@
 	g.fire(a, onLapse, eventDetails{})
 }
 
-// lapseAllOffers takes all offers back: the server is suspect and gets no new work. Bodies that came ahead go back.
+// lapseAllOffers takes back all offers, since the server gets no new work, and refuses attempts whose body arrived
+// early.
 func (g *Gate) lapseAllOffers() {
 	for _, a := range slices.Clone(g.held) {
 		switch a.state {
@@ -119,7 +120,8 @@
 	}
 }
 
-// roomForDispatch tells whether a body that came without a kept offer may start: not past others that wait.
+// roomForDispatch reports whether a body that came without a valid offer may start. It must not overtake waiting
+// attempts.
 func (g *Gate) roomForDispatch(a *attempt) bool {
 	if g.blockReasonOf(a) != notBlocked {
 		return false
--- a/gate/order.go
+++ b/gate/order.go
@@ -9,20 +9,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// firstTier is the tier that is never refused for want of room while lower-tier work runs or waits.
+// firstTier is the tier that is never refused for want of room while work of lower tiers runs or waits.
 const firstTier = 1
 
-// waitingList holds the attempts that wait, in the order of design section 5: tier; work that can meet its deadline
-// before work that can't; urgency of the class; organisation by start-time fair queueing; deadline. Nothing in it
-// depends on the entry, the availability zone or the server.
+// waitingList holds the waiting attempts. They are ordered by tier, by whether they can meet their deadline, by
+// urgency of the class, by organisation (start-time fair queueing) and by deadline. The order doesn't depend on the
+// entry, the availability zone or the server.
 type waitingList struct {
-	tiers       []*tierQueues // by tier, the highest first
+	tiers       []*tierQueues // in ascending order, the highest tier first
 	count       int
 	servedShare servedShare
 }
 
-// tierQueues holds one tier. Virtual time is kept by tier: what an organisation gets in one tier is not held
-// against it in another.
+// tierQueues holds the queues of one tier. Virtual time is kept for each tier, so that service received in one tier
+// doesn't count against an organisation in another.
 type tierQueues struct {
 	tier    uint32
 	queues  []*queue // in order of creation
@@ -34,17 +34,18 @@
 
 // queue holds the waiting attempts of one class and organisation that have the same precedence.
 //
-// Each entry tells the precedence of its own requests: a class that is starved at one of them goes first there. Were the last word taken
-// for the class, one entry's starved requests would put those of all entries first.
+// Each entry sets the precedence of its own requests: a class that is starved at one entry goes first there. If the
+// last reported precedence applied to the class as a whole, one entry's starved requests would move those of all
+// entries to the front.
 type queue struct {
 	tier         *tierQueues
 	class        *classState
 	organisation string
-	precedence   uint32 // order of the class within its tier, 1 first; 0: urgency decides
+	precedence   uint32 // order of the class within its tier, 1 goes first; 0 means that urgency decides
 	timely, late attemptHeap
 }
 
-// band is where the queue stands among those of its tier: higher goes first.
+// band returns the position of the queue within its tier. Higher values go first.
 func (q *queue) band() int {
 	if q.precedence > 0 {
 		return -int(q.precedence)
@@ -67,7 +68,7 @@
 	return w.tiers[at]
 }
 
-// pruneQueuesAbove is the number of queues of a tier beyond which empty ones are dropped.
+// pruneQueuesAbove is the number of queues of a tier from which on empty ones are removed.
 const pruneQueuesAbove = 64
 
 func (t *tierQueues) queue(w *wire.Work) *queue {
@@ -93,7 +94,7 @@
 	return c
 }
 
-// enqueue puts an attempt among the waiting ones.
+// enqueue adds an attempt to the waiting list.
 func (g *Gate) enqueue(a *attempt) {
 	t := g.waiting.tier(a.tier())
 	q := t.queue(a.work)
@@ -107,7 +108,7 @@
 	g.room.dirty = true
 }
 
-// renewWork takes the present urgency of a waiting attempt's class, and its precedence.
+// renewWork updates the urgency of a waiting attempt's class, and the attempt's precedence.
 func (g *Gate) renewWork(a *attempt, w *wire.Work) {
 	a.wait.queue.class.observe(w)
 	if a.wait.heap == nil || w.GetPrecedence() == a.wait.queue.precedence {
@@ -118,7 +119,7 @@
 	g.enqueue(a)
 }
 
-// dequeue takes an attempt out, if it is there.
+// dequeue removes an attempt from the waiting list, if it is in it.
 func (g *Gate) dequeue(a *attempt) {
 	if a.wait.heap == nil {
 		return
@@ -141,7 +142,7 @@
 	heap.Push(a.wait.heap, a)
 }
 
-// makeLate moves an attempt behind all that can still be in time.
+// makeLate moves an attempt behind all that can still meet their deadline.
 func (a *attempt) makeLate() {
 	if a.wait.heap != nil {
 		heap.Remove(a.wait.heap, a.wait.index)
@@ -172,7 +173,7 @@
 	return t.bestHead(func(q *queue) attemptHeap { return q.late })
 }
 
-// bestHead compares the heads of all queues.
+// bestHead returns the head of a queue that goes first, or nil.
 func (t *tierQueues) bestHead(headsOf func(*queue) attemptHeap) *attempt {
 	var best *attempt
 	var bestTag int64
@@ -202,7 +203,8 @@
 	return earlier(a, b)
 }
 
-// earlier orders those that aren't overdue first, then by deadline, then by arrival. An attempt without a deadline comes last.
+// earlier reports whether a goes before b: attempts that aren't overdue first, then by deadline, then by arrival.
+// An attempt without a deadline comes last.
 func earlier(a, b *attempt) bool {
 	if a.work.GetOverdue() != b.work.GetOverdue() {
 		return b.work.GetOverdue()
@@ -216,9 +218,9 @@
 	return a.deadline.Before(b.deadline)
 }
 
-// settleMissedHeads moves heads that can't meet their deadline any more out of the way. Classes that must not be late lose
-// them here, before any prefill is spent; the first tier is never refused for want of room, only once its deadline
-// has passed.
+// settleMissedHeads handles queue heads that can't meet their deadline any more. Work that must not be late is
+// refused before any prefill is spent. Work that may be late, and first-tier work whose deadline has not passed,
+// moves behind all timely attempts, because the first tier is never refused for want of room.
 func (g *Gate) settleMissedHeads(t *tierQueues) {
 	for _, q := range t.queues {
 		for len(q.timely) > 0 && g.missesDeadline(q.timely[0], 0) {
@@ -244,8 +246,8 @@
 	return !a.deadline.IsZero() && !g.now.Before(a.deadline)
 }
 
-// missesDeadline tells whether an attempt that starts after a wait is predicted to end after its deadline. The answer has to
-// get to the entry as well: without the time for that, calls end in time here and late there.
+// missesDeadline reports whether an attempt that starts after the given wait is predicted to end after its
+// deadline. It adds the latency to the entry: otherwise calls would end in time here and late at the entry.
 func (g *Gate) missesDeadline(a *attempt, wait time.Duration) bool {
 	if a.deadline.IsZero() {
 		return false
--- a/gate/over.go
+++ b/gate/over.go
@@ -10,8 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// proofStrength orders proofs by how much they say about having run. Where attempts of one request ended differently, a
-// proof for all of them is the strongest.
+// proofStrength ranks proofs by how much they state about having run. If attempts of one request ended differently,
+// the proof for all of them is the strongest one.
 func proofStrength(p wire.Proof) int {
 	switch p {
 	case wire.Proof_PROOF_COMPLETED:
@@ -25,7 +25,7 @@
 	}
 }
 
-// keepTombstone makes sure that nothing up to the attempt, or up to what its cancel names, starts any more.
+// keepTombstone ensures that no attempt up to this one, or up to the number that its Cancel names, starts any more.
 func (g *Gate) keepTombstone(a *attempt, o *eventDetails) {
 	r := a.record
 	r.raiseFloor(max(a.number, o.inquirer.number))
@@ -44,8 +44,8 @@
 	g.records.release(r, from.Add(g.config.TombstoneLifetime))
 }
 
-// dropBody lets go of the prompt. The record outlives the attempt by minutes, and with the bodies of all of them the
-// agent would run out of memory.
+// dropBody releases the prompt. The record outlives the attempt by minutes, and retaining the bodies of all
+// attempts would exhaust the agent's memory.
 func (a *attempt) dropBody() {
 	if a.dispatch == nil {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// replyOutcome says how the engine itself ended the attempt. An engine that says it did not begin the work still
-// had the body, so "never started", which is the gate's own promise, isn't said.
+// replyOutcome reports how the engine itself ended the attempt. If the engine states that it did not begin the
+// work, the proof is not "never started": that is a promise of the gate, and the engine had the body.
 func (g *Gate) replyOutcome(a *attempt, o *eventDetails) {
 	outcome := o.end.Outcome
 	over := &wire.Over{Proof: wire.Proof_PROOF_COMPLETED}
@@ -114,7 +114,7 @@
 	g.reportIfOrphaned(a, over)
 }
 
-// sendOver completes an Over, keeps it and sends it to all who wait for it.
+// sendOver completes an Over, records it and sends it to all that wait for it.
 func (g *Gate) sendOver(a *attempt, o *eventDetails, over *wire.Over) {
 	over.Attempt = a.id()
 	over.Server = a.server
@@ -134,7 +134,7 @@
 	}
 }
 
-// recordEnd notes the end in the record.
+// recordEnd stores the end of an attempt in the record of its request.
 func (g *Gate) recordEnd(a *attempt, over *wire.Over) {
 	if a.cancelOnly {
 		return
@@ -156,7 +156,8 @@
 	}
 }
 
-// addInquirer notes who else waits for the proof. The owner gets the Over of its attempt without that.
+// addInquirer adds an entry that waits for the proof. The owner is not added, since it gets the Over of its attempt
+// anyway.
 func (a *attempt) addInquirer(inq inquirer) {
 	if inq.entry == (EntryID{}) || !a.cancelOnly && inq.entry == a.owner.id && inq.number == a.number {
 		return
@@ -169,7 +170,7 @@
 	a.cancel.inquirers = append(a.cancel.inquirers, inq)
 }
 
-// replyUnproven tells the owner once, and whoever asks each time, that the attempt may be going on.
+// replyUnproven tells the owner once, and an inquirer each time, that the attempt may still be running.
 func (g *Gate) replyUnproven(a *attempt, o *eventDetails) {
 	a.addInquirer(o.inquirer)
 	final := a.unprovable()
@@ -188,11 +189,11 @@
 	}
 }
 
-// unprovable tells whether no proof can come any more: the run's connection is lost, and the server has no call to ask
-// or to cancel by.
+// unprovable reports whether no proof can come any more: the run's connection is lost, and the server has no call
+// to query or cancel the run.
 //
-// Without this a caller of a plain service that lost its answer would wait until its deadline, or beyond, for a proof
-// that nobody can give.
+// Without it, a caller of a plain service whose answer was lost would wait until its deadline, or beyond, for a
+// proof that cannot be obtained.
 func (a *attempt) unprovable() bool {
 	return a.cancel.unsupported && !a.run.callOpen
 }
@@ -210,7 +211,7 @@
 	g.reply(inq, request, over)
 }
 
-// reply sends an Over for the number that was asked about.
+// reply sends an Over for the number that the inquirer asked about.
 func (g *Gate) reply(inq inquirer, request string, over *wire.Over) {
 	over.Attempt = &wire.AttemptID{Request: request, Number: inq.number}
 	over.Server = inq.server
@@ -221,7 +222,7 @@
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}}
 }
 
-// answerArrival answers a Reserve or Dispatch that met a tombstone: what is true of that attempt alone.
+// answerArrival answers a Reserve or Dispatch that matches a tombstone. The answer covers that attempt only.
 func (g *Gate) answerArrival(r *record, inq inquirer) {
 	if over := r.overFor(inq.number); over != nil {
 		g.reply(inq, r.request, proto.CloneOf(over))
@@ -235,8 +236,8 @@
 	g.reply(inq, r.request, neverStartedOver(refuseTombstone))
 }
 
-// answerCancel answers a Cancel of attempts that are over: what is true of all attempts up to the number. The owner
-// of the last one hears of that one alone, as before, since it had the proofs of the others.
+// answerCancel answers a Cancel of attempts that are over. The answer covers all attempts up to the number. The
+// owner of the last attempt gets the Over of that attempt only, since it already has the proofs of the others.
 func (g *Gate) answerCancel(r *record, inq inquirer) {
 	if !g.cleared() {
 		g.clearing.deferCancel(r.request, inq)
@@ -263,7 +264,8 @@
 	g.reply(inq, r.request, neverStartedOver(refuseCancelled))
 }
 
-// overFor returns the Over of the attempt that ran last or was refused last, if it has that number.
+// overFor returns the Over of the attempt that ran last or of the one that was refused last, if it has that number,
+// and nil otherwise.
 func (r *record) overFor(number uint64) *wire.Over {
 	if r.lastRun != nil && r.lastRun.number == number {
 		return r.lastRunOver
@@ -274,7 +276,7 @@
 	return nil
 }
 
-// overForOwner returns the Over that the asker got before, as the owner of the attempt.
+// overForOwner returns the Over that the inquirer received as the owner of the attempt, or nil.
 func (r *record) overForOwner(inq inquirer) *wire.Over {
 	over := r.overFor(inq.number)
 	switch {
@@ -288,8 +290,8 @@
 	return nil
 }
 
-// combinedOver is the proof for attempts up to number of a request of which one ran here. Of those before the one that
-// ran last it isn't known any more which ran.
+// combinedOver returns the proof for the attempts up to number of a request of which at least one ran here. For a
+// number below the last one that ran, it isn't known which attempts ran.
 func (r *record) combinedOver(number uint64) *wire.Over {
 	if number < r.highestRun {
 		return earlierOver()
@@ -300,8 +302,9 @@
 	return &wire.Over{Proof: r.proof, Code: uint32(result.Cancelled), Message: "an attempt of the request ran here"}
 }
 
-// earlierOver is the proof for attempts that may have run here before what the gate remembers. They are over: this
-// incarnation cancelled all that its engine ran before, and forgets no attempt that isn't over.
+// earlierOver is the proof for attempts that may have run here before the earliest time that the gate's records
+// cover. They are over: this incarnation cancelled all that its engine ran before, and drops only attempts that are
+// over.
 func earlierOver() *wire.Over {
 	return &wire.Over{
 		Proof:   wire.Proof_PROOF_CANCELLED,
--- a/gate/pace.go
+++ b/gate/pace.go
@@ -9,76 +9,81 @@
 const (
 	paceBins   = 12 // batch sizes 1, 2, 3-4, 5-8, ... up to 2048
 	paceWindow = 100 * time.Millisecond
-	paceWarmup = 16 // windows that form a first baseline
+	paceWarmup = 16 // windows that establish a baseline
 
-	paceGain   = 0.02   // weight of a window like the past in the baseline
-	slowGain   = 0.0005 // weight of one that is slower: hardware may get slow for good, but a straggler is no new past
-	recentGain = 0.3    // weight of a window in the present ratio
-	gapGain    = 0.3    // weight of a window in the present gap
+	paceGain = 0.02 // weight of a window close to the baseline
+	// slowGain is the weight of a slower window. It is low, so that a straggler doesn't become the baseline, and
+	// not 0, since hardware may slow down for good.
+	slowGain   = 0.0005
+	recentGain = 0.3 // weight of a window in the present ratio
+	gapGain    = 0.3 // weight of a window in the present gap
 
-	// recoveredShare is the part of Config.SlowRatio, as times of the baseline, below which the present pace is fine again.
+	// recoveredShare is the share of Config.SlowRatio below which the server counts as recovered.
 	recoveredShare = 0.5
-	// driftRatio is from which times of the past on a sample hardly moves the past.
+	// driftRatio is the ratio to the baseline from which on a sample counts as slow and has the weight slowGain.
 	driftRatio = 1.5
-	// suspectWindows is how many windows in a row must be slow. A burst of long prompts slows any server for some of them; one
-	// that is taken out for that leaves its load to the others, which then look slow too.
+	// suspectWindows is the number of consecutive slow windows that make the server suspect. A burst of long
+	// prompts slows any server for some windows; taking it out for that would shift its load to the other servers,
+	// which would then look slow too.
 	suspectWindows = 10
 	maxRatio       = 20.0
 
-	// minRatePrompt and leastJudged are the shortest prompts in flight, in tokens, that tell the prefill rate, and that
-	// may raise suspicion: of shorter ones most of the time goes into waiting for the engine's next step.
+	// minRatePrompt and minSlownessPrompt are the least numbers of prompt tokens in flight from which the prefill
+	// rate is learnt and slowness is judged. With shorter prompts most of the time is spent waiting for the
+	// engine's next step.
 	minRatePrompt     = 256
 	minSlownessPrompt = 2048
-	// defaultPrefillRate is the prefill rate assumed before any is learnt, tokens a second.
+	// defaultPrefillRate is the prefill rate assumed before any is learnt, in tokens a second.
 	defaultPrefillRate = 4000.0
-	// prefillWindow is how long the prompts in flight may take together, but for one that is longer by itself. Answers that
-	// run beside them pause meanwhile: with 250 ms one in twenty long answers had a pause of over 400 ms under a burst.
+	// prefillWindow bounds the time that the prompts in flight may take together; a single longer prompt is still
+	// admitted. Answers that run beside them pause meanwhile: with 250 ms, one in twenty long answers pauses for
+	// over 400 ms during a burst.
 	prefillWindow = 100 * time.Millisecond
-	// minPrefillBound is the bound on prompt tokens in flight at any rate.
+	// minPrefillBound is the least bound on prompt tokens in flight, at any rate.
 	minPrefillBound = 1024
 
 	minStall   = time.Second // shortest silence that counts as a stall
-	stallRatio = 10.0        // in expected waits
+	stallRatio = 10.0        // silence that counts as a stall, in expected waits
 	gapMaxAge  = 2 * time.Second
 )
 
-// pace is what is learnt of the server's speed. Its own past is the measure: a straggler shows as a ratio, whatever
-// the speed of its hardware.
+// pace holds the learnt speed of the server. It is compared with the server's own baseline, so that a straggler
+// shows as a ratio independent of the speed of its hardware.
 type pace struct {
 	baseline        [paceBins]average // seconds between two tokens of a stream, by batch size, while no prompt is computed
 	services        []*serviceTime    // in order of first use
-	prefill         prefillModel      // time until the first token
-	prefillBaseline average           // its past: seconds for a prompt token beyond the fixed part
-	gap             float64           // seconds between two tokens of a stream at present, prompts or not
-	gapSeenAt       time.Time         // when it was seen last
-	ratio           float64           // present pace in units of the past; 1 is as ever
-	slowCount       int               // windows in a row beyond slowRatio
+	prefill         prefillModel      // model of the time to the first token
+	prefillBaseline average           // baseline of the seconds for a prompt token beyond the fixed part
+	gap             float64           // present seconds between two tokens of a stream, with or without prompts
+	gapSeenAt       time.Time         // when gap was last updated
+	ratio           float64           // present pace relative to the baseline; 1 means unchanged
+	slowCount       int               // consecutive windows at or above Config.SlowRatio
 	decodeOnlySince time.Time         // since when no prompt is computed
 	window          window
 }
 
-// serviceTime is the time of the calls of one service.
+// serviceTime holds the learnt duration of the calls of one service.
 type serviceTime struct {
 	target      string
 	baseline    average // seconds
-	total       float64 // of this window
-	concurrency int     // runs at the starts of its calls, added up
+	total       float64 // seconds of the calls in this window
+	concurrency int     // sum of the number of runs at the start of each call
 	calls       int
 }
 
-// window collects the samples of a short time, so that one late packet to many streams counts once.
+// window collects the samples of a short time, so that one late packet that affects many streams counts once.
 type window struct {
 	start        time.Time
-	gaps         float64 // seconds, by token
+	gaps         float64 // sum of seconds, by token
 	tokens       int
-	decodeGaps   float64 // the part of gaps while no prompt was computed
+	decodeGaps   float64 // part of gaps while no prompt was computed
 	decodeBatch  float64
 	decodeTokens int
-	ratioSum     float64 // of calls and prompts to their past
+	ratioSum     float64 // sum of the ratios of calls and prompts to their baseline
 	samples      int
 }
 
-// average is an average that forms quickly and then moves slowly.
+// average is an average that adapts quickly until it is established and slowly afterwards.
 type average struct {
 	value float64
 	count int
@@ -86,7 +91,7 @@
 
 func (m *average) established() bool { return m.count >= paceWarmup && m.value > 0 }
 
-// learn takes a sample and returns how it stands to the past, 0 if there is too little of that.
+// learn adds a sample and returns its ratio to the average, 0 if the average is not established.
 func (m *average) learn(x float64) float64 {
 	if !m.established() {
 		m.count++
@@ -108,7 +113,7 @@
 	return min(bits.Len(uint(max(batch, 1)-1)), paceBins-1)
 }
 
-// observeProgress takes the time of tokens.
+// observeProgress records the times of tokens.
 func (g *Gate) observeProgress(a *attempt, tokens uint32) {
 	if tokens == 0 || a.work.GetService() {
 		return
@@ -125,7 +130,7 @@
 	a.run.lastToken = g.now
 }
 
-// observeFirstToken ends a prefill.
+// observeFirstToken records the end of a prefill.
 func (g *Gate) observeFirstToken(a *attempt) {
 	a.run.firstToken = g.now
 	a.run.lastToken = g.now
@@ -137,21 +142,21 @@
 	}
 }
 
-// observePrefill takes the time of a prompt. Only of one that was computed alone does it tell whether the server has become
-// slow: beside others, an engine shares its steps between prompts and running answers.
+// observePrefill records the time of a prompt. Only a prompt that was computed alone shows whether the server has
+// become slow: beside others, the engine divides its steps between prompts and running answers.
 func (p *pace) observePrefill(tokens int64, took float64, alone bool) {
 	p.prefill.learn(tokens, took)
 	if tokens < minSlownessPrompt || !alone {
 		return
 	}
-	// The time for one token stands to its past as the pace does.
+	// The ratio of the time for one token to its baseline has the same meaning as that of the pace.
 	if ratio := p.prefillBaseline.learn(max(took-p.prefill.fixed, 0) / float64(tokens)); ratio > 0 {
 		p.window.add(ratio)
 	}
 }
 
-// observeGap takes the time since the last token of a stream. While a prompt is computed it tells of that, and not of
-// the pace.
+// observeGap records the time since the last token of a stream. While a prompt is computed, the gap is not a sample
+// of the pace.
 func (g *Gate) observeGap(a *attempt, tokens int) {
 	gap := g.now.Sub(a.run.lastToken).Seconds()
 	w := &g.pace.window
@@ -170,7 +175,7 @@
 	w.samples++
 }
 
-// closeWindow closes a window.
+// closeWindow evaluates the window once it is complete, and starts the next one.
 func (p *pace) closeWindow(g *Gate) {
 	if p.window.start.IsZero() {
 		p.window.start = g.now
@@ -235,8 +240,8 @@
 	p.slowCount++
 }
 
-// observeStall takes silence for a slow token: a server that stops altogether sends no sample at all. How long it may be
-// silent has to be learnt first.
+// observeStall counts silence as a slow token, since a server that stops altogether yields no samples. It needs a
+// learnt expectation of how long the server may be silent.
 func (p *pace) observeStall(g *Gate) {
 	if len(g.runs) == 0 {
 		return
@@ -251,7 +256,8 @@
 	}
 }
 
-// lastProgress is when the engine last gave a sign of life to any run, and how long the next may take, in seconds.
+// lastProgress returns when the engine last made progress on any run, and how long the next progress may take, in
+// seconds.
 func (g *Gate) lastProgress() (last time.Time, wait float64, known bool) {
 	wait = g.pace.tokenTime(len(g.runs), g.now).Seconds()
 	for _, a := range g.runs {
@@ -269,7 +275,7 @@
 	return last, wait + g.pace.prefillTime(g.usage.prefillTokens).Seconds(), known
 }
 
-// judgePace makes the server suspect, or clears it.
+// judgePace makes the server suspect, or clears that suspicion, by its pace.
 func (g *Gate) judgePace() {
 	p := &g.pace
 	if p.ratio >= g.config.SlowRatio && p.slowCount >= suspectWindows {
@@ -281,7 +287,7 @@
 	}
 }
 
-// observeService takes the time of a service call.
+// observeService records the time of a service call.
 func (g *Gate) observeService(a *attempt) {
 	s := g.pace.service(a.work.GetTarget())
 	if s == nil {
@@ -313,12 +319,13 @@
 	return defaultPrefillRate
 }
 
-// prefillBound is how many uncached prompt tokens may be in flight.
+// prefillBound returns how many uncached prompt tokens may be in flight.
 func (p *pace) prefillBound() int64 {
 	return max(int64(p.prefillRateOrDefault()*prefillWindow.Seconds()), minPrefillBound)
 }
 
-// prefillTime is how long so many prompt tokens take beside what the engine does anyway; 0 before the rate is learnt.
+// prefillTime returns how long the given prompt tokens take in addition to the engine's other work, 0 before the
+// rate is learnt.
 func (p *pace) prefillTime(tokens int64) time.Duration {
 	if p.prefill.rate <= 0 || tokens <= 0 {
 		return 0
@@ -326,13 +333,13 @@
 	return seconds(float64(tokens) / p.prefill.rate)
 }
 
-// timeToFirstToken is how long a prompt takes from its start until the first token; 0 before that is learnt.
+// timeToFirstToken returns how long a prompt takes from its start until the first token, 0 before that is learnt.
 func (p *pace) timeToFirstToken(tokens int64) time.Duration {
 	return seconds(p.prefill.fixed) + p.prefillTime(tokens)
 }
 
-// tokenTime is the time between two tokens of a stream at a batch size; 0 before any is learnt. What was seen just
-// now counts if it is more: prompts that are computed in between slow the others down.
+// tokenTime returns the time between two tokens of a stream at a batch size, 0 before any is learnt. The present
+// gap counts if it is longer, since prompts that are computed in between slow running answers down.
 func (p *pace) tokenTime(batch int, now time.Time) time.Duration {
 	learnt := p.decodeOnlyTokenTime(batch)
 	if now.Sub(p.gapSeenAt) <= gapMaxAge {
@@ -341,7 +348,7 @@
 	return learnt
 }
 
-// decodeOnlyTokenTime is the same while no prompt is computed.
+// decodeOnlyTokenTime returns the same while no prompt is computed.
 func (p *pace) decodeOnlyTokenTime(batch int) time.Duration {
 	learnt := 0.0
 	for b := batchBin(batch); b >= 0 && learnt == 0; b-- {
@@ -350,7 +357,7 @@
 	return seconds(learnt)
 }
 
-// decodeRate is the pace of one stream at present, in tokens a second, 0 if not learnt.
+// decodeRate returns the present pace of one stream in tokens a second, 0 if it is not learnt.
 func (p *pace) decodeRate() float64 {
 	if p.gap <= 0 {
 		return 0
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// trainPace lets the gate learn a pace from one stream of so many tokens, and a prefill rate.
+// trainPace lets the gate learn the pace from one stream of the given number of tokens, and a prefill rate.
 func (b *harness) trainPace(gap time.Duration, tokens int) {
 	b.t.Helper()
 	attempt := id(fmt.Sprint("teach-", b.now.UnixNano()), 1)
@@ -34,12 +34,11 @@
 }
 
 func TestOfferKeepsTheSlotUntilItsTimeout(t *testing.T) {
-	// Symptom: a slot stays empty while requests wait.
-	// Sequence: an entry dies, or is slow, between its reservation and the dispatch.
-	// Cause: an offered slot was kept for as long as the entry's lease.
+	// Guards against a slot that stays empty while requests wait, because an entry dies or is slow between its
+	// reservation and the dispatch. The offer must not hold the slot for a whole lease.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	require.Equal(t, []string{"r1.1"}, offeredIDs(b.reserve(entryA, id("r1", 1), work())))
-	require.Empty(t, offeredIDs(b.reserve(entryB, id("r2", 1), work())), "the slot is kept")
+	require.Empty(t, offeredIDs(b.reserve(entryB, id("r2", 1), work())), "the slot is reserved for the offer")
 	b.actions = nil
 	b.advance(DefaultOfferTimeout + TickInterval)
 	require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions))
@@ -52,7 +51,7 @@
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.reserve(entryA, id("r", 1), work())
 	b.gate.now = b.gate.now.Add(DefaultOfferTimeout)
-	b.gate.lapseOffers() // without the offer that follows in Step
+	b.gate.lapseOffers() // without the new offer that Step would make
 	require.Equal(t, reserved, b.gate.records.get("r").current.state)
 	require.Len(t, actionsOf[StartEngine](b.dispatchOffered(entryA, id("r", 1), work())), 1)
 	require.Zero(t, b.gate.waiting.count)
@@ -83,10 +82,10 @@
 			b.reserve(entryB, id("r2", 1), work())
 			b.actions = nil
 			release(b)
-			release(b) // again: means nothing
+			release(b) // the second message has no effect
 			require.Equal(t, []string{"r2.1"}, offeredIDs(b.actions))
 			require.Empty(t, oversTo(b.actions, entryA))
-			require.Len(t, b.gate.records.byRequest, 1, "nothing was promised, nothing is kept")
+			require.Len(t, b.gate.records.byRequest, 1, "no promise was made, so no tombstone is kept")
 			noChartErrors(t, b)
 		})
 	}
@@ -104,7 +103,7 @@
 	refusedWith(t, b.dispatch(entryA, id("r", 2), work()), result.RefusedNeverStarted)
 }
 
-// offerOrder frees the only slot again and again and returns the order in which waiting attempts are offered it.
+// offerOrder repeatedly frees the only slot and returns the order in which waiting attempts are offered it.
 func (b *harness) offerOrder(n int) []string {
 	var order []string
 	for range n {
@@ -184,9 +183,8 @@
 }
 
 func TestChargesAreCorrectedAtTheEnd(t *testing.T) {
-	// Symptom: an organisation whose answers are longer than estimated gets more than its share, for ever.
-	// Sequence: both are charged the estimate; one produces ten times as much.
-	// Cause: the charge was not corrected at the end.
+	// Guards against an organisation whose answers are longer than estimated and that permanently gets more than
+	// its share, because the charged estimate was not corrected at the end of the run.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.start(entryA, id("long", 1), workOf(func(w *wire.Work) { w.Organisation = "long" }))
 	b.reserve(entryA, id("long-next", 1), workOf(func(w *wire.Work) { w.Organisation, w.RemainingMs = "long", 1000 }))
@@ -200,9 +198,8 @@
 }
 
 func TestWorkThatMissesItsDeadlineIsRefusedBeforePrefill(t *testing.T) {
-	// Symptom: prompts are computed for answers that nobody waits for any more.
-	// Sequence: a request comes whose answer takes longer than its time left.
-	// Cause: the deadline was looked at only once it had passed.
+	// Guards against prompts computed for answers that arrive after their deadline: a request whose predicted run
+	// time exceeds its remaining time has to be refused at arrival.
 	b := newReadyHarness(t)
 	b.trainPace(20*time.Millisecond, 100)
 	long := func(change func(*wire.Work)) *wire.Work {
@@ -224,9 +221,8 @@
 }
 
 func TestFullWaitingListShedsTheLast(t *testing.T) {
-	// Symptom: a gate check is shed while summaries wait.
-	// Sequence: the list is full of lower-tier work when the check comes.
-	// Cause: who came last was refused.
+	// Guards against shedding first-tier work while the waiting list is full of lower tiers: the attempt that is
+	// last in order is shed, not the one that arrived last.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxWaiting: 2}, sampleRecord(1))
 	b.fillSlots()
 	third := func(w *wire.Work) { w.Tier = 3 }
@@ -242,9 +238,8 @@
 }
 
 func TestFirstTierPreemptsTheRunThatWastesLeast(t *testing.T) {
-	// Symptom: a trailer waits at the weighbridge while a long packet is written.
-	// Sequence: all slots run lower-tier work when a first-tier request comes.
-	// Cause: running work was left alone, or the one with the longest prompt was thrown away.
+	// Guards against a first-tier request that waits while all slots run lower tiers, and against preempting the
+	// run with the longest prompt instead of the one that wastes the least prefill.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(4))
 	b.start(entryA, id("long", 1), workOf(func(w *wire.Work) { w.PromptTokens = 900 }))
 	b.start(entryA, id("cached", 1), workOf(func(w *wire.Work) { w.PromptTokens, w.CachedTokens, w.Tier = 900, 880, 3 }))
@@ -258,8 +253,8 @@
 	require.Len(t, cancels, 1)
 	require.Equal(t, "cached", cancels[0].Attempt.Request)
 	require.Contains(t, actionsOf[Count](asked), Count{Counter: Preemptions, Tier: 3, Add: 1})
-	require.Empty(t, offeredIDs(asked), "the slot is free only with the proof")
-	require.Len(t, framesOf(b.progress(id("cached", 1), "y"), "cached"), 1, "it goes on from here elsewhere")
+	require.Empty(t, offeredIDs(asked), "the slot is free only once the end is proved")
+	require.Len(t, framesOf(b.progress(id("cached", 1), "y"), "cached"), 1, "another server continues from this event")
 	proved := b.answerCancel(id("cached", 1), engine.CancelConfirmed)
 	over := onlyOver(t, proved, entryA, cancelledProof)
 	require.EqualValues(t, 1, over.PreemptedByTier)
@@ -287,7 +282,7 @@
 	b.finish(id("never-1", 1))
 	b.start(entryB, id("second", 1), firstTierWork())
 	over := onlyOver(t, b.dispatch(entryB, id("third", 1), firstTierWork()), entryB, neverStartedProof)
-	require.EqualValues(t, result.RefusedNeverStarted, over.Code, "only its own tier runs")
+	require.EqualValues(t, result.RefusedNeverStarted, over.Code, "only work of its own tier runs")
 }
 
 func TestFirstTierTakesAnUnansweredOffer(t *testing.T) {
@@ -303,13 +298,13 @@
 	b.start(entryA, id("ending", 1), workOf(func(w *wire.Work) { w.OutputTokens = 32 }))
 	b.streamTokens(id("ending", 1), 20*time.Millisecond, 29)
 	require.Empty(t, actionsOf[CancelEngine](b.reserve(entryB, id("check", 1), firstTierWork())))
-	hurry := workOf(func(w *wire.Work) { w.Tier, w.RemainingMs, w.OutputTokens = 1, 300, 1 })
-	require.NotEmpty(t, actionsOf[CancelEngine](b.reserve(entryB, id("hurry", 1), hurry)))
+	urgent := workOf(func(w *wire.Work) { w.Tier, w.RemainingMs, w.OutputTokens = 1, 300, 1 })
+	require.NotEmpty(t, actionsOf[CancelEngine](b.reserve(entryB, id("hurry", 1), urgent)))
 }
 
 func TestHeadroomIsLearntFromWaste(t *testing.T) {
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
-	b.gate.pace.gap = 0.02 // a slot makes 50 tokens a second
+	b.gate.pace.gap = 0.02 // one slot generates 50 tokens a second
 	for i := range 30 {
 		b.gate.headroom.recordWaste(2000)
 		b.reserve(entryA, id(fmt.Sprint("wait-", i), 1), work())
@@ -323,9 +318,8 @@
 }
 
 func TestPromptTokensInFlightAreBounded(t *testing.T) {
-	// Symptom: a short request of the first tier waits for seconds although slots are free.
-	// Sequence: several long prompts are handed to the engine at once; it computes them in order of arrival.
-	// Cause: only slots were counted.
+	// Guards against a short first-tier request that waits for seconds although slots are free: several long
+	// prompts handed to the engine at once are computed in order of arrival, so slots alone don't bound the wait.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	long := workOf(func(w *wire.Work) { w.PromptTokens = 20_000 })
 	b.start(entryA, id("long-1", 1), long)
@@ -343,7 +337,7 @@
 	b.start(entryA, id("r1", 1), big)
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("r2", 1), big)))
 	require.Equal(t, string(blockedMemory), b.gate.Status().Blocked)
-	refusedWith(t, b.dispatch(entryA, id("small", 1), work()), result.RefusedNeverStarted) // not past the waiting one
+	refusedWith(t, b.dispatch(entryA, id("small", 1), work()), result.RefusedNeverStarted) // must not overtake the waiting attempt
 	require.Equal(t, []string{"r2.1"}, offeredIDs(b.finish(id("r1", 1))))
 }
 
@@ -371,9 +365,8 @@
 }
 
 func TestStragglerIsSuspectUntilItRecovers(t *testing.T) {
-	// Symptom: requests keep going to a server that has become five times slower.
-	// Sequence: the pace drops without a warning, later it is back.
-	// Cause: load reports lag, and the server still announces itself.
+	// Guards against requests that keep going to a server that has become five times slower. Load reports lag and
+	// the server still announces itself, so the pace has to reveal it.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.OutputTokens = 10_000 }))
 	b.streamTokens(id("r", 1), 20*time.Millisecond, 200)
@@ -385,9 +378,9 @@
 	require.Zero(t, s.Free)
 	require.Empty(t, offeredIDs(b.reserve(entryA, id("wait", 1), work())))
 	refusedWith(t, b.dispatch(entryA, id("direct", 1), work()), result.RefusedNeverStarted)
-	require.Equal(t, []string{"wait.1"}, offeredIDs(b.finish(id("r", 1))), "probe work")
+	require.Equal(t, []string{"wait.1"}, offeredIDs(b.finish(id("r", 1))), "offered as a probe")
 	b.dispatchOffered(entryA, id("wait", 1), work())
-	require.Empty(t, offeredIDs(b.reserve(entryA, id("wait-2", 1), work())), "one at a time")
+	require.Empty(t, offeredIDs(b.reserve(entryA, id("wait-2", 1), work())), "one probe at a time")
 	b.streamTokens(id("wait", 1), 20*time.Millisecond, 200)
 	require.Equal(t, ready, b.gate.Status().Condition)
 }
@@ -401,9 +394,8 @@
 }
 
 func TestIdleSlowServerIsProbedAgain(t *testing.T) {
-	// Symptom: a server that recovered long ago gets no work.
-	// Sequence: a slow server gets no reservation, since entries avoid it; nothing tells its pace.
-	// Cause: only tokens could clear it.
+	// Guards against a server that recovered and gets no work: entries avoid a suspect server, so no tokens show
+	// its pace, and idle time has to clear the suspicion.
 	b := newReadyHarness(t)
 	b.gate.addSuspicion(suspectPace, onSlow)
 	b.gate.pace.ratio = DefaultSlowRatio
@@ -431,13 +423,13 @@
 	require.Len(t, rooms(first), 1)
 	require.EqualValues(t, 1, rooms(first)[0].Free)
 	require.EqualValues(t, 2, rooms(first)[0].LowestRunningTier)
-	require.Empty(t, rooms(b.finish(id("r1", 1))), "too soon")
+	require.Empty(t, rooms(b.finish(id("r1", 1))), "within roomInterval of the last broadcast")
 	b.advance(roomInterval)
-	told := rooms(b.actions)
-	require.EqualValues(t, 2, told[len(told)-1].Free)
+	broadcasts := rooms(b.actions)
+	require.EqualValues(t, 2, broadcasts[len(broadcasts)-1].Free)
 	b.actions = nil
 	b.advanceWith(2*time.Second, func() {})
-	require.Empty(t, rooms(b.actions), "nothing changed")
+	require.Empty(t, rooms(b.actions), "no broadcast without a change")
 	answer := actionsOf[Send](b.receive(entryA, heartbeat()))
 	require.Len(t, answer, 1)
 	require.NotNil(t, answer[0].Message.GetRoom())
@@ -461,9 +453,8 @@
 }
 
 func TestFullWaitingListKeepsTheFirstTierWhileLowerTiersRun(t *testing.T) {
-	// Symptom: a slot confirmation is shed while a summary that can't be preempted runs.
-	// Sequence: the list is full of first-tier work when one more comes with an earlier deadline.
-	// Cause: shedding looked at the waiting list alone. Found by TestMachine.
+	// Guards against shedding first-tier work while a run of a lower tier that can't be preempted is in progress.
+	// The waiting list is full of first-tier work when one more request with an earlier deadline arrives.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxWaiting: 1}, sampleRecord(1))
 	b.start(entryA, id("never", 1), workOf(func(w *wire.Work) { w.Preemptible = false }))
 	b.reserve(entryA, id("first", 1), firstTierWork())
@@ -500,12 +491,12 @@
 	for range 10 {
 		runConcurrently(8, 80*time.Millisecond)
 	}
-	require.Less(t, b.gate.Status().Slots, 8, "together they take four times as long")
+	require.Less(t, b.gate.Status().Slots, 8, "eight concurrent calls take four times as long")
 }
 
-// Symptom: a quarter of the servers gets a quarter of the work that they can take, while requests are refused. Sequence:
-// events that wait behind a prompt arrive together; their gaps look like a pace that no engine has, and the true one like
-// three times slower. Cause: a limit learnt where the server itself says how many it runs at once.
+// Guards against unused capacity at a server that announces how many requests it runs at once. Events that wait
+// behind a prompt arrive together, so their gaps suggest a pace that no engine reaches, and the true pace then
+// looks three times slower; the floor of 1 must keep the limit at the announced slots.
 func TestFloorOfOneUsesAllAnnouncedSlots(t *testing.T) {
 	l := concurrencyLimiter{floor: 1}
 	l.announce(8)
@@ -516,9 +507,8 @@
 	require.Equal(t, 8, l.slots())
 }
 
-// Symptom: a gate gives its room to a caller who will be late while another one may be in time. Sequence: several entries hold
-// reservations of one class, one of them for a caller who came back after its objective. Cause: an order of deadlines alone,
-// by which those who came back, with less time left, go first.
+// Guards against giving room to a caller that is already past its target while another one can still be in time.
+// Ordered by deadline alone, a caller that came back would go first, since it has less time left.
 func TestOverdueReservationGoesLastOfItsClass(t *testing.T) {
 	overdue := func(w *wire.Work) { w.Overdue, w.Precedence = true, 2 }
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
@@ -532,12 +522,11 @@
 	b.start(entryB, id("fresh", 1), workOf(func(w *wire.Work) { w.Precedence = 2 }))
 	b.actions = nil
 	b.finish(id("fresh", 1))
-	require.Equal(t, []string{"back.1"}, offeredIDs(b.actions), "and before the class that comes after its own")
+	require.Equal(t, []string{"back.1"}, offeredIDs(b.actions), "before the class with the lower precedence")
 }
 
-// Symptom: long answers of the last class are given room while the first waits, at all gates. Sequence: the last class is starved at one
-// entry, which says that it goes first; reservations of other entries wait for both classes. Cause: the precedence of a class
-// taken from the last word of any entry.
+// Guards against serving long answers of the last class before the first class at all gates. If the last class is
+// starved at one entry, its raised precedence must not apply to the reservations of other entries.
 func TestPrecedenceAppliesToTheReservationOnly(t *testing.T) {
 	class := func(name string, precedence uint32) *wire.Work {
 		return workOf(func(w *wire.Work) { w.Class, w.Precedence = name, precedence })
@@ -563,7 +552,7 @@
 	b.actions = nil
 	b.reserve(entryA, id("chat-c", 1), class("chat", 4))
 	b.reserve(entryA, id("review-c", 1), class("review", 2))
-	b.reserve(entryA, id("chat-c", 1), class("chat", 1)) // renewed, starved by now
+	b.reserve(entryA, id("chat-c", 1), class("chat", 1)) // renewed with a higher precedence
 	b.actions = nil
 	b.finish(id("chat-a", 1))
 	require.Equal(t, []string{"chat-c.1"}, offeredIDs(b.actions))
--- a/gate/preempt.go
+++ b/gate/preempt.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Waiting for a slot that is about to be free costs nothing, while a preemption wastes a prefill.
+// A preemption wastes a prefill, while waiting for a slot that is about to be free costs nothing.
 const (
-	safeSlackFactor = 8 // slack has to be so many times the wait
+	safeSlackFactor = 8 // least ratio of the slack to the wait
 
-	// preemptDelayShare is the part of its slack that a first-tier reservation waits before anything is preempted for it.
+	// preemptDelayShare: a first-tier reservation waits for one part in this many of its slack before anything is
+	// preempted for it.
 	preemptDelayShare = 4
-	// minDelaySlack is the slack, at least, that it must have left to be patient: a preemption takes time as well.
+	// minDelaySlack is the least slack with which a reservation still waits, because a preemption takes time as
+	// well.
 	minDelaySlack = 500 * time.Millisecond
 )
 
-// hasLowerTierWork tells whether work of a lower tier than a's runs or waits here.
+// hasLowerTierWork reports whether work of a lower tier than a's runs or waits here.
 func (g *Gate) hasLowerTierWork(a *attempt) bool {
 	if g.lowestWaiting() > a.tier() {
 		return true
@@ -25,8 +27,9 @@
 	return false
 }
 
-// protectFirstTier makes room for the first tier at the cost of lower ones: an offer that is not answered yet costs
-// nothing, so it goes first; then the run that wastes the least prefill. It reports whether a got room at once.
+// protectFirstTier makes room for the first tier at the expense of lower ones. It first takes back unanswered
+// offers, which costs nothing, and then preempts the run that wastes the least prefill. It reports whether a got
+// room at once.
 func (g *Gate) protectFirstTier(a *attempt) bool {
 	if a.tier() != firstTier || g.server.state != serverReady {
 		return false
@@ -60,8 +63,8 @@
 	return false
 }
 
-// slotsFreeSoon tells whether slots for all of the first tier that waits are predicted to be free so soon that a's deadline
-// doesn't feel it.
+// slotsFreeSoon reports whether slots for all waiting first-tier attempts are predicted to be free so soon that the
+// wait doesn't endanger a's deadline.
 func (g *Gate) slotsFreeSoon(a *attempt) bool {
 	if g.blocked != blockedSlots || a.deadline.IsZero() {
 		return false
@@ -70,10 +73,10 @@
 	return known && g.slack(a) >= safeSlackFactor*max(wait, time.Millisecond)
 }
 
-// delaysPreemption tells whether a reservation leaves running work alone for now. It waits at several gates, each of which
-// would otherwise cancel a run for it although it can use only one slot. One would notice by several preemptions for
-// each first-tier request. It is delaysPreemption for a part of its slack only, so that a request that is served nowhere else
-// still gets its preemption in time.
+// delaysPreemption reports whether a reservation waits for a while before running work is preempted for it. The
+// reservation waits at several gates, and each of them would otherwise cancel a run although only one slot is
+// needed: several preemptions for each first-tier request. It waits only for a part of its slack, so that a request
+// that no other gate serves is still served in time.
 func (g *Gate) delaysPreemption(a *attempt) bool {
 	if a.state != reserved || a.deadline.IsZero() || g.pace.prefill.rate <= 0 {
 		return false
@@ -82,16 +85,16 @@
 	return g.slack(a) >= minDelaySlack && g.now.Sub(a.arrived) < initialSlack/preemptDelayShare
 }
 
-// slack is the time that an attempt with a deadline may still wait.
+// slack returns the time that an attempt with a deadline can still wait.
 func (g *Gate) slack(a *attempt) time.Duration {
 	return a.deadline.Sub(g.now) - g.predictRuntime(a.work)
 }
 
-// preemptConfirmTimeout is how long a cancelled run counts as a slot that will be free. An engine that doesn't confirm
-// must not keep the first tier waiting while there are other runs to preempt.
+// preemptConfirmTimeout is how long a cancelled run counts as a slot that will be free. An engine that doesn't
+// confirm must not block the first tier while other runs can be preempted.
 const preemptConfirmTimeout = time.Second
 
-// preemptionsInProgress is how many runs are being cancelled and will give their slots back.
+// preemptionsInProgress returns the number of runs that are being cancelled and will free their slots.
 func (g *Gate) preemptionsInProgress() int {
 	n := 0
 	for _, a := range g.held {
@@ -102,8 +105,9 @@
 	return n
 }
 
-// victim is the run of a lower tier whose loss wastes the least prefill; among equals the lowest tier, then the
-// one that started last. A call to a plain service is none: it ends by itself sooner than it could be cancelled.
+// victim returns the run of a lower tier whose loss wastes the least prefill; among equals the one of the lowest
+// tier, then the one that started last. It returns nil if there is none. A call to a plain service is never chosen,
+// because it ends sooner than it could be cancelled.
 func (g *Gate) victim(a *attempt) *attempt {
 	var best *attempt
 	var least int64
@@ -124,12 +128,13 @@
 		!a.work.GetService()
 }
 
-// wastedTokens is the work lost if the run is cancelled now, in tokens: prompt tokens computed, and tokens produced.
+// wastedTokens returns the work lost if the run is cancelled at this time: computed prompt tokens plus generated
+// tokens.
 func (g *Gate) wastedTokens(a *attempt) int64 {
 	return g.prefilledTokens(a) + int64(a.run.tokens)
 }
 
-// prefilledTokens is how many uncached prompt tokens the engine has computed for an attempt, as far as can be told.
+// prefilledTokens returns an estimate of how many uncached prompt tokens the engine has computed for an attempt.
 func (g *Gate) prefilledTokens(a *attempt) int64 {
 	if !a.hasStarted() || a.work.GetService() {
 		return 0
@@ -150,7 +155,7 @@
 	g.fire(a, onPreempt, eventDetails{cause: CausePreempted})
 }
 
-// resumable tells whether the engine still holds what a preempted attempt computed.
+// resumable reports whether the engine still holds what a preempted attempt computed.
 func (g *Gate) resumable(a *attempt) bool {
 	capabilities := g.server.record.GetCapabilities()
 	return (capabilities.GetResume() || capabilities.GetKv()) && !a.run.firstToken.IsZero()
--- a/gate/prompt_interference.go
+++ b/gate/prompt_interference.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// An engine computes prompts between the tokens of the answers that run, so that a long prompt of a low tier slows the
-// answers of higher tiers down. Without the bounds here those tiers are refused, because they can't finish in time at
-// that pace, while the low tier is served. One would notice by refusals of a tier whose lower tiers have goodput.
+// An engine computes prompts between the tokens of running answers, so a long prompt of a low tier slows down the
+// answers of higher tiers. Without the bounds in this file, work of those tiers would be refused because it can't
+// finish in time at that pace, while the low tier is served.
 
-// delaysHigherTier tells whether a long prompt would make a running answer of a higher tier late that can be in time without it.
-// How fast that answer goes on is taken from the present pace, which other prompts have a part in.
+// delaysHigherTier reports whether a long prompt would make a running answer of a higher tier late that could be in
+// time without it. The remaining time of that answer is computed from the present pace, which other prompts
+// influence.
 func (g *Gate) delaysHigherTier(a *attempt) bool {
 	if a.work.GetService() || a.uncachedTokens() < minSlownessPrompt {
 		return false
@@ -28,8 +29,8 @@
 	return false
 }
 
-// tokenTimeFor is the time between two tokens that work of a tier can count on: prompts of lower tiers are kept from
-// slowing it down too much, see slowsHigher.
+// tokenTimeFor returns the time between two tokens that work of a tier can expect. Prompts of lower tiers are kept
+// from slowing it down too much, see delaysHigherTier.
 func (g *Gate) tokenTimeFor(tier uint32) time.Duration {
 	if g.hasLowerTierPrompts(tier) {
 		return g.pace.decodeOnlyTokenTime(len(g.runs) + 1)
@@ -37,7 +38,7 @@
 	return g.pace.tokenTime(len(g.runs)+1, g.now)
 }
 
-// hasLowerTierPrompts tells whether a prompt of a lower tier runs or waits.
+// hasLowerTierPrompts reports whether a prompt of a lower tier runs or waits.
 func (g *Gate) hasLowerTierPrompts(tier uint32) bool {
 	if g.lowestWaiting() > tier {
 		return true
--- a/gate/prompt_interference_test.go
+++ b/gate/prompt_interference_test.go
@@ -10,10 +10,9 @@
 )
 
 func TestLongPromptDoesNotMakeAHigherTierLate(t *testing.T) {
-	// Symptom: drafts end after their deadline although each had a slot in time.
-	// Sequence: a draft runs and has little time to spare; the long prompt of a longPrompt starts beside it.
-	// Cause: only slots, memory and prompt tokens were looked at, not what the prompt does to running answers.
-	longPrompt := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }) // a second
+	// Guards against answers that end after their deadline although they got a slot in time: a long prompt of a
+	// lower tier that starts beside such an answer slows it down.
+	longPrompt := workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }) // takes a second
 	answer := func(remaining uint32) *wire.Work {
 		return workOf(func(w *wire.Work) { w.PromptTokens, w.OutputTokens, w.RemainingMs = 100, 50, remaining })
 	}
@@ -42,15 +41,14 @@
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("packet", 1), workOf(func(w *wire.Work) { w.Tier, w.PromptTokens = 3, 8000 }))
-	b.gate.pace.gap, b.gate.pace.gapSeenAt = 0.2, b.now // as its prompt makes it
+	b.gate.pace.gap, b.gate.pace.gapSeenAt = 0.2, b.now // the gap that the prompt causes
 	answer := workOf(func(w *wire.Work) { w.OutputTokens, w.RemainingMs = 50, 5000 })
 	require.Empty(t, oversTo(b.reserve(entryB, id("draft", 1), answer), entryB))
 }
 
 func TestPresentPaceCountsForRunningAnswers(t *testing.T) {
-	// Symptom: drafts are late although no prompt was let in that would have made them late by itself.
-	// Sequence: prompts are computed one after the other beside the draft; each leaves it just enough time.
-	// Cause: the draft was taken to go on as fast as without any prompt.
+	// Guards against late answers when prompts are computed one after the other beside them. Each prompt leaves
+	// just enough time by itself, so the remaining time has to be computed from the present pace.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))
 	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("draft", 1), workOf(func(w *wire.Work) { w.OutputTokens, w.RemainingMs = 50, 4000 }))
--- a/gate/proofs_test.go
+++ b/gate/proofs_test.go
@@ -59,11 +59,9 @@
 }
 
 func TestUnknownIDIsProofOnlyAfterTheRun(t *testing.T) {
-	// Symptom: two engines run one request.
-	// Sequence: a cancel reaches the engine before the dispatch that it cancels, over another connection; the engine
-	// says "unknown id"; the dispatch arrives and runs.
-	// Cause: "unknown id" was taken for "over" although the dispatch could still arrive. The same if the run's
-	// connection is lost before that answer to the early cancel comes.
+	// Guards against two engines that run one request. A cancel can reach the engine before the dispatch that it
+	// cancels, over another connection: the engine answers "unknown id", and the dispatch arrives and runs. The
+	// same holds if the run's connection is lost before the answer to that early cancel arrives.
 	t.Run("while the run goes on", func(t *testing.T) {
 		b := newReadyHarness(t)
 		b.start(entryA, id("r", 1), work())
@@ -93,18 +91,17 @@
 }
 
 func TestCancelIsRepeatedUntilTheEndIsProved(t *testing.T) {
-	// Symptom: a request waits for ever for a proof.
-	// Sequence: a connection is lost; the engine refuses cancels for a while; one answer never comes.
-	// Cause: the cancel was asked for once.
+	// Guards against a request that waits forever for a proof: after a lost connection the engine refuses cancels
+	// for a while, or one answer never arrives.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.loseConnection(id("r", 1))
 	b.step(EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnknown})
 	b.advance(time.Second)
 	tries := actionsOf[CancelEngine](b.actions)
-	require.Len(t, tries, 2, "one more, not answered yet")
+	require.Len(t, tries, 2, "one repeated try, not answered yet")
 	b.advance(answerTimeout)
-	require.Len(t, actionsOf[CancelEngine](b.actions), 3, "an answer that doesn't come is asked for again")
+	require.Len(t, actionsOf[CancelEngine](b.actions), 3, "an unanswered cancel is repeated")
 	var waits []time.Duration
 	for range 10 {
 		last := b.now
@@ -117,7 +114,7 @@
 	}
 	require.Greater(t, waits[4], waits[0])
 	require.LessOrEqual(t, waits[9], maxBackoff+TickInterval)
-	require.Len(t, oversTo(b.actions, entryA), 1, "unproven is told once")
+	require.Len(t, oversTo(b.actions, entryA), 1, "unproven is sent once")
 	onlyOver(t, b.answerCancel(id("r", 1), engine.CancelConfirmed), entryA, cancelledProof)
 	noChartErrors(t, b)
 }
@@ -129,7 +126,7 @@
 	first := onlyOver(t, b.finish(id("done", 1)), entryA, completedProof)
 	b.start(entryA, id("cut", 1), work())
 	b.callerLeft(entryA, id("cut", 1))
-	require.Len(t, oversTo(b.callerLeft(entryA, id("cut", 1)), entryA), 1, "asked again: not proved yet")
+	require.Len(t, oversTo(b.callerLeft(entryA, id("cut", 1)), entryA), 1, "a repeated cancel is answered as unproven")
 	second := onlyOver(t, b.answerCancel(id("cut", 1), engine.CancelConfirmed), entryA, cancelledProof)
 	for range 2 {
 		again := onlyOver(t, b.callerLeft(entryA, id("done", 1)), entryA, completedProof)
@@ -140,10 +137,8 @@
 }
 
 func TestOneRunOfARequestAtATime(t *testing.T) {
-	// Symptom: an engine runs two attempts of one request.
-	// Sequence: an attempt's connection is lost and nothing is proved; the next attempt, of the same entry or of one
-	// that took over, comes to the same server.
-	// Cause: only the entry's own record was relied on.
+	// Guards against an engine that runs two attempts of one request: a connection is lost without a proof, and the
+	// next attempt, of the same entry or after a takeover, arrives at the same server.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	over := onlyOver(t, b.dispatch(entryB, id("r", 2), work()), entryB, neverStartedProof)
@@ -184,10 +179,8 @@
 }
 
 func TestDuplicateDispatchFromAnEndedEntry(t *testing.T) {
-	// Symptom: "never started" is said of an attempt that runs.
-	// Sequence: an entry dispatches and is ended by control; its dispatch arrives a second time, before or after the
-	// new owner's cancel.
-	// Cause: messages of ended entries were refused without a look at what runs. Found by TestMachine.
+	// Guards against answering "never started" for an attempt that runs: an entry that control has ended delivers
+	// its dispatch a second time, before or after the cancel of the new owner.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, keyedCall(id("r", 1)))
 	b.step(EntryEnded{Entry: entryA})
--- a/gate/receive.go
+++ b/gate/receive.go
@@ -10,7 +10,7 @@
 	owner.active = owner.active || message.GetHeartbeat() == nil
 	switch m := message.GetKind().(type) {
 	case *wire.EntryMessage_Hello:
-		// The link has read it.
+		// The link has processed it.
 	case *wire.EntryMessage_Heartbeat:
 		g.heartbeat(owner)
 	case *wire.EntryMessage_Reserve:
@@ -28,7 +28,7 @@
 	}
 }
 
-// arrival is a Reserve or Dispatch that wants to become an attempt.
+// arrival is a Reserve or Dispatch that is not yet matched with an attempt.
 type arrival struct {
 	owner  *entryState
 	id     *wire.AttemptID
@@ -58,7 +58,7 @@
 	g.fire(a, onReserve, eventDetails{})
 }
 
-// dispatch takes a body: of an offer, of an offer that lapsed, or without any.
+// dispatch processes a body that comes in answer to an offer, after its offer lapsed, or without an offer.
 func (g *Gate) dispatch(owner *entryState, m *wire.Dispatch) {
 	in := arrival{owner, m.GetAttempt(), m.GetServer(), m.GetWork()}
 	r := g.records.get(in.id.GetRequest())
@@ -112,7 +112,7 @@
 	g.fire(a, onRefuse, eventDetails{refusal: refuseNoOffer})
 }
 
-// currentOf returns the attempt under way that a repeated message speaks of.
+// currentOf returns the attempt in progress that a repeated message refers to, or nil.
 func (g *Gate) currentOf(r *record, in arrival) *attempt {
 	if r == nil || r.current == nil || r.current.number != in.id.GetNumber() || r.current.owner != in.owner {
 		return nil
@@ -123,11 +123,12 @@
 	return r.current
 }
 
-// admissibleAttempt makes an attempt of an arrival, or answers why not.
+// admissibleAttempt creates an attempt from an arrival. If the arrival can't be admitted, it answers with the
+// reason and returns nil.
 func (g *Gate) admissibleAttempt(in arrival, r *record) *attempt {
 	inq := inquirer{entry: in.owner.id, number: in.id.GetNumber(), server: in.server}
 	if r != nil && r.current != nil && r.current.number == inq.number {
-		// A copy, from an entry whose word doesn't count any more: the attempt itself may be running.
+		// A duplicate from an entry whose messages aren't acted on any more. The attempt itself may be running.
 		g.sendUnproven(inq, r.request, false)
 		return nil
 	}
@@ -147,8 +148,8 @@
 	return a
 }
 
-// recordFor finds or makes the record of a request. Without a place for a tombstone nothing can be promised, so the
-// answer then is that nothing is proved.
+// recordFor returns the record of a request and creates it if needed. Without space for a tombstone nothing can be
+// promised, so the answer then is that nothing is proved, and recordFor returns nil.
 func (g *Gate) recordFor(in arrival, r *record) *record {
 	if r != nil {
 		return r
@@ -160,7 +161,7 @@
 	return r
 }
 
-// arrivalRefusal says why an arrival can't become an attempt now, whatever the room.
+// arrivalRefusal reports whether an arrival can't become an attempt regardless of the room, and the refusal for it.
 func (g *Gate) arrivalRefusal(a *attempt) (refusal, bool) {
 	switch {
 	case !a.owner.acceptsMessages():
@@ -181,7 +182,7 @@
 	return refusal{}, false
 }
 
-// concurrentRefusal decides between two attempts of one request. One that runs, or may run, keeps all others out; of
+// concurrentRefusal decides between two attempts of one request. One that runs, or may run, excludes all others; of
 // two that only wait the later one stays.
 func (g *Gate) concurrentRefusal(a *attempt) (refusal, bool) {
 	other := a.record.current
@@ -198,8 +199,8 @@
 	g.records.retain(a.record)
 }
 
-// releaseReservation handles Withdraw and Decline. Nothing is promised by them, so no tombstone is left; for an attempt that
-// is not known, or over, they mean nothing.
+// releaseReservation handles Withdraw and Decline. They promise nothing, so no tombstone is kept; for an attempt
+// that is unknown or over, they have no effect.
 func (g *Gate) releaseReservation(owner *entryState, id *wire.AttemptID, e attemptEvent) {
 	r := g.records.get(id.GetRequest())
 	if r == nil || r.current == nil || r.current.number != id.GetNumber() || r.current.owner != owner {
@@ -213,7 +214,7 @@
 	g.records.release(r, g.now.Add(g.config.TombstoneLifetime))
 }
 
-// cancelUpTo ends all attempts of a request up to a number. One that was never heard of gets its tombstone too.
+// cancelUpTo ends all attempts of a request up to a number. It leaves a tombstone for an unknown attempt too.
 func (g *Gate) cancelUpTo(owner *entryState, m *wire.Cancel) {
 	inq := inquirer{owner.id, m.GetAttempt().GetNumber(), m.GetServer(), m.GetCause()}
 	request := m.GetAttempt().GetRequest()
@@ -244,17 +245,17 @@
 	g.fire(a, onCancel, o)
 }
 
-// mayRunUntracked tells whether an attempt that a takeover asks about may be running, started by an earlier incarnation: at
-// a server that keeps no list of what it runs, nothing that this incarnation did ended it.
+// mayRunUntracked reports whether an attempt that a takeover asks about may be running after an earlier incarnation
+// started it. At a server that keeps no list of what it runs, nothing that this incarnation did has ended it.
 //
-// Otherwise: an entry and the agent of a plain service die while the service is at a call; the next owner asks, hears
-// that all is over, and the call runs a second time beside the first.
+// Without the check, if an entry and the agent of a plain service die during a call, the next owner would be told
+// that all attempts are over, and the call would run a second time beside the first.
 func (g *Gate) mayRunUntracked(cause wire.CancelCause) bool {
 	return g.clearing.unlisted && cause == wire.CancelCause_CANCEL_CAUSE_TAKEOVER && g.mayPredate(cause)
 }
 
-// mayPredate tells whether a cancel for an attempt that the gate never heard of may speak of one that an earlier
-// incarnation of this agent ran.
+// mayPredate reports whether a Cancel for an unknown attempt may refer to one that an earlier incarnation of this
+// agent ran.
 func (g *Gate) mayPredate(cause wire.CancelCause) bool {
 	if g.config.NoPredecessor {
 		return false
--- a/gate/records.go
+++ b/gate/records.go
@@ -8,38 +8,38 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// record is what is remembered of one request. It is the tombstone of all its attempts below floor.
+// record is what the gate remembers of one request. It is the tombstone of all its attempts below floor.
 //
-// A cancel may overtake the dispatch that it cancels, since bodies travel on their own stream. Without the
-// tombstone the dispatch would start after its entry was told "never started" and had sent the request elsewhere:
-// two engines would run it, and one would notice by a doubled pass.
+// A cancel may overtake the dispatch that it cancels, since bodies travel on a separate stream. Without the
+// tombstone the dispatch would start after its entry was told "never started" and had sent the request to another
+// server. Two engines would then run the request, with its effects applied twice.
 type record struct {
 	request     string
 	floor       uint64   // all attempts with lower numbers are over here
-	current     *attempt // not over yet, nil for none
-	lastRun     *attempt // whose run ended last
+	current     *attempt // the attempt that is not over yet, nil for none
+	lastRun     *attempt // the attempt whose run ended last
 	lastRunOver *wire.Over
-	awaited     []*attempt // over, with a run or cancel of which the agent hasn't told the end
+	awaited     []*attempt // ended attempts with an outstanding EngineEnded or EngineCancelled
 
-	// lastRefused is the Over of the attempt that was lastRefused last, refusedBy its owner.
+	// lastRefused is the Over of the attempt that was refused last, refusedOwner the owner of that attempt.
 	lastRefused  *wire.Over
 	refusedOwner EntryID
 
-	// highestRun is the highest number that highestRun here, proof the strongest end of those that did, unspecified if none. A proof
-	// for later numbers must cover it: a new owner asks about all attempts at once.
+	// highestRun is the highest number that ran here, and proof the strongest end of all that ran, unspecified if
+	// none did. A proof for a later number must cover it, because a new owner asks about all attempts at once.
 	highestRun uint64
 	proof      wire.Proof
-	// mayHaveRunEarlier: an earlier incarnation may have run attempts of it.
+	// mayHaveRunEarlier means that an earlier incarnation may have run attempts of the request.
 	mayHaveRunEarlier bool
 
 	expires time.Time
-	index   int // in the expiry heap, -1 if not there
+	index   int // index in the expiry heap, -1 if it isn't there
 }
 
-// isOver tells whether the attempt of that number is isOver here, whether it ever came or not.
+// isOver reports whether the attempt of that number is over here, even if it never arrived.
 func (r *record) isOver(number uint64) bool { return number < r.floor }
 
-// raiseFloor makes all attempts up to a number be over.
+// raiseFloor marks all attempts up to a number as over.
 func (r *record) raiseFloor(number uint64) {
 	floor := number + 1
 	if floor == 0 {
@@ -48,10 +48,11 @@
 	r.floor = max(r.floor, floor)
 }
 
-// hasRun tells whether an attempt of the request is known to have run here.
+// hasRun reports whether an attempt of the request is known to have run here.
 func (r *record) hasRun() bool { return r.proof != wire.Proof_PROOF_UNSPECIFIED }
 
-// awaitEvents keeps an attempt that is over for the late events of its run and cancels, and drops those that have had all.
+// awaitEvents keeps an ended attempt for the late events of its run and cancels, and drops attempts that have
+// received all of theirs.
 func (r *record) awaitEvents(a *attempt) {
 	r.awaited = slices.DeleteFunc(r.awaited, func(other *attempt) bool { return other == a || !other.awaitsEvents() })
 	if a.awaitsEvents() && len(r.awaited) < maxAwaited {
@@ -59,10 +60,10 @@
 	}
 }
 
-// maxAwaited bounds the attempts of one request whose late events are expected.
+// maxAwaited bounds the ended attempts of one request that are kept for late events.
 const maxAwaited = 16
 
-// find returns the attempt that an engine event speaks of, or nil. It may be over.
+// find returns the attempt that an engine event refers to, or nil. The attempt may be over.
 func (r *record) find(number uint64) *attempt {
 	if r.current != nil && r.current.number == number {
 		return r.current
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// recordTable holds the records by request and by the time at which they may be forgotten.
+// recordTable indexes the records by request and by expiry time.
 type recordTable struct {
 	byRequest map[string]*record
 	expiry    expiryHeap
@@ -92,7 +93,7 @@
 
 func (t *recordTable) len() int { return len(t.byRequest) }
 
-// add makes a record, or returns nil if there are limit already.
+// add creates a record, or returns nil if the table already holds limit records.
 func (t *recordTable) add(request string, limit int) *record {
 	if len(t.byRequest) >= limit {
 		return nil
@@ -102,7 +103,8 @@
 	return r
 }
 
-// release forgets a record that holds nothing, and lets any other expire at a time.
+// release removes a record that has no tombstone, and otherwise sets when the record expires. It has no effect
+// while an attempt is current.
 func (t *recordTable) release(r *record, at time.Time) {
 	if r.current != nil {
 		return
@@ -121,7 +123,7 @@
 	heap.Push(&t.expiry, r)
 }
 
-// retain takes a record out of expiry while an attempt of it is under way.
+// retain cancels the expiry of a record while one of its attempts is in progress.
 func (t *recordTable) retain(r *record) {
 	if r.index >= 0 {
 		heap.Remove(&t.expiry, r.index)
@@ -133,14 +135,14 @@
 	delete(t.byRequest, r.request)
 }
 
-// expire forgets what may be forgotten.
+// expire removes the records whose expiry time has passed.
 func (t *recordTable) expire(now time.Time) {
 	for len(t.expiry) > 0 && t.expiry[0].expires.Before(now) {
 		t.remove(t.expiry[0])
 	}
 }
 
-// expiryHeap orders records by their time of expiry, for container/heap.
+// expiryHeap orders records by expiry time, for container/heap.
 type expiryHeap []*record
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/gate/recovery_probes.go
+++ b/gate/recovery_probes.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Bounds of the work that a slow server gets, to learn whether it has recovered.
+// Bounds of the work that a slow server gets as probes of its recovery.
 const (
 	probeInterval  = time.Second
-	maxProbePrompt = 1024 // longest uncached prompt, tokens
-	// probeIdleTime is how long a slow server may go without any work before it is tried again: entries send no work to
-	// a suspect server, so no token would ever tell that its pace is back.
-	// A server that is still slow is found out again within a second, by the few requests that it got; one that was busy
-	// and not slow must not be missing for longer than a burst lasts.
+	maxProbePrompt = 1024 // longest uncached prompt of a probe, in tokens
+	// probeIdleTime is how long a slow server may go without any work before it is tried again: entries send no
+	// work to a suspect server, so no token would ever show that its pace has recovered. A server that is still
+	// slow is detected again within a second, by the few requests that it got. One that was busy and not slow must
+	// not be excluded for longer than a burst lasts.
 	probeIdleTime = 2 * time.Second
 )
 
-// recoveryProbes rations work to a server that is suspect for its pace only.
+// recoveryProbes rations work to a server that is suspect only because of its pace.
 type recoveryProbes struct {
 	lastStart time.Time // start of the last probe
 	idleSince time.Time // since when nothing ran
@@ -23,7 +23,7 @@
 	return g.server.suspectReasons == suspectPace && len(g.held) == 0 && g.now.Sub(p.lastStart) >= probeInterval
 }
 
-// block says why an attempt may not serve as a probe.
+// block returns why an attempt may not serve as a probe.
 func (p *recoveryProbes) block(g *Gate, a *attempt) blockReason {
 	if !p.allowed(g) || a.uncachedTokens() > maxProbePrompt {
 		return blockedSuspect
@@ -40,7 +40,8 @@
 
 func (p *recoveryProbes) start(g *Gate) { p.lastStart = g.now }
 
-// candidate is the waiting attempt that risks least: of the lowest tier, repeatable, with the shortest prompt.
+// candidate returns the waiting attempt with the least risk: of the lowest tier, repeatable, with the shortest
+// prompt. It returns nil if there is none.
 func (p *recoveryProbes) candidate(g *Gate) *attempt {
 	if !p.allowed(g) {
 		g.blocked = blockedSuspect
@@ -65,7 +66,7 @@
 	return a.sequence < b.sequence
 }
 
-// retryIdle tries a slow server again that got no work at all for some time.
+// retryIdle clears the suspicion of a slow server that got no work at all for probeIdleTime.
 func (p *recoveryProbes) retryIdle(g *Gate) {
 	if g.server.suspectReasons != suspectPace || len(g.held) > 0 || p.idleSince.IsZero() {
 		p.idleSince = g.now
--- a/gate/refusals.go
+++ b/gate/refusals.go
@@ -6,7 +6,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// refusal says why an attempt is refused before it started.
+// refusal states why an attempt is refused before it started. A retryAfter of 0 advises no wait.
 type refusal struct {
 	code       result.Code
 	message    string
@@ -39,17 +39,18 @@
 	refuseCancelled     = refusal{result.Cancelled, "cancelled before it started", 0}
 )
 
-// refuseFull is for a full waiting list; the wait is how long the list is expected to take.
+// refuseFull returns the refusal for a full waiting list; wait is how long the list is expected to take.
 func refuseFull(wait time.Duration) refusal {
 	return refusal{result.QueueFull, "the waiting list is full", clampRetry(wait)}
 }
 
-// refuseShed is for an attempt that leaves the waiting list to one that goes before it.
+// refuseShed returns the refusal for an attempt that is dropped from the waiting list in favour of one that goes
+// before it.
 func refuseShed(wait time.Duration) refusal {
 	return refusal{result.ShedForHigherTier, "the waiting list is full and this one was last", clampRetry(wait)}
 }
 
-// refuseTooLate is for an attempt that can't meet its deadline.
+// refuseTooLate returns the refusal for an attempt that can't meet its deadline.
 func refuseTooLate(wait time.Duration) refusal {
 	return refusal{result.CannotFinishInTime, "predicted to end after its deadline", clampRetry(wait)}
 }
--- a/gate/retained.go
+++ b/gate/retained.go
@@ -7,11 +7,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// epochShift is the number of low bits of an attempt number that count attempts within an owner's epoch, as in
-// package sched.
+// epochShift is the number of low bits of an attempt number that count the attempts within an owner's epoch.
+// Package sched uses the same layout.
 const epochShift = 16
 
-// retainedOver is an ended attempt whose Over and answer are kept for those who lost them.
+// retainedOver is an ended attempt whose Over and answer are kept in case they were not received.
 type retainedOver struct {
 	attempt *attempt
 	over    *wire.Over
@@ -25,7 +25,7 @@
 	g.retained = append(g.retained, retainedOver{a, over, g.now.Add(g.config.OverRetention)})
 }
 
-// expireRetained forgets answers that were kept long enough. The tombstones stay.
+// expireRetained drops answers whose retention time has passed. Their tombstones stay.
 func (g *Gate) expireRetained() {
 	for len(g.retained) > 0 && g.retained[0].until.Before(g.now) {
 		g.dropOldestRetained()
@@ -46,7 +46,7 @@
 	}
 }
 
-// minimalOver is an Over without the texts and figures that nobody asks for again.
+// minimalOver returns an Over reduced to the fields needed to answer repeated queries.
 func minimalOver(over *wire.Over) *wire.Over {
 	return &wire.Over{
 		Attempt: over.GetAttempt(),
@@ -57,8 +57,8 @@
 	}
 }
 
-// resend repeats what may have been lost with the entry's link: offers, events and ends. The entry takes events by
-// their offset, each once.
+// resend repeats what may have been lost with the entry's link: offers, events and ends. The entry deduplicates
+// events by their offset.
 func (g *Gate) resend(e *entryState) {
 	for _, a := range g.held {
 		if a.owner != e {
@@ -80,7 +80,7 @@
 	}
 }
 
-// reportIfOrphaned reports an outcome whose entry is gone. Without it the record of the operation would stay without
+// reportIfOrphaned reports an outcome whose entry is gone. Otherwise the record of the operation would stay without
 // an outcome, and the caller of work that may not be repeated would never learn that it was done.
 func (g *Gate) reportIfOrphaned(a *attempt, over *wire.Over) {
 	if a.dispatch.GetReportToControl() && !a.owner.leaseValid() {
@@ -88,7 +88,8 @@
 	}
 }
 
-// reportRetained reports the outcomes that ended shortly before their entry did, and may not have reached it.
+// reportRetained reports the outcomes of attempts that ended shortly before their entry did, since the entry may
+// not have received them.
 func (g *Gate) reportRetained(e *entryState) {
 	for _, k := range g.retained {
 		if k.attempt.owner == e && k.attempt.dispatch.GetReportToControl() && k.attempt.hasStarted() {
@@ -97,7 +98,7 @@
 	}
 }
 
-// reportOutcome proposes an outcome. An attempt of which only the end is proved has none.
+// reportOutcome proposes the outcome of an attempt to control. An attempt of which only the end is proved has none.
 func (g *Gate) reportOutcome(a *attempt, over *wire.Over) {
 	answer := &wire.Answer{Code: over.GetCode(), Message: over.GetMessage()}
 	switch over.GetProof() {
@@ -116,7 +117,7 @@
 	}})
 }
 
-// retainedAnswer is the answer as the operation record keeps it.
+// retainedAnswer returns the answer in the form that the operation record stores.
 func (a *attempt) retainedAnswer(end *wire.AnswerEnd) *wire.Answer {
 	answer := &wire.Answer{Status: end.GetStatus(), ContentType: end.GetContentType()}
 	if a.frames.dropped {
@@ -127,7 +128,7 @@
 	return answer
 }
 
-// body joins the kept events: a service's chunks as they are, a model's as server-sent events.
+// body joins the kept events: a service's chunks unchanged, a model's events as server-sent events.
 func (f *frameState) body(service bool) []byte {
 	if service {
 		return bytes.Join(f.kept, nil)
--- a/gate/room.go
+++ b/gate/room.go
@@ -8,20 +8,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// lowestTier stands for the lowest tier there may be.
+// lowestTier stands for the lowest possible tier.
 const lowestTier = math.MaxUint32
 
-// resourceUsage is what of the server is held.
+// resourceUsage counts the resources of the server that are in use.
 type resourceUsage struct {
 	prefillTokens  int64 // uncached prompt tokens in flight that are not computed yet
 	memoryTokens   int64 // tokens of cache memory
-	memoryCapacity int64 // 0 if not known
+	memoryCapacity int64 // in tokens, 0 if not known
 }
 
-// memoryShare is how much of the cache memory is given out: estimates of output are often too low.
+// memoryShare is the share of the cache memory that is given out, because estimates of output are often too low.
 const memoryShare = 0.95
 
-// blockReason says blockReason an attempt has no room. The empty one says that it has.
+// blockReason states why an attempt has no room, empty if it has.
 type blockReason string
 
 const (
@@ -40,7 +40,7 @@
 	blockedExclusive blockReason = "a request under which servers crashed runs alone"
 )
 
-// blockReasonOf says why an attempt can't start now.
+// blockReasonOf returns why an attempt can't start at this time.
 func (g *Gate) blockReasonOf(a *attempt) blockReason {
 	if reason := g.serverBlock(); reason != notBlocked {
 		return reason
@@ -72,7 +72,7 @@
 	return g.prefillBlock(a)
 }
 
-// serverBlock says why nothing at all can start.
+// serverBlock returns why nothing at all can start.
 func (g *Gate) serverBlock() blockReason {
 	switch g.server.state {
 	case serverReady, serverSuspect:
@@ -84,8 +84,8 @@
 	}
 }
 
-// memoryBlock compares what all attempts need at their end with the cache memory. An engine out of memory evicts the
-// prompts of running attempts and computes them again.
+// memoryBlock compares the memory that all attempts need at their end with the cache memory. An engine out of
+// memory evicts the prompts of running attempts and computes them again.
 func (g *Gate) memoryBlock(a *attempt) blockReason {
 	if g.usage.memoryCapacity <= 0 || len(g.held) == 0 || a.work.GetService() {
 		return notBlocked
@@ -96,9 +96,9 @@
 	return notBlocked
 }
 
-// prefillBlock bounds the prompt tokens in flight that the next prompt would wait for. Engines compute prompts in order
-// of arrival: beyond the bound more of them only wait inside the engine, where no tier counts. The first tier is let
-// in if it still ends in time.
+// prefillBlock bounds the prompt tokens in flight that the next prompt would wait for. Engines compute prompts in
+// order of arrival: beyond the bound, further prompts would only wait inside the engine, regardless of their tier.
+// The first tier is admitted if it still ends in time.
 func (g *Gate) prefillBlock(a *attempt) blockReason {
 	if a.work.GetService() || g.usage.prefillTokens < g.pace.prefillBound() {
 		return notBlocked
@@ -109,12 +109,13 @@
 	return blockedPrefill
 }
 
-// memoryNeed is the cache memory of an attempt at its end, in tokens.
+// memoryNeed returns the cache memory of an attempt at its end, in tokens.
 func memoryNeed(w *wire.Work) int64 {
 	return int64(w.GetPromptTokens()) + int64(w.GetOutputTokens())
 }
 
-// holdRoom takes room and charges the organisation. An attempt that holds room already keeps it.
+// holdRoom reserves room for an attempt and charges its organisation. It has no effect if the attempt holds room
+// already.
 func (g *Gate) holdRoom(a *attempt) {
 	if a.run.holdsRoom {
 		return
@@ -134,7 +135,7 @@
 	g.room.dirty = true
 }
 
-// releaseRoom gives room back and settles what the attempt has cost.
+// releaseRoom returns the room of an attempt and settles its cost.
 func (g *Gate) releaseRoom(a *attempt, o *eventDetails) {
 	cost := int64(0)
 	if a.hasStarted() {
@@ -171,21 +172,21 @@
 	}
 }
 
-// Bounds of how often Room is broadcast, and of what counts as a change.
+// Bounds of how often Room is broadcast, and of which differences count as a change.
 const (
 	roomInterval     = 20 * time.Millisecond
 	roomTolerance    = 0.25
 	backlogTolerance = 50 // ms
 )
 
-// roomBroadcast is what entries were told of the room.
+// roomBroadcast tracks the room that was last broadcast to entries.
 type roomBroadcast struct {
 	dirty    bool
 	lastSent *wire.Room
 	sentAt   time.Time
 }
 
-// broadcastRoom broadcasts the room if it changed, at most once in roomInterval. A new condition goes at once.
+// broadcastRoom broadcasts the room if it changed, at most once in roomInterval. A new condition is sent at once.
 func (g *Gate) broadcastRoom() {
 	if !g.room.dirty || !g.cleared() || g.server.record == nil {
 		return
@@ -229,7 +230,7 @@
 	}
 }
 
-// free is how many attempts may be dispatched without an offer.
+// free returns how many attempts may be dispatched without an offer.
 func (g *Gate) free() int {
 	if g.waiting.count > 0 || g.serverBlock() != notBlocked || g.throttleBlock() != notBlocked || g.exclusiveRunHeld() {
 		return 0
@@ -260,7 +261,7 @@
 	return 0
 }
 
-// roomChanged tells whether an entry would decide differently.
+// roomChanged reports whether the two rooms differ enough for an entry to decide differently.
 func roomChanged(a, b *wire.Room) bool {
 	same := a.Server == b.Server && a.Condition == b.Condition && a.Throttle == b.Throttle && a.Free == b.Free && a.Waiting == b.Waiting &&
 		a.Running == b.Running && a.LowestRunningTier == b.LowestRunningTier &&
--- a/gate/runs.go
+++ b/gate/runs.go
@@ -13,11 +13,12 @@
 const (
 	firstBackoff  = 50 * time.Millisecond
 	maxBackoff    = 5 * time.Second
-	answerTimeout = 10 * time.Second // after which an unanswered cancel is repeated
+	answerTimeout = 10 * time.Second // an unanswered cancel is repeated after this time
 )
 
-// inFlight counts the attempts that a drain has to wait for. One whose connection is lost, at a server that can't be
-// asked about it, could never be proved over: after a while nobody could get its answer any more, so it isn't waited for.
+// inFlight counts the attempts that a drain has to wait for. An attempt whose connection is lost, at a server that
+// can't be queried about it, could never be proved over, and its answer can't be delivered. It is therefore not
+// counted once its room is released.
 func (g *Gate) inFlight() int {
 	n := 0
 	for _, a := range g.runs {
@@ -28,7 +29,7 @@
 	return n
 }
 
-// find returns the attempt that an engine event speaks of. It may be over.
+// find returns the attempt that an engine event refers to, or nil. The attempt may be over.
 func (g *Gate) find(id *wire.AttemptID) *attempt {
 	r := g.records.get(id.GetRequest())
 	if r == nil {
@@ -37,7 +38,7 @@
 	return r.find(id.GetNumber())
 }
 
-// startEngine is the only place that lets an attempt begin.
+// startEngine starts the run of an attempt. No other function does so.
 func (g *Gate) startEngine(a *attempt) {
 	a.run.started = g.now
 	a.run.callOpen = true
@@ -72,11 +73,13 @@
 	g.fire(a, onProgress, eventDetails{events: e.Events, eventTokens: e.Tokens, tokens: tokens})
 }
 
-// tokenCount is the number of tokens that arrived. An engine that doesn't say how many has one in each event; one that says
-// none has sent the opening of an answer, which comes before its prompt is computed.
+// tokenCount returns the number of tokens that arrived. An engine that doesn't report counts sends one token in
+// each event. An engine that reports none has sent the opening of an answer, which precedes the computation of its
+// prompt.
 //
-// Taking that for the first token makes a prefill look finished at once: one would notice by a learnt prefill rate of
-// millions of tokens a second, long prompts piled up in the engine, and servers that look slow by that rate.
+// If the opening counted as the first token, the prefill would seem finished at once: the learnt prefill rate would
+// be millions of tokens a second, long prompts would pile up in the engine, and servers would look slow by that
+// rate.
 func (e EngineProgress) tokenCount() uint32 {
 	if len(e.Tokens) == 0 {
 		return uint32(len(e.Events))
@@ -117,7 +120,7 @@
 	}, unsent: unreachable})
 }
 
-// endCause is the cause of waste if the run ended other than whole.
+// endCause returns the cause of waste for a run that ended without a complete answer.
 func endCause(e EngineEnded) string {
 	if e.Err != nil || e.Outcome.End == engine.EndUnproved {
 		return CauseEngineLost
@@ -128,8 +131,9 @@
 	return CauseCancelled
 }
 
-// endEvent reads what the end of a run proves. Only the engine's own word, or that no byte was sent, proves an end:
-// after a lost connection the engine may go on. Taking that for an end would start the request elsewhere as well.
+// endEvent determines what the end of a run proves. Only the engine's own statement, or that no byte was sent,
+// proves an end: after a lost connection the engine may go on, and assuming an end would start the request on
+// another server as well.
 func endEvent(a *attempt, e EngineEnded) attemptEvent {
 	if e.Err != nil {
 		sent := a.frames.count > 0 || errors.Is(e.Err, engine.ErrUnknown) || errors.Is(e.Err, engine.ErrDuplicate)
@@ -174,7 +178,7 @@
 	g.fire(a, onConfirm, eventDetails{engineKnew: engineKnew, askedAfterRun: unknown && after, cause: a.cancel.cause})
 }
 
-// beginCancel notes why the end is asked for, and asks the engine.
+// beginCancel records why the cancellation is requested, and asks the engine to cancel.
 func (g *Gate) beginCancel(a *attempt, o *eventDetails) {
 	if a.cancel.cause == "" {
 		a.cancel.cause = o.cause
@@ -192,8 +196,8 @@
 	g.issueCancel(a)
 }
 
-// issueCancel asks the engine to end an attempt. The try tells whether the run had ended before: only then does an
-// unknown id prove that nothing runs and nothing will.
+// issueCancel asks the engine to end an attempt. The Try tells whether the run had ended before: only then does an
+// unknown id prove that the attempt isn't running and won't start.
 func (g *Gate) issueCancel(a *attempt) {
 	a.cancel.try++
 	a.cancel.unanswered++
@@ -205,13 +209,13 @@
 	g.emit(CancelEngine{Attempt: a.id(), Stream: a.engineID(), Try: a.cancel.try})
 }
 
-// backOff plans the next try.
+// backOff schedules the next try.
 func (g *Gate) backOff(a *attempt) {
 	a.cancel.backoff = min(max(2*a.cancel.backoff, firstBackoff), maxBackoff)
 	a.cancel.nextTryAt = g.now.Add(a.cancel.backoff)
 }
 
-// retryCancels asks the engine again about all attempts whose end isn't proved.
+// retryCancels repeats the cancels of all attempts whose end isn't proved.
 func (g *Gate) retryCancels() {
 	for _, a := range g.runs {
 		if a.state != cancelling {
--- a/gate/served_share_test.go
+++ b/gate/served_share_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestReservationsServedElsewhereDontCountAsBacklog(t *testing.T) {
-	// Symptom: requests are refused because they can't finish in time while the servers have time left.
-	// Sequence: every request waits at several gates; each gate adds up all that wait at it.
-	// Cause: the predicted wait was as many times too long as a request has reservations.
+	// Guards against requests refused for their deadline while servers have time left: each request waits at
+	// several gates, so the sum of all that wait at one gate is too long by the number of reservations of each
+	// request.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(1))
 	b.trainPace(20*time.Millisecond, 100)
 	b.start(entryA, id("runs", 1), workOf(func(w *wire.Work) { w.OutputTokens = 1 }))
--- a/gate/server.go
+++ b/gate/server.go
@@ -8,7 +8,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// suspectReasons are the reasons for which a server is suspect, as a set.
+// suspectReasons is the set of reasons for which a server is suspect.
 type suspectReasons uint8
 
 const (
@@ -17,17 +17,17 @@
 	suspectPace
 )
 
-// server is the backend server as its agent sees it.
+// server is the state of the backend server as its agent knows it.
 type server struct {
 	state          serverState
 	suspectReasons suspectReasons
 	record         *wire.ServerRecord // nil before the first announcement
-	lastAnnounced  time.Time          // last announcement
-	failedProbes   int                // probes failed in a row
-	lastReported   *wire.ServerRecord // as control was last told
+	lastAnnounced  time.Time          // time of the last announcement
+	failedProbes   int                // consecutive failed probes
+	lastReported   *wire.ServerRecord // record last sent to control
 }
 
-// cleared tells whether all that the engine ran before this incarnation is proved over.
+// cleared reports whether everything that the engine ran before this incarnation is proved over.
 func (g *Gate) cleared() bool {
 	return g.server.state != serverAnnounced && g.server.state != serverLeaving
 }
@@ -72,18 +72,18 @@
 	g.removeSuspicion(suspectProbe, onProbeSucceeded)
 }
 
-// markUnreachable takes a connection that could not be made for as many failed probes as it takes, until one succeeds.
+// markUnreachable treats a failed connection attempt like the number of failed probes that makes the server
+// suspect, until a probe succeeds.
 //
-// A server that has crashed refuses calls within a millisecond, so its places are free at once: of all servers it looks
-// like the one with room, and draws the requests of all entries. One would notice by many refusals that "never left the
-// agent" with other servers idle: 309 in the 1.5 s until the second probe had failed, of four servers that crashed at
-// once.
+// A server that has crashed refuses calls within a millisecond, so its slots are free at once. It looks like the
+// server with the most room and attracts the requests of all entries, which are refused as never sent while other
+// servers are idle: with four crashed servers, 309 such refusals in the 1.5 s until the second probe has failed.
 func (g *Gate) markUnreachable() {
 	g.server.failedProbes = max(g.server.failedProbes, g.config.ProbeFailures)
 	g.addSuspicion(suspectProbe, onProbeFailed)
 }
 
-// addSuspicion adds a reason for suspicion.
+// addSuspicion adds a reason why the server is suspect.
 func (g *Gate) addSuspicion(reason suspectReasons, e serverEvent) {
 	if g.server.suspectReasons&reason != 0 {
 		return
@@ -92,7 +92,7 @@
 	g.fireServer(e)
 }
 
-// removeSuspicion takes a reason away.
+// removeSuspicion removes a reason why the server is suspect.
 func (g *Gate) removeSuspicion(reason suspectReasons, e serverEvent) {
 	if g.server.suspectReasons&reason == 0 {
 		return
@@ -104,8 +104,8 @@
 	g.fireServer(e)
 }
 
-// checkSilence looks for silence. A server that died says nothing: without this its slots would be filled until the
-// directory notices.
+// checkSilence detects a server without announcements. A server that died sends nothing, and without the check its
+// slots would be filled until the directory notices.
 func (g *Gate) checkSilence() {
 	if g.server.record == nil {
 		return
@@ -119,20 +119,20 @@
 	}
 }
 
-// checkDrained ends a drain once nothing is in flight, streams and unproven attempts included.
+// checkDrained ends a drain once nothing is in flight, including streams and unproven attempts.
 func (g *Gate) checkDrained() {
 	if g.server.state == serverDraining && g.inFlight() == 0 {
 		g.fireServer(onEmptied)
 	}
 }
 
-// publishCondition tells entries at once and control when the condition is another.
+// publishCondition sends a changed condition to control, and to entries at once.
 func (g *Gate) publishCondition() {
 	g.room.dirty = true
 	g.reportToControl()
 }
 
-// reportToControl passes the record on if control was told another one.
+// reportToControl sends the server's record to control if it differs from the one sent last.
 func (g *Gate) reportToControl() {
 	if !g.cleared() || g.server.record == nil {
 		return
@@ -146,7 +146,7 @@
 	g.emit(ServerChanged{Server: proto.CloneOf(record)})
 }
 
-// serves tells whether the server has what the work needs.
+// serves reports whether the server offers the target of the work.
 func (g *Gate) serves(w *wire.Work) bool {
 	for _, target := range g.server.record.GetModels() {
 		if target == w.GetTarget() {
--- a/gate/server_test.go
+++ b/gate/server_test.go
@@ -27,7 +27,7 @@
 	return out
 }
 
-// rooms returns the rooms told to all.
+// rooms returns the broadcast rooms.
 func rooms(actions []Action) []*wire.Room {
 	var out []*wire.Room
 	for _, s := range actionsOf[Broadcast](actions) {
@@ -39,10 +39,9 @@
 }
 
 func TestNothingIsAdmittedBeforeTheEngineIsCleared(t *testing.T) {
-	// Symptom: two engines run one request.
-	// Sequence: an agent dies while its engine runs an attempt; its successor announces itself; the entry takes that
-	// for the proof that the attempt is over and sends it elsewhere.
-	// Cause: the successor announced itself before it had cancelled what the engine ran on.
+	// Guards against two engines that run one request. An agent dies while its engine runs an attempt, and the
+	// entry takes the announcement of the new incarnation as proof that the attempt is over, so the engine has to
+	// be cleared before that announcement.
 	b := newHarness(t, Config{NoPredecessor: true})
 	require.Len(t, actionsOf[ListEngine](b.step(Announced{Server: sampleRecord(2)})), 1)
 	b.step(EntryConnected{Entry: entryA})
@@ -62,7 +61,7 @@
 	require.Empty(t, actionsOf[ServerChanged](b.actions))
 	require.Empty(t, rooms(b.actions))
 	b.answerCancel(id("old", 7), engine.CancelConfirmed)
-	require.Len(t, actionsOf[ListEngine](b.actions), 3, "what was on its way at the first listing shows now")
+	require.Len(t, actionsOf[ListEngine](b.actions), 3, "a second listing shows what was in transit during the first")
 	require.Len(t, actionsOf[CancelEngine](b.step(EngineListed{Streams: streams("old.8")})), 1)
 	b.answerCancel(id("old", 8), engine.CancelConfirmed)
 	require.Empty(t, actionsOf[ServerChanged](b.actions))
@@ -85,9 +84,9 @@
 	require.True(t, b.gate.Status().Unlisted)
 }
 
-// Symptom: after a loss of all machines model servers get work a settle time later than entries have their state.
-// Sequence: an agent starts, and hears of its server only once control has a leader; then it waits as if its predecessor
-// had just died. Cause: a wait that counts from the listing.
+// Guards against idle servers after a loss of all machines. An agent hears of its server only once control has a
+// leader; counted from the listing, the settle time would then delay work although no predecessor can still be
+// running anything.
 func TestSettleTimeCountsFromTheProcessStart(t *testing.T) {
 	b := newHarness(t, Config{ProcessStarted: time.Unix(1000, 0)})
 	b.advance(DefaultUnlistedSettle)
@@ -111,9 +110,8 @@
 }
 
 func TestDrain(t *testing.T) {
-	// Symptom: a stream is cut by a graceful shutdown, or a server that leaves gets new work.
-	// Sequence: a server with work running, waiting, offered and unproven asks to leave; the entry's dispatch crosses.
-	// Cause: drained was said while something was in flight, or the offer was still honoured.
+	// Guards against a graceful shutdown that cuts a stream, and against new work at a server that leaves. Work is
+	// running, waiting, offered and unproven when the leave arrives, and a dispatch for the offer is in transit.
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(3))
 	b.start(entryA, id("run", 1), work())
 	b.start(entryA, id("lost", 1), work())
@@ -132,8 +130,8 @@
 	b.advance(10 * time.Second)
 	b.step(Leaving{})
 	onlyOver(t, b.finish(id("run", 1)), entryA, completedProof)
-	require.NotEqual(t, drained, b.gate.Status().Condition, "one attempt is not proved over")
-	require.False(t, b.gate.fireServer(onEmptied), "the chart refuses it too")
+	require.NotEqual(t, drained, b.gate.Status().Condition, "not drained while one attempt is not proved over")
+	require.False(t, b.gate.fireServer(onEmptied), "the chart must not allow it either")
 	b.gate.chartErrors = 0
 	over := b.answerCancel(id("lost", 1), engine.CancelConfirmed)
 	require.Equal(t, drained, actionsOf[ServerChanged](over)[0].Server.Condition)
@@ -157,9 +155,8 @@
 }
 
 func TestDrainEndsDespiteAnUnprovableCall(t *testing.T) {
-	// Symptom: a server's shutdown never ends.
-	// Sequence: the connection of a service call is lost; the service has no cancel call; then it is to leave.
-	// Cause: an attempt that can never be proved over was waited for.
+	// Guards against a shutdown that never ends: the connection of a service call is lost, and since the service
+	// has no cancel call the attempt can never be proved over.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.Service = true }))
 	b.loseConnection(id("r", 1))
@@ -174,30 +171,28 @@
 }
 
 func TestUnprovableCallIsReportedAtOnce(t *testing.T) {
-	// Symptom: the caller of a plain service hears nothing until its deadline, or long after.
-	// Sequence: a cancel finds that the service has no such call; later the service loses the answer.
-	// Cause: the entry was told once that nothing was proved yet, and went on waiting for a proof that can't come.
+	// Guards against a caller of a plain service that gets no answer until its deadline or later: the service has
+	// no cancel call and then loses the answer, so the entry must be told that no proof will come.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.Service = true }))
 	b.cancelAttempt(entryA, id("r", 1), wire.CancelCause_CANCEL_CAUSE_RETRY)
 	unsupported := EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnsupported}
 	for _, over := range oversTo(b.step(unsupported), entryA) {
-		require.False(t, over.Unprovable, "its answer may still come")
+		require.False(t, over.Unprovable, "the answer may still arrive")
 	}
 	actions := append(b.loseConnection(id("r", 1)), b.step(EngineCancelled{Attempt: id("r", 1), Try: 2, Err: engine.ErrUnsupported})...)
-	var told bool
+	var reported bool
 	for _, over := range oversTo(actions, entryA) {
 		require.Equal(t, wire.Proof_PROOF_UNPROVEN, over.Proof)
-		told = told || over.Unprovable
+		reported = reported || over.Unprovable
 	}
-	require.True(t, told)
+	require.True(t, reported)
 }
 
 func TestTakeoverAtAServerWithoutAListIsUnproven(t *testing.T) {
-	// Symptom: a service call runs twice at a time.
-	// Sequence: an entry and the agent of a service die while the service is at a call; the agent's successor, whose
-	// service keeps no list, is asked by the next owner about a request that it never heard of.
-	// Cause: "all is over" was said by an incarnation that ended nothing, since it could not.
+	// Guards against a service call that runs twice at a time. An entry and the agent die during the call; the new
+	// incarnation, whose service keeps no list, ended nothing and must not answer the next owner that all attempts
+	// are over.
 	b := newHarness(t, Config{})
 	b.step(Announced{Server: sampleRecord(2)})
 	b.step(EngineListed{Err: &engine.CallError{Call: "streams", Class: engine.ErrUnsupported}})
@@ -208,9 +203,8 @@
 }
 
 func TestSilentServerGetsNoNewWork(t *testing.T) {
-	// Symptom: requests go to a server that died minutes ago.
-	// Sequence: a server dies without a word, with one slot offered, one free, and one request waiting.
-	// Cause: only a leave notice stopped new work.
+	// Guards against requests to a server that died without a leave notice, while one slot is offered, one is free
+	// and one request waits.
 	b := newReadyHarness(t)
 	b.start(entryA, id("run", 1), work())
 	silent := func() {
@@ -227,12 +221,12 @@
 	require.Equal(t, gone, b.gate.Status().Condition)
 	require.Equal(t, "wait", oversTo(b.actions, entryA)[1].Attempt.Request)
 	refusedWith(t, b.reserve(entryA, id("new", 2), work()), result.NoServer)
-	require.Len(t, b.gate.runs, 1, "what runs is left alone")
+	require.Len(t, b.gate.runs, 1, "running work is not cancelled")
 	back := b.step(Announced{Server: sampleRecord(2)})
-	require.Len(t, actionsOf[ListEngine](back), 1, "it may have run anything meanwhile")
+	require.Len(t, actionsOf[ListEngine](back), 1, "the engine is listed again after the server was gone")
 	refusedWith(t, b.reserve(entryA, id("new", 3), work()), result.Starting)
 	cleared := b.step(EngineListed{Streams: streams("run.1")})
-	require.Empty(t, actionsOf[CancelEngine](cleared), "its own run is not an old one")
+	require.Empty(t, actionsOf[CancelEngine](cleared), "a run of this incarnation is not cancelled")
 	require.Equal(t, ready, b.gate.Status().Condition)
 	noChartErrors(t, b)
 }
@@ -246,7 +240,7 @@
 	require.Equal(t, suspect, b.gate.Status().Condition)
 	refusedWith(t, b.dispatchOffered(entryA, id("r", 1), work()), result.RefusedNeverStarted)
 	b.step(Announced{Server: sampleRecord(2)})
-	require.Equal(t, suspect, b.gate.Status().Condition, "an announcement doesn't answer for the probe")
+	require.Equal(t, suspect, b.gate.Status().Condition, "an announcement doesn't replace a successful probe")
 	b.step(Probed{OK: true})
 	require.Equal(t, ready, b.gate.Status().Condition)
 }
