--- a/gate/status.go
+++ b/gate/status.go
@@ -10,52 +10,56 @@
 // maxStatusWaiting bounds the waiting attempts that a Status lists.
 const maxStatusWaiting = 100
 
-// Status explains what the gate does and why.
+// Status describes the present state of the gate.
 type Status struct {
 	// Server is the announced name, empty before the first announcement.
 	Server    string
 	Condition wire.ServerCondition
-	// Cleared says that all that the engine ran before this incarnation is proved over. Nothing is announced before.
+	// Cleared means that everything that the engine ran before this incarnation is proved over. Nothing is
+	// announced before.
 	Cleared bool
-	// Unlisted says that the server keeps no list of what it runs, so that nothing proved that.
+	// Unlisted means that the server keeps no list of what it runs, so that Cleared rests on the settle time
+	// instead of a proof.
 	Unlisted bool
-	// SuspectReasons are the reasons for a suspect server.
+	// SuspectReasons lists why the server is suspect.
 	SuspectReasons []string
-	// Slots is how many attempts are let in at a time, of AnnouncedSlots; Headroom of them are kept for the first tier.
+	// Slots is how many attempts are admitted at a time, of AnnouncedSlots; Headroom of them are reserved for the
+	// first tier.
 	Slots, AnnouncedSlots, Headroom int
-	// Held is how many slots are taken, offers included.
+	// Held is the number of slots taken, including offers.
 	Held int
 	// Free is how many attempts may be dispatched without an offer.
 	Free int
-	// PrefillTokens are in flight, of at most PrefillBound.
+	// PrefillTokens is the number of uncached prompt tokens in flight, of at most PrefillBound.
 	PrefillTokens, PrefillBound int64
-	// MemoryTokens are given out, of MemoryCapacity; 0 if that is not known.
+	// MemoryTokens is the number of tokens of cache memory given out, of MemoryCapacity, which is 0 if it is not
+	// known.
 	MemoryTokens, MemoryCapacity int64
 	// PrefillTokensPerSecond and DecodeTokensPerSecond (of one stream) are the present pace, 0 if not learnt.
 	PrefillTokensPerSecond, DecodeTokensPerSecond float64
-	// PaceRatio is the time that a token takes in units of the server's own past.
+	// PaceRatio is the present time for a token relative to the server's own baseline.
 	PaceRatio float64
-	// RateLimit is what the server takes from all senders together.
+	// RateLimit is the rate that the server accepts from all senders together.
 	RateLimit backpressure.Rate
-	// NextSend is the time until the server may get another request.
+	// NextSend is the time until the server accepts another request.
 	NextSend time.Duration
 	// Backlog is the predicted wait of a new attempt of the lowest tier.
 	Backlog time.Duration
-	// Blocked says why the best waiting attempt has no room, empty if none waits for room.
+	// Blocked states why the best waiting attempt has no room, empty if none waits for room.
 	Blocked string
-	// Running lists attempts that run or may run; Waiting the first of the others, by arrival.
+	// Running lists attempts that run or may run. Waiting lists the first waiting attempts by arrival.
 	Running, Waiting []AttemptStatus
-	// WaitingCount counts all that wait.
+	// WaitingCount is the number of all waiting attempts.
 	WaitingCount int
-	// Records counts the requests remembered, tombstones included.
+	// Records is the number of requests remembered, including tombstones.
 	Records int
-	// Entries counts the entries with a valid lease.
+	// Entries is the number of entries with a valid lease.
 	Entries int
-	// ChartErrors counts events that a state chart did not allow.
+	// ChartErrors is the number of events that a state chart did not allow.
 	ChartErrors uint64
 }
 
-// AttemptStatus is one attempt in a Status.
+// AttemptStatus describes one attempt in a Status.
 type AttemptStatus struct {
 	Attempt      *wire.AttemptID
 	Entry        EntryID
@@ -66,9 +70,9 @@
 	Since        time.Time // arrival, or start of the run
 	Deadline     time.Time // zero for none
 	Tokens       uint32
-	// Late says that it can't meet its deadline any more, or let an offer lapse.
+	// Late means that the attempt can't meet its deadline any more, or let an offer lapse.
 	Late bool
-	// Unproven says that its run returned and nothing proves that the engine ended it.
+	// Unproven means that the run returned without a proof that the engine ended it.
 	Unproven bool
 }
 
@@ -81,7 +85,7 @@
 	{suspectPace, "slower than its own past"},
 }
 
-// Status returns what the gate does at present. It changes nothing.
+// Status returns the present state of the gate. It has no side effects.
 func (g *Gate) Status() Status {
 	s := Status{
 		Server:                 g.serverName(),
--- a/gate/step_test.go
+++ b/gate/step_test.go
@@ -8,8 +8,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// BenchmarkStep is the cost of one whole request with 1,000 others waiting: reservation, offer, dispatch, eight
-// progress events, end.
+// BenchmarkStep measures one complete request while 1,000 others wait: reservation, offer, dispatch, eight progress
+// events and end.
 func BenchmarkStep(b *testing.B) {
 	const waiting, organisations, classes, steps = 1000, 8, 4, 11
 	w := newReadyHarnessWith(b, Config{NoPredecessor: true, MaxRecords: 1 << 22}, sampleRecord(16))
--- a/gate/throttle.go
+++ b/gate/throttle.go
@@ -7,10 +7,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// handleObservation takes what an answer of the server said of the work that it takes.
+// handleObservation processes what a response of the server said about the load that it accepts.
 //
-// Room that was given before the word is taken back where nothing was sent: offers and bodies that came ahead would otherwise still
-// go out beyond the limit, and those that are waiting here can go to other servers.
+// Room that is granted but not yet used is taken back: offers and bodies that arrived early would otherwise exceed
+// the limit, and the attempts that wait here can be sent to other servers.
 func (g *Gate) handleObservation(o backpressure.Observation) {
 	if !g.throttle.Hear(o) {
 		return
@@ -27,14 +27,14 @@
 	}
 }
 
-// setSenders has the server's rate shared by so many senders.
+// setSenders divides the server's rate among that many senders.
 func (g *Gate) setSenders(senders int) {
 	if g.throttle.Share(g.now, senders) {
 		g.room.dirty = true
 	}
 }
 
-// throttleReasons are the reasons as attempts and entries are told them.
+// throttleReasons maps each reason to its form for attempts, entries and refusals.
 var throttleReasons = map[backpressure.Reason]struct {
 	reason  blockReason
 	wire    wire.Throttle
@@ -46,20 +46,20 @@
 	backpressure.ReasonTrial:     {blockedTrial, wire.Throttle_THROTTLE_TRIAL, refuseBackoff},
 }
 
-// throttleBlock says why the server may get nothing now, whatever room it has.
+// throttleBlock returns why the server accepts nothing at this time, whatever room it has.
 func (g *Gate) throttleBlock() blockReason { return throttleReasons[g.throttle.Blocked(g.now)].reason }
 
-// checkThrottleChange has entries told when time alone has changed what the server may get.
+// checkThrottleChange schedules a room update when the throttle changes by the passage of time alone.
 func (g *Gate) checkThrottleChange() {
 	if g.room.lastSent != nil && g.room.lastSent.GetThrottle() != throttleReasons[g.throttle.Blocked(g.now)].wire {
 		g.room.dirty = true
 	}
 }
 
-// throttleWait is the time until the server may get n more requests.
+// throttleWait returns the time until the server accepts n more requests.
 func (g *Gate) throttleWait(n int) time.Duration { return g.throttle.Wait(g.now, n) }
 
-// refuseThrottled refuses a dispatch that the server may not get now.
+// refuseThrottled refuses a dispatch that the server doesn't accept at this time.
 func (g *Gate) refuseThrottled(a *attempt) {
 	reason, wait := g.throttle.Blocked(g.now), g.throttleWait(g.waiting.count+1)
 	g.emit(Throttled{Attempt: a.id(), Class: a.work.GetClass(), Reason: reason, Wait: wait})
@@ -68,19 +68,20 @@
 	g.fire(a, onRefuse, eventDetails{refusal: refused})
 }
 
-// takePermit counts an attempt that gets room against the server's rate. It holds the permit until it starts.
+// takePermit counts an attempt that gets room against the server's rate. The attempt holds the permit until it
+// starts.
 func (g *Gate) takePermit(a *attempt) {
 	a.run.holdsPermit = true
 	a.run.permit = g.throttle.Take(g.now)
 }
 
-// usePermit notes that an attempt's request leaves now.
+// usePermit records that the request of an attempt is sent.
 func (g *Gate) usePermit(a *attempt) {
 	a.run.holdsPermit = false
 	g.throttle.Sent(g.now)
 }
 
-// returnPermit gives the permit back of an attempt that didn't start.
+// returnPermit returns the permit of an attempt that didn't start.
 func (g *Gate) returnPermit(a *attempt) {
 	if a.run.holdsPermit {
 		a.run.holdsPermit = false
--- a/gate/throttle_test.go
+++ b/gate/throttle_test.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// observeRate lets an answer name a rate.
+// observeRate delivers a response that sets a rate limit.
 func (b *harness) observeRate(perSecond float64) []Action {
 	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Rate: backpressure.Rate{Limited: true, PerSecond: perSecond}},
@@ -21,12 +21,12 @@
 	}})
 }
 
-// observeNoRate lets an answer to a call of this moment name none.
+// observeNoRate delivers a response without advice, to a call made at this time.
 func (b *harness) observeNoRate() []Action {
 	return b.step(ServerObserved{backpressure.Observation{Route: backpressure.RouteRun, Asked: b.now, Heard: b.now}})
 }
 
-// busyServer is a gate that entries reserve at all the time; its runs end after a while.
+// busyServer is a harness with a steady supply of reservations, whose runs end at once.
 type busyServer struct {
 	*harness
 	next    int
@@ -34,7 +34,7 @@
 	started []time.Time
 }
 
-// run lets time pass; each offer is answered in the tick after it, and reservations never run out.
+// run advances the clock, answers each offer in the tick after it, and keeps reservations waiting.
 func (s *busyServer) run(d time.Duration) {
 	until := s.now.Add(d)
 	for s.now.Before(until) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// A limit bounds what goes out after offers as well, and is used while work waits.
+// A rate limit also bounds what is sent after offers, and it is used up while work waits.
 func TestRateLimitHoldsForOffersAndIsUsed(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 1, 2.8, 20} {
 		s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
@@ -92,10 +92,11 @@
 	s.started = nil
 	s.observeNoRate()
 	s.run(time.Second)
-	require.Greater(t, len(s.started), 50, "nothing limits it any more")
+	require.Greater(t, len(s.started), 50, "no limit is left")
 }
 
-// What was offered before the word must not go out beyond the limit, and its request must be free to go elsewhere.
+// Offers made before the rate limit arrives must not exceed it, and their requests must be free to go to another
+// server.
 func TestOffersLapseWhenARateLimitArrives(t *testing.T) {
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(4))
 	for i := range 3 {
@@ -111,7 +112,7 @@
 	noChartErrors(t, b)
 }
 
-// Cancelling work for the first tier buys nothing where the server takes no more requests.
+// Cancelling work for the first tier gains nothing at a server that accepts no more requests.
 func TestNothingIsPreemptedForARateLimit(t *testing.T) {
 	b := newReadyHarness(t)
 	b.fillSlots()
@@ -122,7 +123,8 @@
 	require.Empty(t, actionsOf[CancelEngine](b.actions))
 }
 
-// Entries choose by the room and the backlog that a gate tells: with the slots alone a limited server would look like the idlest one.
+// Entries choose by the room and the backlog of a gate: with the slots alone, a limited server would look like the
+// one with the most room.
 func TestRateLimitShowsInTheRoom(t *testing.T) {
 	b := newReadyHarness(t)
 	require.Positive(t, b.gate.free())
@@ -138,7 +140,7 @@
 	require.Positive(t, status.NextSend)
 }
 
-// A limited server is neither slow nor failing: it stays ready.
+// A limited server is neither slow nor failing, so it stays ready.
 func TestLimitedServerStaysReady(t *testing.T) {
 	s := &busyServer{harness: newReadyHarnessWith(t, Config{NoPredecessor: true}, sampleRecord(8))}
 	s.observeRate(0.3)
@@ -155,7 +157,8 @@
 	require.GreaterOrEqual(t, len(s.started), 36)
 }
 
-// Drawn schedules of words, offers, lapses, dispatches and losses: no window has more starts than the highest rate of the time allows.
+// For random schedules of rate limits, offers, lapses, dispatches and lost links, no window has more starts than
+// the highest rate allows.
 func TestNoScheduleExceedsARateLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &busyServer{harness: newReadyHarnessWith(rt, Config{NoPredecessor: true}, sampleRecord(6))}
@@ -165,7 +168,7 @@
 			s.randomEvent(rt, highest)
 			s.run(time.Duration(rapid.IntRange(1, 400).Draw(rt, "pass")) * time.Millisecond)
 		}
-		// An offer that is answered late leaves up to DefaultOfferTimeout after its permit was taken.
+		// A late answer to an offer is sent up to DefaultOfferTimeout after its permit was taken.
 		allowed := highest*(4*time.Second+DefaultOfferTimeout+100*time.Millisecond).Seconds() + 1
 		if got := backpressure.MostWithin(s.started, 4*time.Second); float64(got) > allowed {
 			rt.Fatalf("%d starts in 4 s at %g a second", got, highest)
@@ -173,7 +176,7 @@
 	})
 }
 
-// randomEvent lets something happen that a schedule may hold.
+// randomEvent applies one event that a schedule may contain.
 func (s *busyServer) randomEvent(rt *rapid.T, highest float64) {
 	switch rapid.IntRange(0, 7).Draw(rt, "what") {
 	case 0:
@@ -201,7 +204,7 @@
 	}
 }
 
-// observeBackoff lets a refusal ask to keep away.
+// observeBackoff delivers a refusal that asks for a backoff.
 func (b *harness) observeBackoff(backoff time.Duration) []Action {
 	return b.step(ServerObserved{backpressure.Observation{
 		Advice: backpressure.Advice{Backoff: backoff},
@@ -209,25 +212,25 @@
 	}})
 }
 
-// Entries must hear at once that the server wants nothing, and again when its time is over: nothing else would tell them.
+// Entries have to be told at once of a backoff, and again when it is over, since they have no other source for it.
 func TestBackoffIsBroadcast(t *testing.T) {
 	b := newReadyHarness(t)
 	b.advance(100 * time.Millisecond)
-	told := rooms(b.observeBackoff(2 * time.Second))
-	require.NotEmpty(t, told)
-	require.Equal(t, wire.Throttle_THROTTLE_BACKOFF, told[0].GetThrottle())
-	require.Zero(t, told[0].GetFree())
-	require.GreaterOrEqual(t, told[0].GetBacklogMs(), uint32(1900))
-	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, told[0].GetCondition())
+	broadcasts := rooms(b.observeBackoff(2 * time.Second))
+	require.NotEmpty(t, broadcasts)
+	require.Equal(t, wire.Throttle_THROTTLE_BACKOFF, broadcasts[0].GetThrottle())
+	require.Zero(t, broadcasts[0].GetFree())
+	require.GreaterOrEqual(t, broadcasts[0].GetBacklogMs(), uint32(1900))
+	require.Equal(t, wire.ServerCondition_SERVER_CONDITION_READY, broadcasts[0].GetCondition())
 	b.actions = nil
 	b.advance(2100 * time.Millisecond)
-	told = rooms(b.actions)
-	require.NotEmpty(t, told)
-	require.Equal(t, wire.Throttle_THROTTLE_UNSPECIFIED, told[len(told)-1].GetThrottle())
-	require.EqualValues(t, 1, told[len(told)-1].GetFree(), "one trial")
+	broadcasts = rooms(b.actions)
+	require.NotEmpty(t, broadcasts)
+	require.Equal(t, wire.Throttle_THROTTLE_UNSPECIFIED, broadcasts[len(broadcasts)-1].GetThrottle())
+	require.EqualValues(t, 1, broadcasts[len(broadcasts)-1].GetFree(), "one trial is free")
 }
 
-// A body that came ahead must not be kept here through a time of rest: another server could have it.
+// A body that arrives without an offer must not wait here through a backoff, since another server may be free.
 func TestDispatchDuringBackoffIsRefusedAtOnce(t *testing.T) {
 	b := newReadyHarness(t)
 	b.fillSlots()
--- a/gate/tombstones_test.go
+++ b/gate/tombstones_test.go
@@ -22,10 +22,8 @@
 )
 
 func TestDispatchAfterItsOwnCancelIsRefused(t *testing.T) {
-	// Symptom: two engines run one request.
-	// Sequence: an entry dispatches with a long body and cancels; the cancel overtakes the body; the entry hears that
-	// nothing started and sends the request elsewhere; then the body arrives.
-	// Cause: nothing was remembered of a cancel for an attempt never heard of.
+	// Guards against two engines that run one request. A cancel overtakes the long body of its dispatch, the entry
+	// is told that nothing started and sends the request to another server, and then the body arrives.
 	cases := map[string]struct {
 		cancelled, arrives uint64
 		refused            bool
@@ -54,10 +52,9 @@
 }
 
 func TestEveryRefusalLeavesATombstone(t *testing.T) {
-	// Symptom: a caller is told "not run" and the request runs.
-	// Sequence: a reservation is refused for want of time; the entry's direct dispatch of the same number crosses the
-	// refusal, which the entry then takes for the dispatch's answer.
-	// Cause: only cancels left tombstones.
+	// Guards against a request that runs although its caller was told that it did not. A reservation is refused
+	// while the entry's direct dispatch of the same number is in transit; the entry takes the refusal as the answer
+	// to the dispatch.
 	b := newReadyHarness(t)
 	b.advance(time.Second)
 	refusedWith(t, b.reserve(entryA, id("r", 1), workOf(func(w *wire.Work) { w.Target = "other" })), result.NoServer)
@@ -75,9 +72,8 @@
 }
 
 func TestTombstoneOutlivesTheDeadline(t *testing.T) {
-	// Symptom: an owner that asks until its deadline hears "never started" of an attempt that ran.
-	// Sequence: an attempt with a long deadline ends early; its Over is lost; the owner asks after TombstoneLife.
-	// Cause: the record's time was counted from the end alone.
+	// Guards against answering "never started" for an attempt that ran: an attempt with a long deadline ends early,
+	// its Over is lost, and its owner asks after TombstoneLifetime but before the deadline.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), workOf(func(w *wire.Work) { w.RemainingMs = uint32(10 * time.Minute / time.Millisecond) }))
 	b.finish(id("r", 1))
@@ -86,9 +82,8 @@
 }
 
 func TestFullRecordTableRefusesNewWorkAndKeepsTombstones(t *testing.T) {
-	// Symptom: under a storm of cancels a late dispatch runs after all.
-	// Sequence: more requests are cancelled than the table holds; the first one's dispatch arrives.
-	// Cause: the oldest tombstone made room for the newest.
+	// Guards against a late dispatch that runs after all: more requests are cancelled than the table holds, and the
+	// oldest tombstone must not be replaced by the newest.
 	const most = 4
 	b := newReadyHarnessWith(t, Config{NoPredecessor: true, MaxRecords: most}, sampleRecord(sampleSlots))
 	for i := range most + 1 {
@@ -98,7 +93,7 @@
 	for i := range most {
 		refusedWith(t, b.dispatch(entryA, id(fmt.Sprint("r", i), 1), work()), result.RefusedNeverStarted)
 	}
-	// Without a place for one more tombstone nothing is promised.
+	// Without space for another tombstone nothing is promised.
 	b.cancelAttempt(entryA, id("more-1", 1), retryCause)
 	b.cancelAttempt(entryA, id("more-2", 1), retryCause)
 	onlyOver(t, b.cancelAttempt(entryA, id("beyond", 1), retryCause), entryA, unprovenProof)
@@ -108,10 +103,9 @@
 }
 
 func TestMessagesOfAnEndedEntryAreAlwaysRefused(t *testing.T) {
-	// Symptom: a pass is issued twice.
-	// Sequence: control ends an entry incarnation and another entry takes the operation over; hours later the old
-	// entry's dispatch comes out of a buffer.
-	// Cause: ended incarnations were forgotten with their tombstones.
+	// Guards against an operation that runs twice. Control ends an entry incarnation, another entry takes the
+	// operation over, and hours later the old entry's dispatch arrives from a buffer, when the tombstones have
+	// expired.
 	b := newReadyHarness(t)
 	b.step(EntryEnded{Entry: EntryID{Name: entryA.Name, Incarnation: 5}})
 	b.step(EntryDisconnected{Entry: entryA})
@@ -126,10 +120,8 @@
 }
 
 func TestTakeoverAnswerCoversAllAttempts(t *testing.T) {
-	// Symptom: a slot is confirmed to two vendors.
-	// Sequence: attempt 1 runs; attempt 2 is refused with "never started"; the owner dies; the new owner asks about
-	// all attempts up to 2, hears "never started" and runs the work again.
-	// Cause: the answer for the last attempt was taken for all of them.
+	// Guards against running the work again after a takeover. Attempt 1 runs, attempt 2 is refused with "never
+	// started"; the new owner asks about all attempts up to 2, so the answer for attempt 2 alone would be wrong.
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.finish(id("r", 1))
@@ -154,9 +146,8 @@
 }
 
 func TestExpiredKeyedRequestIsNotAnsweredNeverStarted(t *testing.T) {
-	// Symptom: a pass is issued a second time hours after the first.
-	// Sequence: a keyed attempt ends; its record expires; its entry dies; the new owner asks.
-	// Cause: "never heard of" was taken for "never started".
+	// Guards against an operation that runs a second time hours after the first: a keyed attempt ends, its record
+	// expires, its entry dies, and the new owner asks about it.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, &wire.Dispatch{Attempt: id("r", 1), Work: work(), IdempotencyKey: "key"})
 	b.finish(id("r", 1))
@@ -167,9 +158,8 @@
 }
 
 func TestAnswerOfANewIncarnationIsStable(t *testing.T) {
-	// Symptom: an entry hears "over", and a moment later "never started", of one attempt.
-	// Sequence: it asks twice, just before and just after the incarnation is old enough to be sure.
-	// Cause: the second answer looked at the age alone, though the record was made when nothing was sure.
+	// Guards against contradicting answers for one attempt, first "over" and then "never started", if the entry
+	// asks just before and just after the incarnation is old enough to be certain.
 	b := newReadyHarnessWith(t, Config{}, sampleRecord(1))
 	b.now = b.now.Add(DefaultRequestLifetime - time.Second)
 	b.step(Announced{Server: sampleRecord(1)})
@@ -195,10 +185,8 @@
 }
 
 func TestAttemptOfAnEarlierIncarnationIsNotAnsweredNeverStarted(t *testing.T) {
-	// Symptom: a pass is issued twice.
-	// Sequence: the agent dies while it runs an attempt and restarts with no memory; the entry, or the next owner,
-	// asks the new incarnation about that attempt.
-	// Cause: an empty table was taken for the knowledge that nothing ran.
+	// Guards against an operation that runs twice. The agent dies while it runs an attempt and restarts without
+	// records; the entry, or the next owner, asks the new incarnation about that attempt.
 	cases := map[string]struct {
 		cause         wire.CancelCause
 		age           time.Duration
@@ -224,9 +212,8 @@
 }
 
 func TestTombstonesHoldNoBodies(t *testing.T) {
-	// Symptom: an agent runs out of memory under long prompts.
-	// Sequence: attempts end; their records stay for minutes.
-	// Cause: a record held its attempt, and that the prompt.
+	// Guards against an agent that runs out of memory under long prompts: records outlive their attempts by minutes
+	// and must not retain the bodies.
 	b := newReadyHarness(t)
 	b.dispatchOf(entryA, &wire.Dispatch{Attempt: id("r", 1), Work: work(), Body: []byte("prompt")})
 	b.progress(id("r", 1), "answer")
--- a/gate/types.go
+++ b/gate/types.go
@@ -1,21 +1,23 @@
-// Package gate decides what an agent lets into its backend server: admission order over all entries, attempts and
-// their leases, preemption, tombstones and proofs. It is pure: events and the time go in, actions come out.
+// Package gate controls what an agent admits to its backend server: the admission order over all entries, attempts
+// and their leases, preemption, tombstones, and proofs of how attempts ended. It has no side effects and no clock:
+// Step takes an event and the time, and returns actions.
 //
-// What the agent has to keep to:
+// The agent must guarantee:
 //
-//   - Exactly one EngineEnded follows each StartEngine, one EngineCancelled with the same Try each CancelEngine, and one
-//     EngineListed each ListEngine. Errors are passed on as they are: a proof is made of them.
-//   - The first ListEngine comes with the first Announced. Nothing is admitted, broadcast or passed to control before
-//     the engine is cleared; the first Changed says that it is.
-//   - Room is sent by the gate, also in answer to a heartbeat; AgentHello and AgentHeartbeat are the agent's.
+//   - Exactly one EngineEnded follows each StartEngine, one EngineCancelled with the same Try follows each
+//     CancelEngine, and one EngineListed follows each ListEngine. Errors are passed on unchanged, since the proofs
+//     are derived from them.
+//   - The first ListEngine is issued at the first Announced. Nothing is admitted, broadcast or passed to control before
+//     the engine is cleared; the first ServerChanged reports that it is.
+//   - The gate sends Room, also in answer to a heartbeat. The agent sends AgentHello and AgentHeartbeat.
 //
-// What an entry may rely on:
+// An entry may rely on the following:
 //
-//   - Every PROOF_NEVER_STARTED leaves a tombstone: the request needs a higher attempt number to come back here.
-//   - Over for a Cancel speaks of all attempts up to the number that it names. CANCELLED says that they are over and
-//     claims nothing about what they did; it is also the answer for an attempt that is not known and that an earlier
-//     incarnation of the agent may have run.
-//   - PROOF_UNPROVEN is no answer: the gate goes on asking the engine and sends the proof once it has one.
+//   - Every PROOF_NEVER_STARTED leaves a tombstone: the request needs a higher attempt number to be accepted here again.
+//   - Over for a Cancel covers all attempts up to the number that it names. CANCELLED means that they are over and
+//     states nothing about what they did; it is also the answer for an unknown attempt that an earlier incarnation of
+//     the agent may have run.
+//   - PROOF_UNPROVEN is not final: the gate keeps asking the engine and sends the proof once it has one.
 package gate
 
 import (
@@ -27,29 +29,30 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// EntryID names one run of an entry process. A restarted entry is another one.
+// EntryID identifies one incarnation of an entry process. A restarted entry has a new incarnation.
 type EntryID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Event is something that happened outside the gate.
+// Event is an input of the gate: something that happened outside it.
 type Event interface{ gateEvent() }
 
 type (
-	// Tick lets time pass: leases, probes and estimates are looked at. The agent sends one when NextTick says so.
+	// Tick advances time: leases, probes and estimates are updated. The agent sends one when NextTick says so.
 	Tick struct{}
 
-	// EntryConnected says that an entry's link pair is open.
+	// EntryConnected reports that the link pair to an entry is open.
 	EntryConnected struct{ Entry EntryID }
 
-	// EntryDisconnected says that an entry's link was lost. Its leases run on until they expire.
+	// EntryDisconnected reports that an entry's link was lost. The entry's leases stay valid until they expire.
 	EntryDisconnected struct{ Entry EntryID }
 
-	// EntryEnded says that control committed the end of an entry incarnation.
+	// EntryEnded reports that control committed the end of an entry incarnation.
 	EntryEnded struct{ Entry EntryID }
 
-	// MessageReceived carries a message of an entry. A Dispatch is passed on only once its body is whole and its digest holds.
+	// MessageReceived carries a message of an entry. A Dispatch is passed on only once its body is complete and its
+	// digest matches.
 	MessageReceived struct {
 		Entry   EntryID
 		Message *wire.EntryMessage
@@ -58,43 +61,44 @@
 	// Announced carries the latest announcement of the backend server.
 	Announced struct{ Server *wire.ServerRecord }
 
-	// Leaving says that the backend server or an operator asked for a graceful leave.
+	// Leaving reports that the backend server or an operator asked for a graceful leave.
 	Leaving struct{}
 
-	// Probed carries the verdict of the agent's own probe of the backend server.
+	// Probed carries the result of the agent's own health probe of the backend server.
 	Probed struct {
 		OK      bool
 		Latency time.Duration
 	}
 
 	// EngineListed carries the streams that the engine ran when this agent incarnation started. Nothing is admitted
-	// before all of them are over. Exactly one follows each ListEngine; with Err the list is not known.
-	// engine.ErrUnsupported says that this backend server keeps no list.
+	// before all of them are over. Exactly one follows each ListEngine. If Err is set, the list is unknown;
+	// engine.ErrUnsupported means that this backend server keeps no list.
 	EngineListed struct {
 		Streams []engine.StreamInfo
 		Err     error
 	}
 
-	// EngineProgress says that tokens (or a service's answer) arrived for an attempt. Events go on to the entry. The
-	// gate keeps the slices, so the agent must not write to them again. What a model engine answers with a status
-	// other than 200 is no part of an answer and must not come this way.
+	// EngineProgress reports that tokens, or parts of a service's answer, arrived for an attempt. Events are
+	// forwarded to the entry. The gate keeps the slices, so the agent must not modify them afterwards. The body of
+	// a model engine's answer with a status other than 200 is not part of an answer and must not be passed here.
 	EngineProgress struct {
 		Attempt *wire.AttemptID
 		Events  [][]byte
-		Tokens  []uint32 // in each event; empty: the engine doesn't say, or a service's answer
+		Tokens  []uint32 // tokens in each event; empty for a service, or if the engine doesn't report them
 	}
 
-	// EngineEnded says how a run ended. Err is nil only with a complete outcome. Exactly one follows each StartEngine,
-	// and only once the connection of the run is closed.
+	// EngineEnded reports how a run ended. Err is nil only with a complete outcome. Exactly one follows each
+	// StartEngine, and only after the connection of the run is closed.
 	EngineEnded struct {
 		Attempt     *wire.AttemptID
 		Outcome     engine.Outcome
 		Err         error
-		ContentType string // of the answer
+		ContentType string // media type of the answer
 	}
 
-	// EngineCancelled carries the engine's answer to a cancel. Exactly one follows each CancelEngine, with its Try:
-	// an unknown id proves an end only if the cancel was sent after the run's end, and the gate tells by the Try.
+	// EngineCancelled carries the engine's answer to a cancel. Exactly one follows each CancelEngine and repeats
+	// its Try: an unknown id proves an end only if the cancel was sent after the run's end, which the gate
+	// determines from the Try.
 	EngineCancelled struct {
 		Attempt *wire.AttemptID
 		Try     uint32
@@ -102,16 +106,16 @@
 		Err     error
 	}
 
-	// ServerVerified answers a VerifyServer: Ended says that nothing listens at the server's address any more.
+	// ServerVerified answers a VerifyServer. Ended is true if nothing listens at the server's address any more.
 	ServerVerified struct{ Ended bool }
 
-	// ServerObserved carries what an answer of the server said of the work that it takes.
+	// ServerObserved carries what a response of the server said about the load that it accepts.
 	ServerObserved struct{ Observation backpressure.Observation }
 
-	// SendersChanged says how many agents send to the server, this one included; they share its rate limit.
+	// SendersChanged reports how many agents send to the server, including this one; they share its rate limit.
 	SendersChanged struct{ Count int }
 
-	// EngineLoad carries a load report, as old as Age.
+	// EngineLoad carries a load report of the given age.
 	EngineLoad struct {
 		Load engine.Load
 		Age  time.Duration
@@ -135,25 +139,25 @@
 func (SendersChanged) gateEvent()    {}
 func (ServerVerified) gateEvent()    {}
 
-// Action is something the agent has to do, in the order given.
+// Action is something that the agent has to do. Actions are carried out in the order given.
 type Action interface{ gateAction() }
 
 type (
-	// Send passes a message to an entry's link. If the link is down the agent drops it: every message is either
-	// repeated after EntryUp or covered by a lease.
+	// Send passes a message to an entry's link. The agent drops it if the link is down: every message is either
+	// repeated after EntryConnected or covered by a lease.
 	Send struct {
 		Entry   EntryID
 		Message *wire.AgentMessage
 	}
 
-	// Broadcast passes a message to all linked entries.
+	// Broadcast passes a message to all connected entries.
 	Broadcast struct{ Message *wire.AgentMessage }
 
 	// StartEngine runs an attempt at the backend server; EngineProgress and EngineEnded follow.
 	StartEngine struct{ Dispatch *wire.Dispatch }
 
-	// CancelEngine cancels an attempt at the backend server; EngineCancelled with the same Try follows. The gate repeats
-	// it as needed. Stream is the engine's name of what is to be cancelled.
+	// CancelEngine cancels an attempt at the backend server; EngineCancelled with the same Try follows. The gate
+	// repeats it as needed. Stream is the engine's identifier of the stream to cancel.
 	CancelEngine struct {
 		Attempt *wire.AttemptID
 		Stream  engine.AttemptID
@@ -163,25 +167,27 @@
 	// ListEngine asks the engine for its streams; EngineListed follows.
 	ListEngine struct{}
 
-	// VerifyServer asks at once whether the server's process is still there; exactly one Verified follows.
+	// VerifyServer asks for an immediate check whether the server's process is still there; exactly one
+	// ServerVerified follows.
 	VerifyServer struct{}
 
-	// Crashed says that the server's process ended, without having said that it leaves, while it ran these attempts.
+	// Crashed reports that the server's process ended while it ran these attempts, without having announced that it
+	// leaves.
 	Crashed struct {
 		Crash *wire.Crash
 		Runs  []Run
-		// Repeated: the same end was told before, with other attempts.
+		// Repeated means that the same crash was reported before, with other attempts.
 		Repeated bool
 	}
 
-	// ReportOutcome proposes the outcome of a keyed attempt to control because its entry is gone.
+	// ReportOutcome proposes the outcome of a keyed attempt to control because the entry that owned it is gone.
 	ReportOutcome struct{ Complete *wire.CompleteOperation }
 
-	// ServerChanged says that the server's record must go to control's directory (condition, models, slots).
+	// ServerChanged carries a server record for control's directory (condition, models, slots).
 	ServerChanged struct{ Server *wire.ServerRecord }
 
-	// ThrottleChanged says that an answer changed what the gate believes of the server: Rate is the limit from now on, Until the end of the
-	// time to keep away, and Expects whether answers that say nothing matter.
+	// ThrottleChanged reports that a response changed the known limits of the server: Rate is the new rate limit,
+	// Until the end of the requested backoff, and Expects whether responses that carry no advice are significant.
 	ThrottleChanged struct {
 		Rate        backpressure.Rate
 		Until       time.Time
@@ -189,8 +195,8 @@
 		Observation backpressure.Observation
 	}
 
-	// Throttled says that an attempt was refused, or sent elsewhere, for what the server asked of its senders. Wait is the time
-	// until the server may get it.
+	// Throttled reports that an attempt was refused, or sent to another server, because of the server's rate limit
+	// or backoff. Wait is the time until the server accepts such a request.
 	Throttled struct {
 		Attempt *wire.AttemptID
 		Class   string
@@ -204,7 +210,7 @@
 		Code    uint16 // result code, 0 for none
 		Tier    uint32
 		Add     uint64
-		Label   string // organisation, reason or cause, by counter
+		Label   string // organisation, reason or cause, depending on the counter
 	}
 )
 
@@ -221,21 +227,21 @@
 func (Throttled) gateAction()       {}
 func (Count) gateAction()           {}
 
-// Run is a request that a server ran when it crashed.
+// Run identifies a request that a server ran when it crashed.
 type Run struct {
 	Request      string
 	Organisation string
 	Fingerprint  poison.Fingerprint
 }
 
-// Counter names a counter of the gate.
+// Counter identifies a counter of the gate.
 type Counter uint8
 
-// The counters of the gate.
+// Counters of the gate, with the fields of Count that qualify them.
 const (
 	Refusals      Counter = iota // by Code and Tier
 	Preemptions                  // by Tier of the preempted attempt
-	WastedPrefill                // tokens, by Label (cause)
+	WastedPrefill                // in tokens, by Label (cause)
 	ServedTokens                 // by Label (organisation) and Tier
 	LeasesExpired
 	ChartErrors
--- a/gate/unreachable_test.go
+++ b/gate/unreachable_test.go
@@ -9,11 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// Symptom: while some backend servers are down, requests are refused though others are idle. Pattern: four of 18 servers
-// crash at once under load; for 1.5 s each refuses calls within a millisecond.
-// Sequence: a server crashes; the first call to it can't connect; its place is free again at once, and the gate goes on
-// offering it.
-// Cause: only probes made a server suspect, two in a row, half a second apart.
+// Guards against requests that are refused while other servers are idle. A crashed server refuses calls within a
+// millisecond, so its slot is free again at once and the gate would go on offering it until two probes, half a
+// second apart, have failed. With four of 18 servers crashed, that takes up to 1.5 s.
 func TestUnreachableServerGetsNoNewWorkAtOnce(t *testing.T) {
 	b := newReadyHarness(t)
 	require.Positive(t, b.gate.free())
@@ -27,7 +25,7 @@
 	require.Positive(t, b.gate.free())
 }
 
-// A server that turned a call away is there.
+// A server that rejected a call is reachable.
 func TestServerThatRejectsACallStaysReady(t *testing.T) {
 	b := newReadyHarness(t)
 	b.start(entryA, id("r1", 1), work())
--- a/gate/waiting_list.go
+++ b/gate/waiting_list.go
@@ -46,7 +46,7 @@
 	g.fire(a, onRefuse, eventDetails{refusal: reason})
 }
 
-// refuseAllWaiting refuses all that wait and all that were offered a slot.
+// refuseAllWaiting refuses all attempts that wait or hold room without having started.
 func (g *Gate) refuseAllWaiting(reason refusal) {
 	all := g.waiting.collect(func(*attempt) bool { return true })
 	for _, a := range slices.Clone(g.held) {
@@ -59,7 +59,8 @@
 	}
 }
 
-// sweepWaiting refuses or sets back what waits beyond its deadline behind a head that doesn't.
+// sweepWaiting refuses attempts whose deadline has passed while they wait behind a head whose deadline has not.
+// Attempts that may be late stay.
 func (g *Gate) sweepWaiting() {
 	passed := g.waiting.collect(func(a *attempt) bool { return g.deadlinePassed(a) && !a.work.GetMayBeLate() })
 	for _, a := range passed {
@@ -68,15 +69,15 @@
 	}
 }
 
-// ensureCapacity makes sure that the waiting list has a place for an attempt, and refuses the one that is last in order:
-// the attempt itself or a waiting one. It reports whether the attempt has a place.
+// ensureCapacity makes room in the waiting list for an attempt by refusing the one that is last in order, which may
+// be the attempt itself. It reports whether the attempt can be added.
 func (g *Gate) ensureCapacity(a *attempt) bool {
 	if g.waiting.count < g.config.MaxWaiting {
 		return true
 	}
 	last := g.lastWaiting()
 	if a.tier() == firstTier && last.tier() == firstTier && g.hasLowerTierWork(a) {
-		return true // lower tiers run: neither of the two is refused for want of room
+		return true // while lower tiers have work, neither of the two is refused for want of room
 	}
 	if g.orderedAfter(last, a) {
 		g.refuseWaiting(last, refuseShed(g.backlog()))
@@ -86,8 +87,8 @@
 	return false
 }
 
-// lastWaiting is the attempt that would go last: of the lowest tier, late before timely, of the organisation that
-// was served most, with the latest deadline.
+// lastWaiting returns the attempt that would be served last: of the lowest tier, late before timely, of the
+// organisation that was served most, with the latest deadline.
 func (g *Gate) lastWaiting() *attempt {
 	for _, t := range slices.Backward(g.waiting.tiers) {
 		if t.count == 0 {
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// last is the last of a queue. A heap's last leaf is not its greatest, so all are looked at.
+// last returns the last attempt of a queue. The last leaf of a heap is not its greatest element, so all are
+// compared.
 func (q *queue) last() *attempt {
 	attempts := q.late
 	if len(attempts) == 0 {
@@ -119,7 +121,7 @@
 	return last
 }
 
-// orderedAfter tells whether a goes after b, b perhaps not waiting yet.
+// orderedAfter reports whether a goes after b. b needs not be waiting yet.
 func (g *Gate) orderedAfter(a, b *attempt) bool {
 	if a.tier() != b.tier() {
 		return a.tier() > b.tier()
@@ -135,8 +137,8 @@
 	return earlier(b, a)
 }
 
-// deadlineRefusal tells whether an arrival is predicted to miss its deadline. Refusing it now spends no prefill on it. The
-// first tier waits: it is never refused for want of room.
+// deadlineRefusal reports whether an arrival is predicted to miss its deadline, and the refusal for it. Refusing it
+// at arrival wastes no prefill. The first tier waits instead, since it is never refused for want of room.
 func (g *Gate) deadlineRefusal(a *attempt) (refusal, bool) {
 	if a.work.GetMayBeLate() || a.tier() == firstTier {
 		return refusal{}, false
@@ -152,5 +154,5 @@
 	return refusal{}, false
 }
 
-// backlog is the predicted time until a new attempt of the lowest tier would start.
+// backlog returns the predicted time until a new attempt of the lowest tier would start.
 func (g *Gate) backlog() time.Duration { return g.predictedWait(lowestTier) }
