--- a/gate/pace.go
+++ b/gate/pace.go
@@ -20,8 +20,8 @@
 
 	// recoveredShare is the share of Config.SlowRatio below which the server counts as recovered.
 	recoveredShare = 0.5
-	// driftRatio is the ratio to the baseline from which on a sample counts as slow and has the weight slowGain.
-	driftRatio = 1.5
+	// slowSampleRatio is the ratio to the baseline from which on a sample counts as slow and has the weight slowGain.
+	slowSampleRatio = 1.5
 	// suspectWindows is the number of consecutive slow windows that make the server suspect. A burst of long
 	// prompts slows any server for some windows; taking it out for that would shift its load to the other servers,
 	// which would then look slow too.
@@ -100,7 +100,7 @@
 	}
 	ratio := x / m.value
 	gain := paceGain
-	if ratio >= driftRatio {
+	if ratio >= slowSampleRatio {
 		gain = slowGain
 	}
 	m.value += gain * (x - m.value)
@@ -222,9 +222,9 @@
 			continue
 		}
 		took := s.total / float64(s.calls)
-		busy := float64(s.concurrency) / float64(s.calls)
+		concurrency := float64(s.concurrency) / float64(s.calls)
 		s.total, s.concurrency, s.calls = 0, 0, 0
-		g.limit.observe(took, busy)
+		g.limit.observe(took, concurrency)
 		if ratio := s.baseline.learn(took); ratio > 0 {
 			p.window.add(ratio)
 		}
@@ -348,7 +348,8 @@
 	return learnt
 }
 
-// decodeOnlyTokenTime returns the same while no prompt is computed.
+// decodeOnlyTokenTime returns the learnt time between two tokens of a stream at a batch size while no prompt is
+// computed, 0 before any is learnt.
 func (p *pace) decodeOnlyTokenTime(batch int) time.Duration {
 	learnt := 0.0
 	for b := batchBin(batch); b >= 0 && learnt == 0; b-- {
--- a/gate/preempt.go
+++ b/gate/preempt.go
@@ -6,8 +6,8 @@
 const (
 	safeSlackFactor = 8 // least ratio of the slack to the wait
 
-	// preemptDelayShare: a first-tier reservation waits for one part in this many of its slack before anything is
-	// preempted for it.
+	// preemptDelayShare divides the initial slack of a first-tier reservation: the quotient is how long it waits
+	// before anything is preempted for it.
 	preemptDelayShare = 4
 	// minDelaySlack is the least slack with which a reservation still waits, because a preemption takes time as
 	// well.
