--- a/gate/frames.go
+++ b/gate/frames.go
@@ -6,7 +6,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// frameState is how much of its answer an attempt has passed on.
+// frameState tracks how much of its answer an attempt has forwarded.
 type frameState struct {
 	base   uint64 // offset of its first event, over all attempts of the request
 	count  uint64 // events of this attempt
@@ -14,9 +14,9 @@
 	digest *xxhash.Digest
 
 	kept       [][]byte // for control, and for an entry that lost its link
-	keptTokens []uint32 // in each of kept, where known
+	keptTokens []uint32 // tokens in each of kept, if known
 	keptBytes  int
-	dropped    bool // more came than may be kept
+	dropped    bool // the events exceeded the bound and are not kept
 }
 
 func (f *frameState) begin(d *wire.Dispatch) {
@@ -24,9 +24,9 @@
 	f.digest = xxhash.New()
 }
 
-func (f *frameState) next() uint64 { return f.base + f.count }
+func (f *frameState) nextOffset() uint64 { return f.base + f.count }
 
-// add counts events and keeps them as long as the bound allows.
+// add counts events and keeps them as long as their size stays within the bound.
 func (f *frameState) add(events [][]byte, tokens []uint32, bound int) {
 	for i, event := range events {
 		f.count++
@@ -36,7 +36,7 @@
 	}
 }
 
-// keep keeps one event. The first of tokens, if there is one, is its own.
+// keep keeps one event. Its token count is the first of tokens, if there is one.
 func (f *frameState) keep(event []byte, tokens []uint32, bound int) {
 	if f.dropped {
 		return
@@ -44,7 +44,7 @@
 	f.keptBytes += len(event)
 	if f.keptBytes > bound {
 		f.dropped = true
-		f.forget()
+		f.clearKept()
 		return
 	}
 	f.kept = append(f.kept, event)
@@ -53,31 +53,31 @@
 	}
 }
 
-func (f *frameState) forget() {
+func (f *frameState) clearKept() {
 	f.kept = nil
 	f.keptTokens = nil
 }
 
 func (f *frameState) drop() {
-	f.forget()
+	f.clearKept()
 	f.dropped = true
 }
 
-// forward passes events on to the entry. After a cancel nobody wants them, but a preempted attempt goes on elsewhere
-// from the last event that the entry has.
+// forward sends events to the entry. After a cancel they are of no use, except for a preempted attempt: it is
+// continued on another server from the last event that the entry has.
 func (g *Gate) forward(a *attempt, events [][]byte, tokens []uint32) {
 	if len(events) == 0 {
 		return
 	}
-	offset := a.frames.next()
-	a.frames.add(events, tokens, g.keepBound(a))
-	if a.state == cancelling && a.cancel.tier == 0 {
+	offset := a.frames.nextOffset()
+	a.frames.add(events, tokens, g.maxKeptBytes(a))
+	if a.state == cancelling && a.cancel.preemptorTier == 0 {
 		return
 	}
 	g.sendFrame(a, offset, events, tokens)
 }
 
-func (g *Gate) keepBound(a *attempt) int {
+func (g *Gate) maxKeptBytes(a *attempt) int {
 	if a.dispatch.GetReportToControl() {
 		return g.config.MaxAnswerBytes
 	}
@@ -99,10 +99,10 @@
 	}
 }
 
-// answerEnd closes a whole answer.
+// answerEnd returns the end of a completed answer.
 func (a *attempt) answerEnd(e *EngineEnded) *wire.AnswerEnd {
 	return &wire.AnswerEnd{
-		Events:       a.frames.next(),
+		Events:       a.frames.nextOffset(),
 		Bytes:        a.frames.bytes,
 		Digest:       a.frames.digest.Sum64(),
 		Status:       uint32(max(e.Outcome.Status, 0)),
--- a/gate/offers.go
+++ b/gate/offers.go
@@ -9,50 +9,50 @@
 // maxLapses is how many offers an entry may leave unanswered before its reservation is refused.
 const maxLapses = 3
 
-// pump starts the attempts whose body was asked for ahead, and gives room to waiting attempts, the best first, until
-// the best one has none. It stops there rather than let smaller ones past: a large attempt would otherwise wait for
-// ever for its room.
-func (g *Gate) pump() {
-	g.startReady(firstTier)
-	g.giveRoom()
-	g.startReady(lowestTier)
+// schedule starts attempts whose body arrived early and gives room to waiting attempts, the best first, until there
+// is none for the best one. Smaller attempts don't overtake it, since a large attempt could otherwise wait forever.
+func (g *Gate) schedule() {
+	g.startAdmitted(firstTier)
+	g.admitWaiting()
+	g.startAdmitted(lowestTier)
 }
 
-func (g *Gate) giveRoom() {
-	g.blocked = roomEnough
+func (g *Gate) admitWaiting() {
+	g.blocked = notBlocked
 	for g.waiting.count > 0 {
-		if g.nothingFree() {
+		if g.noCapacity() {
 			return
 		}
 		a := g.nextWaiting()
 		if a == nil {
 			return
 		}
-		if g.blocked = g.noRoom(a); g.blocked != roomEnough {
-			if g.blocked != whyAlone && g.protectFirstTier(a) {
+		if g.blocked = g.blockReasonOf(a); g.blocked != notBlocked {
+			if g.blocked != blockedExclusive && g.protectFirstTier(a) {
 				continue
 			}
 			return
 		}
-		if !g.give(a) {
+		if !g.grantRoom(a) {
 			return
 		}
 	}
 }
 
-// nothingFree is a cheap test that spares ordering the waiting ones when nothing could come of it.
-func (g *Gate) nothingFree() bool {
-	if g.closed() != roomEnough {
-		g.blocked = g.closed()
+// noCapacity reports whether certainly nothing can be admitted. It is a cheap check that avoids ordering the
+// waiting attempts.
+func (g *Gate) noCapacity() bool {
+	if g.serverBlock() != notBlocked {
+		g.blocked = g.serverBlock()
 		return true
 	}
-	if g.blocked = g.throttled(); g.blocked != roomEnough {
+	if g.blocked = g.throttleBlock(); g.blocked != notBlocked {
 		return true
 	}
-	if len(g.held) < g.limit.slots()+g.mostAhead() || g.firstTierWaits() {
+	if len(g.held) < g.limit.slots()+g.maxEarlyOffers() || g.firstTierWaits() {
 		return false
 	}
-	g.blocked = whySlots
+	g.blocked = blockedSlots
 	return true
 }
 
@@ -64,21 +64,21 @@
 	if g.server.state == serverSuspect {
 		return g.probes.candidate(g)
 	}
-	return g.best()
+	return g.bestWaiting()
 }
 
-// give starts an attempt whose body is here, and offers room to one whose body is at its entry.
-func (g *Gate) give(a *attempt) bool {
+// grantRoom starts an attempt whose body is here, and offers room to one whose body is at its entry.
+func (g *Gate) grantRoom(a *attempt) bool {
 	if g.server.state == serverSuspect {
-		g.probes.begin(g)
+		g.probes.start(g)
 	}
 	if a.state == admitted {
-		return g.fire(a, onStart, occasion{})
+		return g.fire(a, onStart, eventDetails{})
 	}
-	return g.fire(a, onOffer, occasion{})
+	return g.fire(a, onOffer, eventDetails{})
 }
 
-// sendOffer asks the entry for the body and keeps the room for a while.
+// sendOffer asks the entry for the body and reserves the room until the offer times out.
 func (g *Gate) sendOffer(a *attempt) {
 	a.wait.offerUntil = g.now.Add(g.config.OfferTimeout)
 	a.wait.offeredAt = g.now
@@ -87,8 +87,8 @@
 	}})
 }
 
-// lapseOffers takes the room back from offers that were not answered. Without it an entry that dies between its
-// reservation and the dispatch would keep the slot empty for a whole lease.
+// lapseOffers takes back the room of offers that were not answered in time. Otherwise an entry that dies between
+// its reservation and the dispatch would keep the slot empty for a whole lease.
 func (g *Gate) lapseOffers() {
 	for _, a := range slices.Clone(g.held) {
 		if a.state == offered && !g.now.Before(a.wait.offerUntil) {
@@ -101,27 +101,29 @@
 	a.wait.lapses++
 	a.wait.late = true
 	if a.wait.lapses >= maxLapses {
-		g.refuseWaiting(a, refuseLapsed)
+		g.refuseWaiting(a, refuseUnanswered)
 		return
 	}
-	g.fire(a, onLapse, occasion{})
+	g.fire(a, onLapse, eventDetails{})
 }
 
-// lapseAllOffers takes all offers back: the server is suspect and gets no new work. Bodies that came ahead go back.
+// lapseAllOffers takes back all offers, since the server gets no new work, and refuses attempts whose body arrived
+// early.
 func (g *Gate) lapseAllOffers() {
 	for _, a := range slices.Clone(g.held) {
 		switch a.state {
 		case offered:
-			g.fire(a, onLapse, occasion{})
+			g.fire(a, onLapse, eventDetails{})
 		case admitted:
-			g.refuseWaiting(a, refuseLateOffer)
+			g.refuseWaiting(a, refuseLapsedOffer)
 		}
 	}
 }
 
-// roomForDispatch tells whether a body that came without a kept offer may start: not past others that wait.
+// roomForDispatch reports whether a body that came without a valid offer may start. It must not overtake waiting
+// attempts.
 func (g *Gate) roomForDispatch(a *attempt) bool {
-	if g.noRoom(a) != roomEnough {
+	if g.blockReasonOf(a) != notBlocked {
 		return false
 	}
 	others := g.waiting.count
--- a/gate/runs.go
+++ b/gate/runs.go
@@ -12,23 +12,24 @@
 // Bounds of repeated cancels.
 const (
 	firstBackoff  = 50 * time.Millisecond
-	longestWait   = 5 * time.Second
-	answerTimeout = 10 * time.Second // after which an unanswered cancel is repeated
+	maxBackoff    = 5 * time.Second
+	answerTimeout = 10 * time.Second // an unanswered cancel is repeated after this time
 )
 
-// inFlight counts the attempts that a drain has to wait for. One whose connection is lost, at a server that can't be
-// asked about it, could never be proved over: after a while nobody could get its answer any more, so it isn't waited for.
+// inFlight counts the attempts that a drain has to wait for. An attempt whose connection is lost, at a server that
+// can't be queried about it, could never be proved over, and its answer can't be delivered. It is therefore not
+// counted once its room is released.
 func (g *Gate) inFlight() int {
 	n := 0
 	for _, a := range g.runs {
-		if a.run.holds || !a.cancel.unsupported {
+		if a.run.holdsRoom || !a.cancel.unsupported {
 			n++
 		}
 	}
 	return n
 }
 
-// find returns the attempt that an engine event speaks of. It may be over.
+// find returns the attempt that an engine event refers to, or nil. The attempt may be over.
 func (g *Gate) find(id *wire.AttemptID) *attempt {
 	r := g.records.get(id.GetRequest())
 	if r == nil {
@@ -37,17 +38,17 @@
 	return r.find(id.GetNumber())
 }
 
-// startEngine is the only place that lets an attempt begin.
+// startEngine starts the run of an attempt. No other function does so.
 func (g *Gate) startEngine(a *attempt) {
 	a.run.started = g.now
-	a.run.open = true
+	a.run.callOpen = true
 	g.usePermit(a)
-	a.run.prefillAhead = g.use.prefill
-	a.run.busy = g.started()
+	a.run.prefillAtStart = g.usage.prefillTokens
+	a.run.concurrency = g.usedSlots()
 	a.frames.begin(a.dispatch)
 	g.runs = append(g.runs, a)
 	if a.dispatch.GetOperation() != "" || a.dispatch.GetIdempotencyKey() != "" {
-		g.memory.add(a.record.request, g.now)
+		g.history.add(a.record.request, g.now)
 	}
 	g.emit(StartEngine{Dispatch: a.dispatch})
 	g.send(a.owner.id, &wire.AgentMessage{Kind: &wire.AgentMessage_Started{
@@ -61,23 +62,25 @@
 		g.chartError("progress of an unknown attempt")
 		return
 	}
-	if !a.run.open {
+	if !a.run.callOpen {
 		g.chartError("progress after the end of the run")
 		return
 	}
-	tokens := e.count()
+	tokens := e.tokenCount()
 	if a.state != tombstoned {
-		g.noteProgress(a, tokens)
+		g.observeProgress(a, tokens)
 	}
-	g.fire(a, onProgress, occasion{events: e.Events, eventTokens: e.Tokens, tokens: tokens})
+	g.fire(a, onProgress, eventDetails{events: e.Events, eventTokens: e.Tokens, tokens: tokens})
 }
 
-// count is the number of tokens that arrived. An engine that doesn't say how many has one in each event; one that says
-// none has sent the opening of an answer, which comes before its prompt is computed.
+// tokenCount returns the number of tokens that arrived. An engine that doesn't report counts sends one token in
+// each event. An engine that reports none has sent the opening of an answer, which precedes the computation of its
+// prompt.
 //
-// Taking that for the first token makes a prefill look finished at once: one would notice by a learnt prefill rate of
-// millions of tokens a second, long prompts piled up in the engine, and servers that look slow by that rate.
-func (e EngineProgress) count() uint32 {
+// If the opening counted as the first token, the prefill would seem finished at once: the learnt prefill rate would
+// be millions of tokens a second, long prompts would pile up in the engine, and servers would look slow by that
+// rate.
+func (e EngineProgress) tokenCount() uint32 {
 	if len(e.Tokens) == 0 {
 		return uint32(len(e.Events))
 	}
@@ -94,30 +97,30 @@
 		g.chartError("end of an unknown attempt")
 		return
 	}
-	if !a.run.open {
+	if !a.run.callOpen {
 		g.chartError("second end of a run")
 		return
 	}
-	a.run.open = false
+	a.run.callOpen = false
 	wasCancelled := a.cancel.cause != ""
 	if !wasCancelled {
 		a.cancel.cause = endCause(e)
 	}
 	if !wasCancelled && errors.Is(e.Err, engine.ErrUnknown) {
-		g.noteBroken(a)
+		g.recordBroken(a)
 	}
 	unreachable := errors.Is(e.Err, engine.ErrUnreachable)
 	if unreachable {
-		g.unreachable()
+		g.markUnreachable()
 	}
-	g.fire(a, endEvent(a, e), occasion{end: &e, cause: a.cancel.cause, refusal: refusal{
+	g.fire(a, endEvent(a, e), eventDetails{end: &e, cause: a.cancel.cause, refusal: refusal{
 		code:       refuseNoOffer.code,
 		message:    "the call never left the agent",
 		retryAfter: retrySoon,
 	}, unsent: unreachable})
 }
 
-// endCause is the cause of waste if the run ended other than whole.
+// endCause returns the cause of waste for a run that ended without a complete answer.
 func endCause(e EngineEnded) string {
 	if e.Err != nil || e.Outcome.End == engine.EndUnproved {
 		return CauseEngineLost
@@ -128,8 +131,9 @@
 	return CauseCancelled
 }
 
-// endEvent reads what the end of a run proves. Only the engine's own word, or that no byte was sent, proves an end:
-// after a lost connection the engine may go on. Taking that for an end would start the request elsewhere as well.
+// endEvent determines what the end of a run proves. Only the engine's own statement, or that no byte was sent,
+// proves an end: after a lost connection the engine may go on, and assuming an end would start the request on
+// another server as well.
 func endEvent(a *attempt, e EngineEnded) attemptEvent {
 	if e.Err != nil {
 		sent := a.frames.count > 0 || errors.Is(e.Err, engine.ErrUnknown) || errors.Is(e.Err, engine.ErrDuplicate)
@@ -151,7 +155,7 @@
 }
 
 func (g *Gate) engineCancelled(e EngineCancelled) {
-	if g.clearing.answered(g, e) {
+	if g.clearing.handleCancelAnswer(g, e) {
 		return
 	}
 	a := g.find(e.Attempt)
@@ -164,54 +168,54 @@
 		a.cancel.pending = false
 	}
 	a.cancel.unsupported = errors.Is(e.Err, engine.ErrUnsupported)
-	knows := e.Err == nil && e.Result == engine.CancelConfirmed
+	engineKnew := e.Err == nil && e.Result == engine.CancelConfirmed
 	unknown := e.Err == nil && e.Result == engine.CancelUnknownID
-	if !knows && !unknown {
-		g.fire(a, onNoAnswer, occasion{})
+	if !engineKnew && !unknown {
+		g.fire(a, onNoAnswer, eventDetails{})
 		return
 	}
-	after := a.cancel.firstAfter != 0 && e.Try >= a.cancel.firstAfter
-	g.fire(a, onConfirm, occasion{knows: knows, runOver: unknown && after, cause: a.cancel.cause})
+	after := a.cancel.firstTryAfterRun != 0 && e.Try >= a.cancel.firstTryAfterRun
+	g.fire(a, onConfirm, eventDetails{engineKnew: engineKnew, askedAfterRun: unknown && after, cause: a.cancel.cause})
 }
 
-// beginCancel notes why the end is asked for, and asks the engine.
-func (g *Gate) beginCancel(a *attempt, o *occasion) {
+// beginCancel records why the cancellation is requested, and asks the engine to cancel.
+func (g *Gate) beginCancel(a *attempt, o *eventDetails) {
 	if a.cancel.cause == "" {
 		a.cancel.cause = o.cause
 	}
-	if a.cancel.since.IsZero() {
-		a.cancel.since = g.now
+	if a.cancel.requestedAt.IsZero() {
+		a.cancel.requestedAt = g.now
 	}
-	a.addAsker(o.asker)
-	if a.cancel.unsureSince.IsZero() && !a.run.open {
-		a.cancel.unsureSince = g.now
+	a.addInquirer(o.inquirer)
+	if a.cancel.unprovenSince.IsZero() && !a.run.callOpen {
+		a.cancel.unprovenSince = g.now
 	}
-	if a.cancel.pending && (a.run.open || a.cancel.firstAfter != 0) {
+	if a.cancel.pending && (a.run.callOpen || a.cancel.firstTryAfterRun != 0) {
 		return
 	}
 	g.issueCancel(a)
 }
 
-// issueCancel asks the engine to end an attempt. The try tells whether the run had ended before: only then does an
-// unknown id prove that nothing runs and nothing will.
+// issueCancel asks the engine to end an attempt. The Try tells whether the run had ended before: only then does an
+// unknown id prove that the attempt isn't running and won't start.
 func (g *Gate) issueCancel(a *attempt) {
 	a.cancel.try++
 	a.cancel.unanswered++
-	if !a.run.open && a.cancel.firstAfter == 0 {
-		a.cancel.firstAfter = a.cancel.try
+	if !a.run.callOpen && a.cancel.firstTryAfterRun == 0 {
+		a.cancel.firstTryAfterRun = a.cancel.try
 	}
 	a.cancel.pending = true
-	a.cancel.issued = g.now
-	g.emit(CancelEngine{Attempt: a.id(), Stream: a.stream(), Try: a.cancel.try})
+	a.cancel.issuedAt = g.now
+	g.emit(CancelEngine{Attempt: a.id(), Stream: a.engineID(), Try: a.cancel.try})
 }
 
-// backOff plans the next try.
+// backOff schedules the next try.
 func (g *Gate) backOff(a *attempt) {
-	a.cancel.backoff = min(max(2*a.cancel.backoff, firstBackoff), longestWait)
-	a.cancel.again = g.now.Add(a.cancel.backoff)
+	a.cancel.backoff = min(max(2*a.cancel.backoff, firstBackoff), maxBackoff)
+	a.cancel.nextTryAt = g.now.Add(a.cancel.backoff)
 }
 
-// retryCancels asks the engine again about all attempts whose end isn't proved.
+// retryCancels repeats the cancels of all attempts whose end isn't proved.
 func (g *Gate) retryCancels() {
 	for _, a := range g.runs {
 		if a.state != cancelling {
@@ -220,20 +224,20 @@
 		if g.cancelDue(a) {
 			g.issueCancel(a)
 		}
-		if g.unsureTooLong(a) {
-			g.giveSlotBack(a)
+		if g.unprovenHoldElapsed(a) {
+			g.releaseSlot(a)
 		}
 	}
 }
 
 func (g *Gate) cancelDue(a *attempt) bool {
 	if a.cancel.pending {
-		return g.now.Sub(a.cancel.issued) >= answerTimeout
+		return g.now.Sub(a.cancel.issuedAt) >= answerTimeout
 	}
-	return !g.now.Before(a.cancel.again)
+	return !g.now.Before(a.cancel.nextTryAt)
 }
 
-func (g *Gate) unsureTooLong(a *attempt) bool {
-	since := a.cancel.unsureSince
-	return a.run.holds && !since.IsZero() && g.now.Sub(since) >= g.config.UnprovenHold
+func (g *Gate) unprovenHoldElapsed(a *attempt) bool {
+	since := a.cancel.unprovenSince
+	return a.run.holdsRoom && !since.IsZero() && g.now.Sub(since) >= g.config.UnprovenHold
 }
--- a/gate/server.go
+++ b/gate/server.go
@@ -8,26 +8,26 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// doubts are the reasons for which a server is suspect, as a set.
-type doubts uint8
+// suspectReasons is the set of reasons for which a server is suspect.
+type suspectReasons uint8
 
 const (
-	doubtSilent doubts = 1 << iota
-	doubtProbe
-	doubtPace
+	suspectSilent suspectReasons = 1 << iota
+	suspectProbe
+	suspectPace
 )
 
-// server is the backend server as its agent sees it.
+// server is the state of the backend server as its agent knows it.
 type server struct {
-	state    serverState
-	doubts   doubts
-	record   *wire.ServerRecord // nil before the first announcement
-	heard    time.Time          // last announcement
-	failures int                // probes failed in a row
-	changed  *wire.ServerRecord // as control was last told
+	state          serverState
+	suspectReasons suspectReasons
+	record         *wire.ServerRecord // nil before the first announcement
+	lastAnnounced  time.Time          // time of the last announcement
+	failedProbes   int                // consecutive failed probes
+	lastReported   *wire.ServerRecord // record last sent to control
 }
 
-// cleared tells whether all that the engine ran before this incarnation is proved over.
+// cleared reports whether everything that the engine ran before this incarnation is proved over.
 func (g *Gate) cleared() bool {
 	return g.server.state != serverAnnounced && g.server.state != serverLeaving
 }
@@ -49,104 +49,104 @@
 	}
 }
 
-func (g *Gate) announced(record *wire.ServerRecord) {
-	g.server.heard = g.now
+func (g *Gate) handleAnnounced(record *wire.ServerRecord) {
+	g.server.lastAnnounced = g.now
 	g.server.record = proto.CloneOf(record)
 	g.limit.announce(int(record.GetSlots()))
-	g.server.doubts &^= doubtSilent
+	g.server.suspectReasons &^= suspectSilent
 	g.fireServer(onAnnounce)
 	g.room.dirty = true
-	g.tellControl()
-	g.clearing.begin(g)
+	g.reportToControl()
+	g.clearing.start(g)
 }
 
-func (g *Gate) probed(e Probed) {
+func (g *Gate) handleProbed(e Probed) {
 	if !e.OK {
-		g.server.failures++
-		if g.server.failures >= g.config.ProbeFailures {
-			g.doubt(doubtProbe, onProbeFailed)
+		g.server.failedProbes++
+		if g.server.failedProbes >= g.config.ProbeFailures {
+			g.addSuspicion(suspectProbe, onProbeFailed)
 		}
 		return
 	}
-	g.server.failures = 0
-	g.trust(doubtProbe, onProbeSucceeded)
+	g.server.failedProbes = 0
+	g.removeSuspicion(suspectProbe, onProbeSucceeded)
 }
 
-// unreachable takes a connection that could not be made for as many failed probes as it takes, until one succeeds.
+// markUnreachable treats a failed connection attempt like the number of failed probes that makes the server
+// suspect, until a probe succeeds.
 //
-// A server that has crashed refuses calls within a millisecond, so its places are free at once: of all servers it looks
-// like the one with room, and draws the requests of all entries. One would notice by many refusals that "never left the
-// agent" with other servers idle: 309 in the 1.5 s until the second probe had failed, of four servers that crashed at
-// once.
-func (g *Gate) unreachable() {
-	g.server.failures = max(g.server.failures, g.config.ProbeFailures)
-	g.doubt(doubtProbe, onProbeFailed)
+// A server that has crashed refuses calls within a millisecond, so its slots are free at once. It looks like the
+// server with the most room and attracts the requests of all entries, which are refused as never sent while other
+// servers are idle: with four crashed servers, 309 such refusals in the 1.5 s until the second probe has failed.
+func (g *Gate) markUnreachable() {
+	g.server.failedProbes = max(g.server.failedProbes, g.config.ProbeFailures)
+	g.addSuspicion(suspectProbe, onProbeFailed)
 }
 
-// doubt adds a reason for suspicion.
-func (g *Gate) doubt(reason doubts, e serverEvent) {
-	if g.server.doubts&reason != 0 {
+// addSuspicion adds a reason why the server is suspect.
+func (g *Gate) addSuspicion(reason suspectReasons, e serverEvent) {
+	if g.server.suspectReasons&reason != 0 {
 		return
 	}
-	g.server.doubts |= reason
+	g.server.suspectReasons |= reason
 	g.fireServer(e)
 }
 
-// trust takes a reason away.
-func (g *Gate) trust(reason doubts, e serverEvent) {
-	if g.server.doubts&reason == 0 {
+// removeSuspicion removes a reason why the server is suspect.
+func (g *Gate) removeSuspicion(reason suspectReasons, e serverEvent) {
+	if g.server.suspectReasons&reason == 0 {
 		return
 	}
-	g.server.doubts &^= reason
-	if reason == doubtPace {
+	g.server.suspectReasons &^= reason
+	if reason == suspectPace {
 		g.limit.restart()
 	}
 	g.fireServer(e)
 }
 
-// checkServer looks for silence. A server that died says nothing: without this its slots would be filled until the
-// directory notices.
-func (g *Gate) checkServer() {
+// checkSilence detects a server without announcements. A server that died sends nothing, and without the check its
+// slots would be filled until the directory notices.
+func (g *Gate) checkSilence() {
 	if g.server.record == nil {
 		return
 	}
-	silence := g.now.Sub(g.server.heard)
+	silence := g.now.Sub(g.server.lastAnnounced)
 	if silence >= g.config.SilentAfter {
-		g.doubt(doubtSilent, onSilent)
+		g.addSuspicion(suspectSilent, onSilent)
 	}
 	if silence >= g.config.GoneAfter && g.server.state == serverSuspect {
 		g.fireServer(onGone)
 	}
 }
 
-// checkEmptied ends a drain once nothing is in flight, streams and unproven attempts included.
-func (g *Gate) checkEmptied() {
+// checkDrained ends a drain once nothing is in flight, including streams and unproven attempts.
+func (g *Gate) checkDrained() {
 	if g.server.state == serverDraining && g.inFlight() == 0 {
 		g.fireServer(onEmptied)
 	}
 }
 
-// tellCondition tells entries at once and control when the condition is another.
-func (g *Gate) tellCondition() {
+// publishCondition sends a changed condition to control, and to entries at once.
+func (g *Gate) publishCondition() {
 	g.room.dirty = true
-	g.tellControl()
+	g.reportToControl()
 }
 
-// tellControl passes the record on if control was told another one.
-func (g *Gate) tellControl() {
+// reportToControl sends the server's record to control if it differs from the one sent last.
+func (g *Gate) reportToControl() {
 	if !g.cleared() || g.server.record == nil {
 		return
 	}
 	record := proto.CloneOf(g.server.record)
 	record.Condition = g.condition()
-	if proto.Equal(record, g.server.changed) {
+	if proto.Equal(record, g.server.lastReported) {
 		return
 	}
-	g.server.changed = record
+	g.server.lastReported = record
 	g.emit(ServerChanged{Server: proto.CloneOf(record)})
 }
 
-// serves tells whether the server has what the work needs.
+// serves reports whether the server offers the target of the work.
 func (g *Gate) serves(w *wire.Work) bool {
 	for _, target := range g.server.record.GetModels() {
 		if target == w.GetTarget() {
--- a/gate/step_test.go
+++ b/gate/step_test.go
@@ -8,11 +8,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// BenchmarkStep is the cost of one whole request with 1,000 others waiting: reservation, offer, dispatch, eight
-// progress events, end.
+// BenchmarkStep measures one complete request while 1,000 others wait: reservation, offer, dispatch, eight progress
+// events and end.
 func BenchmarkStep(b *testing.B) {
 	const waiting, organisations, classes, steps = 1000, 8, 4, 11
-	w := openBenchWith(b, Config{NoPredecessor: true, MaxRecords: 1 << 22}, sampleRecord(16))
+	w := newReadyHarnessWith(b, Config{NoPredecessor: true, MaxRecords: 1 << 22}, sampleRecord(16))
 	makeWork := func(i int) *wire.Work {
 		return workOf(func(w *wire.Work) {
 			w.Organisation = fmt.Sprint("org-", i%organisations)
