--- a/entry/verbatim.go
+++ b/entry/verbatim.go
@@ -43,10 +43,10 @@
 
 // AnswerWriter takes an answer as it comes. An error means that the caller can't be reached any more.
 type AnswerWriter interface {
-	// Head comes first, once.
-	Head(head *wire.AnswerHead) error
-	// Part takes the next bytes of the body, which must go out at once.
-	Part(data []byte) error
+	// WriteHead comes first, once.
+	WriteHead(head *wire.AnswerHead) error
+	// WriteBody takes the next bytes of the body, which must go out at once.
+	WriteBody(data []byte) error
 }
 
 // Admission is a call whose route and organisation are known, before its body is read.
@@ -307,7 +307,7 @@
 		for _, part := range d.events {
 			out.size += len(part)
 			if headed {
-				err = w.Part(part)
+				err = w.WriteBody(part)
 			} else {
 				headed, err = true, passHead(part, w, out)
 			}
@@ -332,5 +332,5 @@
 		return err
 	}
 	out.status = int(head.GetStatus())
-	return w.Head(head)
+	return w.WriteHead(head)
 }
--- a/entry/verbatim_test.go
+++ b/entry/verbatim_test.go
@@ -25,15 +25,15 @@
 	body  strings.Builder
 }
 
-// Head implements AnswerWriter.
-func (w *written) Head(head *wire.AnswerHead) error {
+// WriteHead implements AnswerWriter.
+func (w *written) WriteHead(head *wire.AnswerHead) error {
 	w.head = head
 	w.heads++
 	return nil
 }
 
-// Part implements AnswerWriter.
-func (w *written) Part(data []byte) error {
+// WriteBody implements AnswerWriter.
+func (w *written) WriteBody(data []byte) error {
 	w.body.Write(data)
 	return nil
 }
