--- a/entry/admit.go
+++ b/entry/admit.go
@@ -17,11 +17,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// tierOne is the highest tier.
-const tierOne = 1
+// highestTier is the number of the highest-priority tier.
+const highestTier = 1
 
-// admit checks what all calls have in common, and returns the request without its target. The body is read whole, and
-// counted until release.
+// admit performs the checks common to all calls and returns the request without its target. It reads the whole body,
+// which counts towards the limit on body bytes until releaseBody.
 func (e *Entry) admit(c echo.Context, organisation, kind string) (*sched.Request, *result.Error) {
 	arrived := e.now()
 	if err := e.notReady(); err != nil {
@@ -60,16 +60,16 @@
 	}, nil
 }
 
-// chooseClass takes the class that the header names, else the organisation's default.
+// chooseClass returns the class named in the request header, or the organisation's default class.
 func (e *Entry) chooseClass(c echo.Context, organisation, kind string) (*wire.Class, *result.Error) {
 	name := c.Request().Header.Get(headerClass)
 	if name == "" {
-		name = e.defaults[organisation]
+		name = e.defaultClasses[organisation]
 	}
 	if name == "" {
 		return nil, result.New(result.UnknownClass, "name a class in %s: the organisation has no default", headerClass)
 	}
-	class := e.view.Load().classes[name]
+	class := e.catalogue.Load().classes[name]
 	if class == nil {
 		return nil, result.New(result.UnknownClass, "no class %q", name)
 	}
@@ -96,7 +96,7 @@
 	return r < ' ' || r > '~'
 }
 
-// chooseDeadline takes the class's deadline, or a shorter one that the caller asks for.
+// chooseDeadline returns the time allowed for the call: the class's deadline, or a shorter one requested by the caller.
 func chooseDeadline(c echo.Context, class *wire.Class) (time.Duration, *result.Error) {
 	deadline := time.Duration(class.GetDeadlineMs()) * time.Millisecond
 	header := c.Request().Header.Get(headerDeadline)
@@ -110,7 +110,8 @@
 	return min(deadline, time.Duration(ms)*time.Millisecond), nil
 }
 
-// readBody reads the body whole. Bodies of all requests together are bounded, for the tiers below the first by less.
+// readBody reads the whole body. The total size of all bodies held is bounded, with a lower bound for tiers below the
+// first.
 func (e *Entry) readBody(c echo.Context, class *wire.Class) ([]byte, *result.Error) {
 	bound := int64(e.settings.Limits.MaxBody)
 	if c.Request().ContentLength > bound {
@@ -125,37 +126,37 @@
 		return nil, result.Wrap(err, result.MalformedBody, "the body can't be read to its end")
 	}
 	total := e.bodyBytes.Add(int64(len(body)))
-	if float64(total) > float64(e.settings.Limits.MaxQueuedBytes)*tierShare(class) {
+	if float64(total) > float64(e.settings.Limits.MaxQueuedBytes)*tierFraction(class) {
 		e.bodyBytes.Add(-int64(len(body)))
 		return nil, result.New(result.QueueFull, "the bodies of waiting requests fill their bound").WithRetryAfter(controlRetryAfter)
 	}
 	return body, nil
 }
 
-// release takes a request's body off the count.
-func (e *Entry) release(r *sched.Request) {
+// releaseBody subtracts a request's body from the count of body bytes.
+func (e *Entry) releaseBody(r *sched.Request) {
 	e.bodyBytes.Add(-int64(len(r.Body)))
 }
 
-func tierShare(class *wire.Class) float64 {
-	if class.GetTier() <= tierOne {
+func tierFraction(class *wire.Class) float64 {
+	if class.GetTier() <= highestTier {
 		return 1
 	}
-	return lowerTierShare
+	return lowerTierFraction
 }
 
-// arrive hands a request to the scheduler. With an error the scheduler never heard of it.
-func (e *Entry) arrive(r *sched.Request) (*call, *result.Error) {
-	if end := e.endBy.Load(); end != nil {
+// submit passes a request to the scheduler. If it returns an error, the scheduler has not received the request.
+func (e *Entry) submit(r *sched.Request) (*call, *result.Error) {
+	if end := e.drainDeadline.Load(); end != nil {
 		r.EntryStopsBy = *end
 	}
 	call := newCall(r, int(e.settings.Limits.MaxAnswer))
-	if !e.calls.open(call) {
+	if !e.calls.register(call) {
 		return nil, result.New(result.Internal, "the request's identity is in use").WithRan(result.RanUnknown)
 	}
-	full := float64(e.inputs.Len()) > float64(e.inputs.Cap())*tierShare(r.Class)
+	full := float64(e.inputs.Len()) > float64(e.inputs.Cap())*tierFraction(r.Class)
 	if full || !e.inputs.TryPush(input{event: sched.Arrive{Request: r}}) {
-		e.calls.close(r.ID)
+		e.calls.remove(r.ID)
 		return nil, result.New(result.RingFull, "").WithRetryAfter(controlRetryAfter)
 	}
 	e.log.WithField("request", r.ID).
@@ -166,12 +167,13 @@
 	return call, nil
 }
 
-// beforeRecord corrects a refusal of a keyed call whose operation record wasn't read. It may be the resend of one that
-// ran, or runs, at another entry, so only mistakes of form leave "ran" as it is.
+// refusalWithoutRecord corrects the refusal of a keyed call whose operation record was not read. The call may be a
+// resend of one that ran, or is running, at another entry, so only refusals for a malformed call keep their "ran"
+// value.
 //
-// Otherwise: an entry dispatches a pass and dies; the caller sends again with the same key, to an entry that is cut off;
-// it hears that its request was not run, while the pass was issued.
-func beforeRecord(c echo.Context, err *result.Error) *result.Error {
+// Without this, an entry dispatches the request and crashes, the caller resends with the same key to an entry that is
+// cut off from control, and is told that the request did not run although it did.
+func refusalWithoutRecord(c echo.Context, err *result.Error) *result.Error {
 	if c.Request().Header.Get(headerIdempotencyKey) == "" {
 		return err
 	}
--- a/entry/agent_subset.go
+++ b/entry/agent_subset.go
@@ -8,34 +8,36 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// To how many agents an entry keeps links for each model or service.
+// Number of agents that an entry keeps links to for each model or service.
 //
-// A link costs heartbeats and messages about room at both ends, whether or not work goes over it. With links from every entry to
-// every agent their number grows with the product: 105 entries and 180 agents had 18,900 links, which took more processor
-// time than the requests. An entry has 16 requests a second there; some dozen servers are as good a choice for it as all.
+// A link costs heartbeats and room messages at both ends, whether or not it carries requests. With links from every
+// entry to every agent, their number grows with the product: 105 entries and 180 agents have 18,900 links, which take
+// more processor time than the requests. At that size an entry handles 16 requests a second, for which a couple of
+// dozen servers offer as good a choice as all of them.
 const (
-	// linkedPerTarget is how many agents of a model or service an entry links to. Their servers have some 120 slots, where an
-	// entry has some 30 requests under way under twice the usual load.
-	linkedPerTarget = 24
-	// linkedNear is how many of them are in its own availability zone, where there are so many. The rest is from all other
-	// zones, so that a zone whose callers or servers are many more than usual shares with all others.
-	linkedNear = 12
+	// linksPerTarget is the number of agents of a model or service that an entry links to. Their servers have about 120
+	// slots, while an entry has about 30 requests in flight at twice the usual load.
+	linksPerTarget = 24
+	// sameZoneLinksPerTarget is how many of them are in the entry's own availability zone, if it has that many. The
+	// others are in other zones, so that a zone with unusually many callers or servers shares load with the rest.
+	sameZoneLinksPerTarget = 12
 )
 
-// agentSubset returns the agents that an entry keeps links to: all of few, else some of each target, by a hash of the entry and
-// the agent. So each agent has links from about equally many entries, and one that comes or goes changes the links of few.
-// Agents of servers that are needed are always among them. The order is that of agents.
+// agentSubset returns the agents that an entry keeps links to: all of them if there are few, otherwise a subset for
+// each target, chosen by a hash of the entry and the agent. Each agent thus has links from about the same number of
+// entries, and adding or removing an agent changes few links. The agents of the servers in needed are always included.
+// The order is that of agents.
 func agentSubset(entry, zone string, agents []*wire.AgentRecord, needed map[string]bool) []*wire.AgentRecord {
-	if len(agents) <= linkedPerTarget {
+	if len(agents) <= linksPerTarget {
 		return agents
 	}
-	chosen := make(map[string]bool, 2*linkedPerTarget)
+	chosen := make(map[string]bool, 2*linksPerTarget)
 	byTarget := make(map[string][]candidate)
 	for _, agent := range agents {
 		ranked := candidate{
-			name:   agent.GetAgent(),
-			isNear: agent.GetAvailabilityZone() == zone,
-			rank:   rendezvous.Rank(entry, agent.GetAgent()),
+			name:       agent.GetAgent(),
+			isSameZone: agent.GetAvailabilityZone() == zone,
+			rank:       rendezvous.Rank(entry, agent.GetAgent()),
 		}
 		for _, target := range targetsOf(agent) {
 			byTarget[target] = append(byTarget[target], ranked)
@@ -50,31 +52,32 @@
 	return slices.DeleteFunc(slices.Clone(agents), func(agent *wire.AgentRecord) bool { return !chosen[agent.GetAgent()] })
 }
 
-// candidate is an agent, or a server without one, as one entry sees it.
+// candidate is an agent, or a server without an agent, as ranked by one entry.
 type candidate struct {
-	name   string
-	isNear bool // in the entry's availability zone
-	rank   uint64
+	name       string
+	isSameZone bool // in the entry's availability zone
+	rank       uint64
 }
 
-// chooseCandidates takes the near ones first, up to their bound, then the far ones, then more near ones if there are too few far.
+// chooseCandidates takes candidates of the same zone first, up to their bound, then those of other zones, then more of
+// the same zone if the other zones have too few.
 func chooseCandidates(all []candidate) []candidate {
 	slices.SortFunc(all, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.name, b.name)) })
-	var near, far []candidate
+	var sameZone, otherZones []candidate
 	for _, one := range all {
-		if one.isNear {
-			near = append(near, one)
+		if one.isSameZone {
+			sameZone = append(sameZone, one)
 		} else {
-			far = append(far, one)
+			otherZones = append(otherZones, one)
 		}
 	}
-	fromNear := min(len(near), max(linkedNear, linkedPerTarget-len(far)))
-	fromFar := min(len(far), linkedPerTarget-fromNear)
-	return append(near[:fromNear:fromNear], far[:fromFar]...)
+	fromSameZone := min(len(sameZone), max(sameZoneLinksPerTarget, linksPerTarget-len(otherZones)))
+	fromOtherZones := min(len(otherZones), linksPerTarget-fromSameZone)
+	return append(sameZone[:fromSameZone:fromSameZone], otherZones[:fromOtherZones]...)
 }
 
-// targetsOf are the models or services that an agent's servers have. An agent without servers is like one of a target that has
-// no name: it may have one soon.
+// targetsOf returns the models or services that an agent's servers offer. An agent without servers belongs to the
+// target with the empty name, since it may be assigned a server soon.
 func targetsOf(agent *wire.AgentRecord) []string {
 	var targets []string
 	for _, server := range agent.GetServers() {
--- a/entry/agentless_servers.go
+++ b/entry/agentless_servers.go
@@ -11,82 +11,82 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// takersPerServer is how many entries take a model server that has no agent, besides those that have it in their own choice: all of its
-// places are reached while two of them are away.
-const takersPerServer = 3
+// entriesPerServer is how many entries are assigned each model server without an agent, in addition to the entries that
+// prefer it. All slots of the server stay reachable while two of them are unavailable.
+const entriesPerServer = 3
 
-// unattended chooses which of the model servers without an agent this entry's own agent takes: those that fall to the entry among
-// all entries of the server's availability zone, so that no server is left out, and some of its own choice as with agents,
-// so that no entry is without.
+// agentlessSelector chooses which of the model servers without an agent this entry's local agent serves: those assigned
+// to the entry among all entries of the server's availability zone, so that every server is served, and a preferred
+// subset as with agents, so that every entry has servers.
 //
-// A server that is taken costs a gate with its duty, probes and memory. Were all of them taken by each entry, these would grow with the
-// product of servers and entries, for servers that an entry hardly ever uses.
-type unattended struct {
+// Each selected server costs a gate with a goroutine, probes and memory. If every entry selected all of them, this cost
+// would grow with the product of servers and entries, for servers that an entry rarely uses.
+type agentlessSelector struct {
 	entry, zone string
-	all         func(*session.View) []*wire.Announcement
+	list        func(*session.View) []*wire.Announcement
 
-	// Who takes a server changes with the entries alone.
-	entries map[string]string   // zones by name, as of falls
-	byZone  map[string][]string // their names
-	falls   map[string]bool     // whether a run falls to this entry
+	// The assignment of a server depends on the set of entries only.
+	zoneByEntry   map[string]string   // zone of each entry, as of the last refreshEntries
+	entriesByZone map[string][]string // names of the entries in each zone
+	assigned      map[string]bool     // whether a run is assigned to this entry
 }
 
-func newUnattended(entry, zone string, wait time.Duration) *unattended {
-	return &unattended{entry: entry, zone: zone, all: agent.Unattended(wait)}
+func newAgentlessSelector(entry, zone string, wait time.Duration) *agentlessSelector {
+	return &agentlessSelector{entry: entry, zone: zone, list: agent.Unattended(wait)}
 }
 
-// choose returns the servers that this entry takes. Only one goroutine may call it.
-func (u *unattended) choose(view *session.View) []*wire.Announcement {
-	found := u.all(view)
-	if len(found) <= linkedPerTarget {
+// choose returns the servers that this entry serves. It must not be called concurrently.
+func (s *agentlessSelector) choose(view *session.View) []*wire.Announcement {
+	found := s.list(view)
+	if len(found) <= linksPerTarget {
 		return found
 	}
-	u.refresh(view)
-	chosen := u.own(found)
-	falls := make(map[string]bool, len(found))
+	s.refreshEntries(view)
+	chosen := s.preferred(found)
+	assigned := make(map[string]bool, len(found))
 	for _, announcement := range found {
 		run := announcement.Run().String()
-		fell, known := u.falls[run]
+		isAssigned, known := s.assigned[run]
 		if !known {
-			fell = u.fallsHere(run, announcement.GetAvailabilityZone())
+			isAssigned = s.isAssignedHere(run, announcement.GetAvailabilityZone())
 		}
-		falls[run] = fell
-		chosen[run] = chosen[run] || fell
+		assigned[run] = isAssigned
+		chosen[run] = chosen[run] || isAssigned
 	}
-	u.falls = falls
+	s.assigned = assigned
 	return slices.DeleteFunc(found, func(a *wire.Announcement) bool { return !chosen[a.Run().String()] })
 }
 
-// refresh forgets who takes what when the entries have changed.
-func (u *unattended) refresh(view *session.View) {
-	same := len(view.Entries) == len(u.entries)
+// refreshEntries discards the assignments if the set of entries or their zones have changed.
+func (s *agentlessSelector) refreshEntries(view *session.View) {
+	unchanged := len(view.Entries) == len(s.zoneByEntry)
 	for name, entry := range view.Entries {
-		zone, known := u.entries[name]
-		same = same && known && zone == entry.GetAvailabilityZone()
+		zone, known := s.zoneByEntry[name]
+		unchanged = unchanged && known && zone == entry.GetAvailabilityZone()
 	}
-	if same {
+	if unchanged {
 		return
 	}
-	u.entries = make(map[string]string, len(view.Entries))
-	u.byZone = make(map[string][]string)
+	s.zoneByEntry = make(map[string]string, len(view.Entries))
+	s.entriesByZone = make(map[string][]string)
 	for name, entry := range view.Entries {
 		zone := entry.GetAvailabilityZone()
-		u.entries[name] = zone
-		u.byZone[zone] = append(u.byZone[zone], name)
+		s.zoneByEntry[name] = zone
+		s.entriesByZone[zone] = append(s.entriesByZone[zone], name)
 	}
-	u.falls = nil
+	s.assigned = nil
 }
 
-// own is this entry's own choice, by run.
-func (u *unattended) own(found []*wire.Announcement) map[string]bool {
+// preferred returns the runs that this entry prefers.
+func (s *agentlessSelector) preferred(found []*wire.Announcement) map[string]bool {
 	byPool := make(map[string][]candidate)
 	for _, announcement := range found {
 		run := announcement.Run().String()
 		pool := announcement.GetPool()
 		byPool[pool] = append(byPool[pool], candidate{
-			name:   run,
-			isNear: announcement.GetAvailabilityZone() == u.zone,
-			rank:   rendezvous.Rank(u.entry, run),
+			name:       run,
+			isSameZone: announcement.GetAvailabilityZone() == s.zone,
+			rank:       rendezvous.Rank(s.entry, run),
 		})
 	}
 	chosen := make(map[string]bool)
@@ -98,21 +98,22 @@
 	return chosen
 }
 
-// fallsHere tells whether this entry is among the takers of a server: the first of its zone in the server's own order, of all zones
-// where its own has no entry.
-func (u *unattended) fallsHere(run, zone string) bool {
-	candidates := u.byZone[zone]
+// isAssignedHere reports whether the server's run is assigned to this entry. The first entriesPerServer entries of the
+// server's zone, in the rendezvous order of the run, are assigned to it; if that zone has no entry, entries of all
+// zones are considered.
+func (s *agentlessSelector) isAssignedHere(run, zone string) bool {
+	candidates := s.entriesByZone[zone]
 	if len(candidates) == 0 {
-		candidates = slices.Collect(maps.Keys(u.entries))
-	} else if zone != u.zone {
+		candidates = slices.Collect(maps.Keys(s.zoneByEntry))
+	} else if zone != s.zone {
 		return false
 	}
-	own, before := rendezvous.Rank(run, u.entry), 0
+	ownRank, rankedBefore := rendezvous.Rank(run, s.entry), 0
 	for _, name := range candidates {
-		if rendezvous.Rank(run, name) < own {
-			before++
+		if rendezvous.Rank(run, name) < ownRank {
+			rankedBefore++
 		}
-		if before == takersPerServer {
+		if rankedBefore == entriesPerServer {
 			return false
 		}
 	}
--- a/entry/agentless_servers_test.go
+++ b/entry/agentless_servers_test.go
@@ -12,8 +12,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// unattendedView has servers without an agent and entries, over three zones in turn.
-func unattendedView(servers, entries int) *session.View {
+// agentlessView returns a view with servers that have no agent and with entries, distributed over three zones in turn.
+func agentlessView(servers, entries int) *session.View {
 	view := &session.View{
 		Announcements: make(map[string]*wire.Announcement),
 		Entries:       make(map[string]*wire.EntryRecord),
@@ -30,12 +30,13 @@
 	return view
 }
 
-// takers are how many entries take each server, and the most that one entry takes.
-func takers(view *session.View) (byServer map[string]int, most, least int) {
+// countSelections returns how many entries select each server, and the largest and smallest number of servers that one
+// entry selects.
+func countSelections(view *session.View) (byServer map[string]int, most, least int) {
 	byServer = make(map[string]int)
 	least = len(view.Announcements)
 	for name, record := range view.Entries {
-		chosen := newUnattended(name, record.GetAvailabilityZone(), 0).choose(view)
+		chosen := newAgentlessSelector(name, record.GetAvailabilityZone(), 0).choose(view)
 		most, least = max(most, len(chosen)), min(least, len(chosen))
 		for _, announcement := range chosen {
 			byServer[announcement.GetServer()]++
@@ -44,38 +45,38 @@
 	return byServer, most, least
 }
 
-// Symptom: entries of a large fleet spend their memory and processor time on servers that they hardly use, more with each server that
-// is added anywhere. Sequence: 2,700 model servers without an agent, 150 entries. Cause: each entry's own agent took all of
-// them. The pattern: servers grow with the machines, and so do entries; what one entry takes must not.
-func TestServersWithoutAnAgentAreSharedOut(t *testing.T) {
+// If each entry's local agent selected every agentless server, its memory and processor time would grow with every
+// server added to the fleet. Up to 2,700 model servers and 150 entries: the number that one entry selects must not grow
+// with the fleet.
+func TestAgentlessServersAreDistributed(t *testing.T) {
 	for _, fleet := range []struct{ servers, entries int }{{270, 15}, {900, 50}, {2700, 150}} {
 		t.Run(fmt.Sprint(fleet.servers), func(t *testing.T) {
-			byServer, most, least := takers(unattendedView(fleet.servers, fleet.entries))
-			require.Len(t, byServer, fleet.servers, "no server is left out")
+			byServer, most, least := countSelections(agentlessView(fleet.servers, fleet.entries))
+			require.Len(t, byServer, fleet.servers, "every server is selected")
 			for server, n := range byServer {
-				require.GreaterOrEqual(t, n, min(takersPerServer, fleet.entries/3), server)
+				require.GreaterOrEqual(t, n, min(entriesPerServer, fleet.entries/3), server)
 			}
-			mean := fleet.servers * takersPerServer / fleet.entries
-			require.LessOrEqual(t, most, 2*mean+linkedPerTarget, "the same at each size")
-			require.GreaterOrEqual(t, least, linkedPerTarget, "each entry has a choice")
+			meanPerEntry := fleet.servers * entriesPerServer / fleet.entries
+			require.LessOrEqual(t, most, 2*meanPerEntry+linksPerTarget, "bounded independently of the fleet size")
+			require.GreaterOrEqual(t, least, linksPerTarget, "each entry has servers to choose from")
 		})
 	}
 }
 
-func TestFewServersWithoutAnAgentAreAllTaken(t *testing.T) {
-	_, _, least := takers(unattendedView(linkedPerTarget, 100))
-	require.Equal(t, linkedPerTarget, least)
+func TestFewAgentlessServersAreAllSelected(t *testing.T) {
+	_, _, least := countSelections(agentlessView(linksPerTarget, 100))
+	require.Equal(t, linksPerTarget, least)
 }
 
-// Symptom: places of servers stand idle after entries are lost. Sequence: servers are shared out; a third of the entries is removed from
-// the directory. Cause: a choice that isn't made again.
-func TestServersOfLostEntriesAreTakenByOthers(t *testing.T) {
+// If assignments were not recomputed when entries leave the directory, the slots of the servers assigned to those
+// entries would stay unused. Here a third of the entries is removed.
+func TestServersOfRemovedEntriesAreReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		view := unattendedView(900, 50)
-		choices := make(map[string]*unattended)
+		view := agentlessView(900, 50)
+		choices := make(map[string]*agentlessSelector)
 		for name, record := range view.Entries {
-			choices[name] = newUnattended(name, record.GetAvailabilityZone(), time.Second)
-			require.Empty(t, choices[name].choose(view), "an agent may just be starting")
+			choices[name] = newAgentlessSelector(name, record.GetAvailabilityZone(), time.Second)
+			require.Empty(t, choices[name].choose(view), "no selection during the grace period")
 		}
 		time.Sleep(time.Second)
 		for name := range view.Entries {
@@ -84,14 +85,14 @@
 		for i := range 16 {
 			delete(view.Entries, fmt.Sprint("entry-", i))
 		}
-		taken := make(map[string]int)
+		selected := make(map[string]int)
 		for name := range view.Entries {
 			for _, announcement := range choices[name].choose(view) {
-				taken[announcement.GetServer()]++
+				selected[announcement.GetServer()]++
 			}
 		}
 		for server := range 900 {
-			require.GreaterOrEqual(t, taken[fmt.Sprint("server-", server)], takersPerServer)
+			require.GreaterOrEqual(t, selected[fmt.Sprint("server-", server)], entriesPerServer)
 		}
 	})
 }
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -10,14 +10,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Objects of the completion format.
+// Object names of the completion format.
 const (
 	objectChat       = "chat.completion"
 	objectCompletion = "text_completion"
 	chatPathSuffix   = "/chat/completions"
 )
 
-// chunk is one event of an engine's stream, for both kinds of completion.
+// chunk is one event of an engine's stream, for chat and text completions.
 type chunk struct {
 	ID                string              `json:"id"`
 	Created           int64               `json:"created"`
@@ -41,7 +41,7 @@
 	ToolCalls []toolCall `json:"tool_calls"`
 }
 
-// toolCall is a call that the model wants made, or a part of one, by its index.
+// toolCall is a tool call requested by the model, or a fragment of one, identified by its index.
 type toolCall struct {
 	Index    int          `json:"index"`
 	ID       string       `json:"id"`
@@ -54,7 +54,7 @@
 	Arguments string `json:"arguments"`
 }
 
-// completion is the whole answer.
+// completion is the complete answer object.
 type completion struct {
 	ID                string       `json:"id"`
 	Object            string       `json:"object"`
@@ -79,30 +79,30 @@
 	ToolCalls []toolCall `json:"tool_calls,omitempty"`
 }
 
-// assembler puts the events of one answer together.
+// assembler builds a completion object from the events of one answer.
 type assembler struct {
-	chat    bool
-	first   chunk
-	seen    bool
-	choices []*choiceText
-	usage   *engine.Usage
+	chat     bool
+	first    chunk
+	hasFirst bool
+	choices  []*choiceText
+	usage    *engine.Usage
 }
 
 type choiceText struct {
-	role   string
-	text   strings.Builder
-	tools  []toolCall
-	finish *string
+	role         string
+	text         strings.Builder
+	toolCalls    []toolCall
+	finishReason *string
 }
 
-// maxChoices bounds the choices of one answer, maxToolCalls the calls of one choice.
+// maxChoices bounds the choices of an answer, maxToolCalls the tool calls of a choice.
 const (
 	maxChoices   = 128
 	maxToolCalls = 128
 )
 
-// assemble makes the completion object from the events of a whole answer. It fails on an event that isn't of the
-// completion format. Log probabilities are left out: they are passed on in streams only.
+// assemble builds the completion object from the events of a complete answer. It returns an error for an event that is
+// not in the completion format. Log probabilities are omitted: they are only passed on in streams.
 func assemble(path string, events [][]byte, end *wire.AnswerEnd) ([]byte, error) {
 	a := &assembler{chat: strings.HasSuffix(path, chatPathSuffix)}
 	for _, event := range events {
@@ -110,8 +110,8 @@
 			return nil, err
 		}
 	}
-	if !a.seen {
-		return nil, errors.New("no event")
+	if !a.hasFirst {
+		return nil, errors.New("answer without events")
 	}
 	return json.Marshal(a.completion(end))
 }
@@ -119,13 +119,13 @@
 func (a *assembler) add(event []byte) error {
 	var c chunk
 	if err := json.Unmarshal(event, &c); err != nil {
-		return errors.Wrap(err, "event")
+		return errors.Wrap(err, "decode event")
 	}
 	if c.Error != nil {
 		return errors.Errorf("error event: %s", c.Error.Type)
 	}
-	if !a.seen {
-		a.first, a.seen = c, true
+	if !a.hasFirst {
+		a.first, a.hasFirst = c, true
 	}
 	if c.Usage != nil {
 		a.usage = c.Usage
@@ -140,7 +140,7 @@
 
 func (a *assembler) addChoice(c *chunkChoice) error {
 	if c.Index < 0 || c.Index >= maxChoices {
-		return errors.Errorf("choice %d", c.Index)
+		return errors.Errorf("choice index %d out of range", c.Index)
 	}
 	for len(a.choices) <= c.Index {
 		a.choices = append(a.choices, &choiceText{})
@@ -152,21 +152,21 @@
 	to.text.WriteString(c.Text)
 	to.text.WriteString(c.Delta.Content)
 	if c.FinishReason != nil {
-		to.finish = c.FinishReason
+		to.finishReason = c.FinishReason
 	}
 	return to.addTools(c.Delta.ToolCalls)
 }
 
-// addTools joins the parts of tool calls.
+// addTools merges fragments of tool calls by their index.
 func (c *choiceText) addTools(parts []toolCall) error {
 	for _, part := range parts {
 		if part.Index < 0 || part.Index >= maxToolCalls {
-			return errors.Errorf("tool call %d", part.Index)
+			return errors.Errorf("tool call index %d out of range", part.Index)
 		}
-		for len(c.tools) <= part.Index {
-			c.tools = append(c.tools, toolCall{Index: len(c.tools)})
+		for len(c.toolCalls) <= part.Index {
+			c.toolCalls = append(c.toolCalls, toolCall{Index: len(c.toolCalls)})
 		}
-		to := &c.tools[part.Index]
+		to := &c.toolCalls[part.Index]
 		to.ID += part.ID
 		to.Function.Name += part.Function.Name
 		to.Function.Arguments += part.Function.Arguments
@@ -178,7 +178,7 @@
 }
 
 func (a *assembler) completion(end *wire.AnswerEnd) *completion {
-	done := &completion{
+	completed := &completion{
 		ID:                a.first.ID,
 		Object:            objectCompletion,
 		Created:           a.first.Created,
@@ -188,30 +188,30 @@
 		Usage:             a.tokens(end),
 	}
 	if a.chat {
-		done.Object = objectChat
+		completed.Object = objectChat
 	}
 	for i, c := range a.choices {
-		done.Choices = append(done.Choices, a.choice(i, c))
+		completed.Choices = append(completed.Choices, a.choice(i, c))
 	}
-	return done
+	return completed
 }
 
 func (a *assembler) choice(index int, c *choiceText) choice {
 	text := c.text.String()
-	made := choice{Index: index, FinishReason: c.finish}
+	built := choice{Index: index, FinishReason: c.finishReason}
 	if !a.chat {
-		made.Text = &text
-		return made
+		built.Text = &text
+		return built
 	}
 	role := c.role
 	if role == "" {
 		role = "assistant"
 	}
-	made.Message = &message{Role: role, Content: text, ToolCalls: c.tools}
-	return made
+	built.Message = &message{Role: role, Content: text, ToolCalls: c.toolCalls}
+	return built
 }
 
-// tokens returns the engine's own usage if an event carried it, else what the agent counted.
+// tokens returns the engine's own usage if an event carried it, otherwise the agent's counts.
 func (a *assembler) tokens(end *wire.AnswerEnd) engine.Usage {
 	if a.usage != nil {
 		return *a.usage
--- a/entry/assemble_test.go
+++ b/entry/assemble_test.go
@@ -39,7 +39,7 @@
 	require.Contains(t, string(body), `"tool_calls":[{"index":0,"id":"t1","type":"function","function":{"name":"check","arguments":"{\"pass\":1}"}}]`)
 }
 
-func TestAssembleRefuses(t *testing.T) {
+func TestAssembleErrors(t *testing.T) {
 	for name, events := range map[string][][]byte{
 		"nothing":        nil,
 		"not JSON":       eventsOf(`{`),
--- a/entry/call.go
+++ b/entry/call.go
@@ -9,10 +9,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// call is one request between the scheduler duty, which fills it, and the goroutine that follows it.
+// call is a request in progress. The scheduler goroutine adds events to it, and another goroutine passes them to the
+// caller.
 type call struct {
-	request *sched.Request
-	bound   int // bytes of events that may wait
+	request  *sched.Request
+	maxBytes int // bound on the bytes of events that wait to be read
 
 	mu       sync.Mutex
 	wake     chan struct{}
@@ -20,36 +21,36 @@
 	bytes    int
 	overflow bool
 	ended    bool
-	end      *wire.AnswerEnd // with a whole answer
-	err      *result.Error   // with a failure
-	fate     fate
-	trace    sched.Trace // with either
+	end      *wire.AnswerEnd // set if the answer is complete
+	err      *result.Error   // set on failure
+	attempts attemptSummary
+	trace    sched.Trace // set in both cases
 }
 
-// fate is what is known of the attempts of a failed request.
-type fate struct {
-	sent bool // an attempt was sent
-	over bool // all attempts are proved over
+// attemptSummary is the state of the attempts of a failed request.
+type attemptSummary struct {
+	anySent  bool // at least one attempt was dispatched
+	allEnded bool // all attempts are proven to have ended
 }
 
-func newCall(request *sched.Request, bound int) *call {
-	return &call{request: request, bound: bound, wake: make(chan struct{}, 1)}
+func newCall(request *sched.Request, maxBytes int) *call {
+	return &call{request: request, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// delivery is what a call got since the last look.
+// delivery holds the events and the outcome added to a call since the previous delivery.
 type delivery struct {
-	events [][]byte
-	ended  bool
-	end    *wire.AnswerEnd
-	err    *result.Error
-	fate   fate
-	trace  sched.Trace
+	events   [][]byte
+	ended    bool
+	end      *wire.AnswerEnd
+	err      *result.Error
+	attempts attemptSummary
+	trace    sched.Trace
 }
 
-// next waits until there is something, or ctx ends.
+// next waits until there are events or an outcome, or until ctx ends.
 func (c *call) next(ctx context.Context) (delivery, error) {
 	for {
-		if d, ok := c.take(); ok {
+		if d, ok := c.poll(); ok {
 			return d, nil
 		}
 		select {
@@ -60,24 +61,24 @@
 	}
 }
 
-func (c *call) take() (delivery, bool) {
+func (c *call) poll() (delivery, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.overflow {
 		return delivery{ended: true, err: result.New(result.AnswerTooLarge, "the caller reads too slowly").WithRan(result.RanYes)}, true
 	}
-	d := delivery{events: c.events, ended: c.ended, end: c.end, err: c.err, fate: c.fate, trace: c.trace}
+	d := delivery{events: c.events, ended: c.ended, end: c.end, err: c.err, attempts: c.attempts, trace: c.trace}
 	c.events = nil
 	c.bytes = 0
 	return d, len(d.events) > 0 || d.ended
 }
 
-// change changes the call and wakes who follows it.
-func (c *call) change(do func()) {
+// update changes the call, unless it has ended, and wakes the goroutine that follows it.
+func (c *call) update(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ended {
-		do()
+		change()
 	}
 	select {
 	case c.wake <- struct{}{}:
@@ -85,13 +86,13 @@
 	}
 }
 
-// add takes events. A caller that doesn't read would let them pile up; beyond the bound they are dropped, and the
+// add appends events. If the caller reads too slowly and the waiting events exceed the bound, they are dropped and the
 // stream ends without [DONE].
 func (c *call) add(events [][]byte) {
 	for _, event := range events {
 		c.bytes += len(event)
 	}
-	if c.bytes > c.bound {
+	if c.bytes > c.maxBytes {
 		c.overflow = true
 		c.events = nil
 		return
@@ -105,7 +106,7 @@
 	return c.overflow
 }
 
-// calls are the requests that the scheduler knows.
+// calls holds the requests known to the scheduler, by ID.
 type calls struct {
 	mu  sync.Mutex
 	all map[string]*call
@@ -115,8 +116,8 @@
 	return &calls{all: make(map[string]*call)}
 }
 
-// open adds a call. False means that the identity is in use.
-func (c *calls) open(call *call) bool {
+// register adds a call. It returns false if the request ID is in use.
+func (c *calls) register(call *call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.all[call.request.ID] != nil {
@@ -126,7 +127,7 @@
 	return true
 }
 
-func (c *calls) close(id string) {
+func (c *calls) remove(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.all, id)
@@ -138,13 +139,13 @@
 	return c.all[id]
 }
 
-// list returns up to maxListed of the requests that a reader may see.
-func (c *calls) list(who reader) []*sched.Request {
+// visibleTo returns up to maxListedRequests of the requests that the viewer may see.
+func (c *calls) visibleTo(viewer requestViewer) []*sched.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var found []*sched.Request
 	for _, call := range c.all {
-		if who.sees(call.request.Organisation) && len(found) < maxListed {
+		if viewer.maySee(call.request.Organisation) && len(found) < maxListedRequests {
 			found = append(found, call.request)
 		}
 	}
@@ -153,37 +154,38 @@
 
 func (c *calls) deliver(id string, events [][]byte) {
 	if call := c.get(id); call != nil {
-		call.change(func() { call.add(events) })
+		call.update(func() { call.add(events) })
 	}
 }
 
-func (c *calls) answer(a sched.Answer) {
+func (c *calls) complete(a sched.Answer) {
 	id := a.Request
 	call := c.get(id)
 	if call == nil {
 		return
 	}
-	c.close(id)
-	call.change(func() { call.ended, call.end, call.trace = true, a.End, a.Trace })
+	c.remove(id)
+	call.update(func() { call.ended, call.end, call.trace = true, a.End, a.Trace })
 }
 
-func (c *calls) fail(a sched.Fail, f fate) {
+func (c *calls) fail(a sched.Fail, attempts attemptSummary) {
 	id := a.Request
 	call := c.get(id)
 	if call == nil {
 		return
 	}
-	c.close(id)
-	call.change(func() { call.ended, call.err, call.fate, call.trace = true, a.Err, f, a.Trace })
+	c.remove(id)
+	call.update(func() { call.ended, call.err, call.attempts, call.trace = true, a.Err, attempts, a.Trace })
 }
 
-// failAll ends what is left when the duties have ended. Nobody can prove any more what became of it.
+// failAll ends the remaining calls after the goroutines that serve them have ended. The outcome of these requests can
+// no longer be determined.
 func (c *calls) failAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	err := result.New(result.UnprovenAttemptAtDeadline, "the entry instance stopped before the answer came")
 	for id, call := range c.all {
 		delete(c.all, id)
-		call.change(func() { call.ended, call.err, call.fate = true, err, fate{sent: true} })
+		call.update(func() { call.ended, call.err, call.attempts = true, err, attemptSummary{anySent: true} })
 	}
 }
--- a/entry/catalogue.go
+++ b/entry/catalogue.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// catalogue is what callers may ask for, as of one view. It is never changed.
+// catalogue is what callers may request according to one view. It is immutable.
 type catalogue struct {
 	version  uint64
 	classes  map[string]*wire.Class
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -19,7 +19,7 @@
 	return classes
 }
 
-// classesOf are all classes of a view, those of the desired state's routes too.
+// classesOf returns all classes of a view, including those of the desired state's routes.
 func classesOf(view *session.View) []*wire.Class {
 	classes := sortedClasses(view)
 	for _, route := range view.Desired.GetRoutes() {
@@ -36,39 +36,40 @@
 	return agents
 }
 
-// observe notes a configuration version that another process has shown. The session fetches it if it is news.
-func (e *Entry) observe(version uint64) {
+// observeVersion records a configuration version reported by another process. If it is newer, the session fetches it.
+func (e *Entry) observeVersion(version uint64) {
 	e.control.ObserveVersion(version)
 	for {
-		old := e.wanted.Load()
-		if version <= old || e.wanted.CompareAndSwap(old, version) {
+		old := e.highestVersion.Load()
+		if version <= old || e.highestVersion.CompareAndSwap(old, version) {
 			return
 		}
 	}
 }
 
-// waitForVersion returns once the newest configuration that any process has shown is in force here.
+// waitForVersion returns once the newest configuration reported by any process is in force here.
 //
-// A wait of 0 waits for none: an entry that is cut off from control goes on by what it has.
+// If the version wait in the settings is 0, it doesn't wait: an entry that is cut off from control continues with the
+// configuration it has.
 //
-// Without the wait a request that comes just after a change would be judged by the class as it was, although this process
-// could know better; one would notice it as a deadline or tier that goes back for a moment.
+// Without the wait, a request that arrives just after a change would be handled by the previous version of its class
+// although this process knows of a newer one, and its deadline or tier would briefly revert.
 func (e *Entry) waitForVersion(ctx context.Context) *result.Error {
 	wait := e.settings.Timing.VersionWait
-	if wait <= 0 || e.view.Load().version >= e.wanted.Load() {
+	if wait <= 0 || e.catalogue.Load().version >= e.highestVersion.Load() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	for pause.For(ctx, drainPoll) {
-		if e.view.Load().version >= e.wanted.Load() {
+	for pause.For(ctx, drainPollInterval) {
+		if e.catalogue.Load().version >= e.highestVersion.Load() {
 			return nil
 		}
 	}
 	return result.New(result.ConfigurationOlder, "")
 }
 
-// notReady returns why no request may be admitted, nil if they may.
+// notReady returns the reason that requests may not be admitted, or nil if they may.
 func (e *Entry) notReady() *result.Error {
 	if e.stopping.Load() {
 		return result.New(result.Stopping, "")
@@ -79,10 +80,10 @@
 	if err := e.control.CutOff(); err != nil {
 		return result.From(err)
 	}
-	if e.options.Callers != nil && e.view.Load().routing == nil {
+	if e.options.Callers != nil && e.catalogue.Load().routing == nil {
 		return result.New(result.Starting, "no desired state is in force yet")
 	}
-	if e.view.Load().version == 0 {
+	if e.catalogue.Load().version == 0 {
 		return result.New(result.Starting, "no configuration is in force yet")
 	}
 	return nil
--- a/entry/discard_body.go
+++ b/entry/discard_body.go
@@ -9,19 +9,19 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Bounds of what is read only to be thrown away.
+// Limits on reading the rest of a refused body.
 const (
-	// discardBodies bounds it in bytes, as a multiple of the largest body that is accepted.
-	discardBodies = 4
-	// discardTimeout bounds it in time.
+	// discardBodyFactor bounds the bytes, as a multiple of the largest body accepted.
+	discardBodyFactor = 4
+	// discardTimeout bounds the time.
 	discardTimeout = 5 * time.Second
 )
 
-// discardBody reads the rest of a refused request's body, before the refusal is written.
+// discardBody reads the rest of a refused request's body before the refusal is written.
 //
-// A connection that is closed while the caller still sends is reset, and the reset takes the refusal with it: the
-// caller sees a broken connection in place of a code, and can't know that its request was not run. Whoever sends more
-// than the bounds is cut off all the same, or a few callers could keep the entry reading for ever.
+// Closing a connection while the caller is still sending resets it, and the reset discards the refusal: the caller sees
+// a connection error instead of a code, and can't know that its request did not run. A caller that exceeds the limits
+// is disconnected anyway, since otherwise a few callers could keep the entry reading indefinitely.
 func (e *Entry) discardBody(c echo.Context) {
 	request := c.Request()
 	if isAwaitingContinue(request) {
@@ -31,10 +31,11 @@
 	if control.SetReadDeadline(time.Now().Add(discardTimeout)) != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, request.Body, discardBodies*int64(e.settings.Limits.MaxBody))
+	_, _ = io.CopyN(io.Discard, request.Body, discardBodyFactor*int64(e.settings.Limits.MaxBody))
 }
 
-// isAwaitingContinue tells whether the caller sends its body only after it is asked to, which a read would do.
+// isAwaitingContinue reports whether the caller sends its body only after a 100 Continue response, which reading the
+// body would trigger.
 func isAwaitingContinue(request *http.Request) bool {
 	return strings.EqualFold(request.Header.Get("Expect"), "100-continue")
 }
--- a/entry/engine_proof.go
+++ b/entry/engine_proof.go
@@ -15,34 +15,35 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// prover asks a backend server itself to end an attempt whose agent is gone.
+// prover asks a backend server directly to end an attempt whose agent is unreachable.
 //
-// That the engine confirms the end is a proof. That it doesn't know the attempt is one only if the dispatch can't
-// reach it any more: an agent that is merely cut off from this entry could hand the dispatch to its engine a moment
-// after the question, and the next attempt would run beside it. So the agent's process has to be gone: its own host
-// refuses connections at its link address, before and after settleTime, within which the engine reads what the process
-// had sent. A host that doesn't answer proves nothing. An agent that stops gracefully closes its link listener only when
-// nothing is in flight.
+// The engine's confirmation that the attempt ended is a proof. An unknown attempt ID is a proof only if the dispatch
+// can no longer reach the engine: an agent that is merely cut off from this entry could pass the dispatch to its engine
+// just after the query, and the next attempt would run concurrently with it. So the agent's process must have ended:
+// its host refuses connections at its link address, both before and after residualDataWait, within which the engine
+// reads what the process has sent. A host that doesn't answer proves nothing. An agent that stops gracefully closes its
+// link listener only when nothing is in flight.
 type prover struct {
 	entry *Entry
 
-	mu      sync.Mutex
-	address map[string]string // link address of the agent, by server
-	asked   map[string]bool   // by engine.AttemptID
+	mu           sync.Mutex
+	agentAddress map[string]string // link address of the agent, by server
+	running      map[string]bool   // proofs in progress, by engine.AttemptID
 }
 
 func newProver(e *Entry) *prover {
-	return &prover{entry: e, address: make(map[string]string), asked: make(map[string]bool)}
+	return &prover{entry: e, agentAddress: make(map[string]string), running: make(map[string]bool)}
 }
 
-// learn remembers where the agents of the servers are, also when they leave the directory: a dead agent soon does. A
-// server has one agent, so the table grows with distinct server names only.
-func (p *prover) learn(view *session.View) {
+// recordAddresses records the link addresses of the servers' agents. They are kept when an agent leaves the directory,
+// as a crashed agent soon does. A server has one agent, so the table grows only with the number of distinct server
+// names.
+func (p *prover) recordAddresses(view *session.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, agent := range view.Agents {
 		for _, server := range agent.GetServers() {
-			p.address[server.GetServer()] = agent.GetLinkAddress()
+			p.agentAddress[server.GetServer()] = agent.GetLinkAddress()
 		}
 	}
 }
@@ -51,63 +52,63 @@
 	return engine.AttemptID(id.GetRequest() + "." + strconv.FormatUint(id.GetNumber(), 10))
 }
 
-// ask starts a proof unless one for the attempt is under way. The scheduler repeats it as needed.
-func (p *prover) ask(a sched.ProveAtEngine) {
+// start starts a proof unless one for the attempt is in progress. The scheduler repeats the request as needed.
+func (p *prover) start(a sched.ProveAtEngine) {
 	id := string(engineID(a.Attempt))
 	p.mu.Lock()
-	busy := p.asked[id]
-	p.asked[id] = true
+	inProgress := p.running[id]
+	p.running[id] = true
 	p.mu.Unlock()
-	if busy {
+	if inProgress {
 		return
 	}
 	started := p.entry.inBackground(func(ctx context.Context) {
-		defer p.forget(id)
+		defer p.removeRunning(id)
 		p.prove(ctx, a)
 	})
 	if !started {
-		p.forget(id)
+		p.removeRunning(id)
 	}
 }
 
-func (p *prover) forget(id string) {
+func (p *prover) removeRunning(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asked, id)
+	delete(p.running, id)
 }
 
 func (p *prover) prove(ctx context.Context, a sched.ProveAtEngine) {
 	bounded, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
-	proof := p.proofOf(bounded, a)
-	p.entry.meter.proved(proof)
+	proof := p.obtainProof(bounded, a)
+	p.entry.meter.countProof(proof)
 	if proof == wire.Proof_PROOF_UNPROVEN {
 		return
 	}
-	_ = p.entry.tell(ctx, sched.EngineProved{Attempt: a.Attempt, Server: a.Server, Proof: proof})
+	_ = p.entry.postEvent(ctx, sched.EngineProved{Attempt: a.Attempt, Server: a.Server, Proof: proof})
 }
 
-// proofOf returns PROOF_CANCELLED if the engine confirms the end, PROOF_NEVER_STARTED if it will never see the attempt
-// any more, else PROOF_UNPROVEN.
-func (p *prover) proofOf(ctx context.Context, a sched.ProveAtEngine) wire.Proof {
-	gone := p.agentGone(ctx, a.Server) && pause.For(ctx, settleTime) && p.agentGone(ctx, a.Server)
-	said, err := p.cancelAtEngine(ctx, a)
+// obtainProof returns PROOF_CANCELLED if the engine confirms that the attempt ended, PROOF_NEVER_STARTED if the attempt
+// can no longer reach the engine, and PROOF_UNPROVEN otherwise.
+func (p *prover) obtainProof(ctx context.Context, a sched.ProveAtEngine) wire.Proof {
+	agentEnded := p.agentGone(ctx, a.Server) && pause.For(ctx, residualDataWait) && p.agentGone(ctx, a.Server)
+	cancelResult, err := p.cancelAtEngine(ctx, a)
 	switch {
 	case err != nil:
 		return wire.Proof_PROOF_UNPROVEN
-	case said == engine.CancelConfirmed:
+	case cancelResult == engine.CancelConfirmed:
 		return wire.Proof_PROOF_CANCELLED
-	case said == engine.CancelUnknownID && gone:
+	case cancelResult == engine.CancelUnknownID && agentEnded:
 		return wire.Proof_PROOF_NEVER_STARTED
 	default:
 		return wire.Proof_PROOF_UNPROVEN
 	}
 }
 
-// agentGone tells whether the host of the server's agent says that nobody listens at the agent's link address.
+// agentGone reports whether the host of the server's agent refuses connections at the agent's link address.
 func (p *prover) agentGone(ctx context.Context, server string) bool {
 	p.mu.Lock()
-	address := p.address[server]
+	address := p.agentAddress[server]
 	p.mu.Unlock()
 	if address == "" {
 		return false
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,91 +28,92 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Options are what an entry takes besides its settings. Zero values mean the defaults.
+// Options configure an entry in addition to its settings. Zero values select the defaults.
 type Options struct {
 	// Network opens connections; the default is network.TCP.
 	Network network.Network
-	// Log takes the events; the default writes them to standard error.
+	// Log receives log events; the default writes them to standard error.
 	Log log.Interface
-	// Now tells the time; the default is time.Now.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
-	// Policy is the scheduler's, for measurements.
+	// Policy is the scheduling policy, for measurements.
 	Policy sched.Policy
 	// MaxOutstanding bounds the attempts at one server under a baseline policy, for measurements; 0 means the default.
 	MaxOutstanding int
-	// Seed starts the scheduler's random choices; 0 means the incarnation.
+	// Seed seeds the scheduler's random choices; 0 means the incarnation.
 	Seed uint64
-	// Callers makes the handler of the callers' listener; the default is the product's own interface.
+	// Callers returns the handler of the callers' listener; the default is the product's own HTTP interface.
 	Callers func(*Entry) http.Handler
-	// NewEngine makes the client of a backend server that has no agent beside it. With it the entry serves the plain
-	// services that announce themselves to control through an agent of its own.
+	// NewEngine returns a client for a backend server that has no agent. If it is set, the entry runs a local agent
+	// that serves the plain services announced to control. If it is nil, there is no local agent.
 	NewEngine func(*wire.ServerRecord) (engine.Client, error)
 	// Control replaces the session with control, for tests.
 	Control Control
 }
 
-// Control is what an entry needs of its session with control. Package session gives it.
+// Control is the part of a session with control that an entry uses. Package session implements it.
 type Control interface {
-	// Run keeps the session until ctx ends.
+	// Run maintains the session until ctx ends.
 	Run(ctx context.Context) error
-	// Propose has a command committed; see session.Session.Propose for its errors.
+	// Propose commits a command; see session.Session.Propose for its errors.
 	Propose(ctx context.Context, command *wire.Command) (*wire.CommandResult, error)
-	// View returns the newest configuration and directory, and Subscribe reports each new one.
+	// View returns the newest configuration and directory; Subscribe calls the function with each new one.
 	View() *session.View
 	Subscribe(func(*session.View))
-	// Ready tells whether requests may be admitted, CutOff whether control may have gone on without this process.
+	// Ready returns nil if requests may be admitted. CutOff returns an error if control may have moved on without this
+	// process.
 	Ready() error
 	CutOff() error
-	// ObserveVersion notes a configuration version that another process has shown.
+	// ObserveVersion records a configuration version reported by another process.
 	ObserveVersion(version uint64) bool
-	// AddControls opens links to further control instances; Addresses returns those of all.
+	// AddControls opens links to further control instances; Addresses returns the addresses of all.
 	AddControls(addresses []string)
 	Addresses() []string
 }
 
 // Entry is an entry instance.
 type Entry struct {
-	settings    settings.Entry
-	options     Options
-	log         log.Interface
-	now         func() time.Time
-	network     network.Network
-	incarnation uint64
-	listener    net.Listener
-	keys        *settings.Keyring
-	operators   *settings.Keyring
-	defaults    map[string]string // default class by organisation
-	control     Control
-	meter       *meter
+	settings       settings.Entry
+	options        Options
+	log            log.Interface
+	now            func() time.Time
+	network        network.Network
+	incarnation    uint64
+	listener       net.Listener
+	keys           *settings.Keyring
+	operators      *settings.Keyring
+	defaultClasses map[string]string // default class by organisation
+	control        Control
+	meter          *meter
 
-	scheduler *sched.Scheduler // touched by the scheduler duty only
-	inputs    *ring.Ring[input]
-	calls     *calls
-	flights   *flights
-	links     *links
-	prover    *prover
-	outbox    *outbox.Outbox
-	local     *localAgent // nil without one
-	view      atomic.Pointer[catalogue]
-	caps      *quota.Caps
-	patience  *patience
-	sequence  atomic.Uint64                       // of verbatim requests
-	waiting   atomic.Pointer[[]sched.TargetQueue] // as of the last look, see report
-	wanted    atomic.Uint64                       // highest configuration version that any process has shown
+	scheduler        *sched.Scheduler // accessed by the scheduler goroutine only
+	inputs           *ring.Ring[input]
+	calls            *calls
+	inflight         *inflightKeys
+	links            *links
+	prover           *prover
+	outbox           *outbox.Outbox
+	localAgent       *localAgent // nil if there is none
+	catalogue        atomic.Pointer[catalogue]
+	caps             *quota.Caps
+	callerTimeouts   *timeoutTracker
+	verbatimSequence atomic.Uint64                       // of verbatim requests
+	targetQueues     atomic.Pointer[[]sched.TargetQueue] // as of the last sampleQueues
+	highestVersion   atomic.Uint64                       // highest configuration version reported by any process
 
-	successor  atomic.Pointer[Entry]     // the incarnation that followed on this one, nil while this one runs
-	leaving    atomic.Bool               // says that it isn't ready, and still takes requests
-	endBy      atomic.Pointer[time.Time] // when what is open is cut, nil unless leaving
-	stopping   atomic.Bool
-	active     atomic.Int64 // calls and flights in progress
-	bodyBytes  atomic.Int64
-	base       context.Context // ends when the duties do
-	end        context.CancelFunc
-	background sync.WaitGroup
-	slots      chan struct{} // of background work for the scheduler
+	successor       atomic.Pointer[Entry]     // the incarnation that replaced this one, nil while this one runs
+	leaving         atomic.Bool               // reports not ready, but still admits requests
+	drainDeadline   atomic.Pointer[time.Time] // when in-flight requests are cut, nil unless leaving
+	stopping        atomic.Bool
+	active          atomic.Int64 // calls and in-flight keys
+	bodyBytes       atomic.Int64
+	runContext      context.Context // ends when Run's goroutines are to end
+	cancelRun       context.CancelFunc
+	background      sync.WaitGroup
+	backgroundSlots chan struct{} // limit background work started by the scheduler
 }
 
-// New checks the settings and opens the listener for callers. Run has to follow, which closes it.
+// New validates the settings and opens the listener for callers. Run must be called afterwards; it closes the listener.
 func New(s settings.Entry, options Options) (*Entry, error) {
 	e, err := build(s, options)
 	if err != nil {
@@ -139,30 +140,30 @@
 		return nil, errors.Wrap(err, "entry")
 	}
 	e := &Entry{
-		settings:    s,
-		options:     options,
-		log:         options.Log,
-		now:         options.Now,
-		network:     options.Network,
-		incarnation: uint64(options.Now().UnixNano()),
-		keys:        keys,
-		operators:   operators,
-		defaults:    make(map[string]string),
-		meter:       newMeter(),
-		inputs:      ring.New[input]("scheduler", inputRing),
-		calls:       newCalls(),
-		patience:    newPatience(),
-		slots:       make(chan struct{}, maxBackground),
+		settings:        s,
+		options:         options,
+		log:             options.Log,
+		now:             options.Now,
+		network:         options.Network,
+		incarnation:     uint64(options.Now().UnixNano()),
+		keys:            keys,
+		operators:       operators,
+		defaultClasses:  make(map[string]string),
+		meter:           newMeter(),
+		inputs:          ring.New[input]("scheduler", inputRingSize),
+		calls:           newCalls(),
+		callerTimeouts:  newTimeoutTracker(),
+		backgroundSlots: make(chan struct{}, maxBackground),
 	}
-	times := quota.Clock{Now: options.Now, SinceBoot: clock.SinceBoot}
-	e.caps = quota.NewCaps(s.Instance, e.incarnation, times, usageTolerance(s))
+	clocks := quota.Clock{Now: options.Now, SinceBoot: clock.SinceBoot}
+	e.caps = quota.NewCaps(s.Instance, e.incarnation, clocks, usageTolerance(s))
 	for _, organisation := range s.Organisations {
-		e.defaults[organisation.Name] = organisation.DefaultClass
+		e.defaultClasses[organisation.Name] = organisation.DefaultClass
 	}
-	e.flights = newFlights(e)
-	e.view.Store(newCatalogue(&session.View{}))
-	e.base, e.end = context.WithCancel(context.Background())
-	if err := e.connect(options); err != nil {
+	e.inflight = newInflightKeys(e)
+	e.catalogue.Store(newCatalogue(&session.View{}))
+	e.runContext, e.cancelRun = context.WithCancel(context.Background())
+	if err := e.buildConnections(options); err != nil {
 		return nil, err
 	}
 	e.outbox = outbox.New(outbox.Options{
@@ -175,7 +176,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "entry")
 	}
-	e.meter.watch(e)
+	e.meter.registerGauges(e)
 	e.meter.declare(s.Organisations)
 	return e, nil
 }
@@ -193,8 +194,8 @@
 	return o
 }
 
-// connect makes what talks to other processes.
-func (e *Entry) connect(options Options) error {
+// buildConnections creates the components that communicate with other processes.
+func (e *Entry) buildConnections(options Options) error {
 	tls, err := e.settings.TLS.ClientConfig()
 	if err != nil {
 		return errors.Wrap(err, "entry")
@@ -202,7 +203,7 @@
 	e.links = newLinks(e, tls)
 	e.prover = newProver(e)
 	if options.NewEngine != nil {
-		if e.local, err = newLocalAgent(e); err != nil {
+		if e.localAgent, err = newLocalAgent(e); err != nil {
 			return err
 		}
 	}
@@ -256,31 +257,31 @@
 	return e.listener.Addr().String()
 }
 
-// Run serves until ctx ends, then lets what is in flight finish, for settings.Timing.Drain at most, and returns nil. It
-// may be called once. An error means that a duty failed.
+// Run serves until ctx ends, then waits for in-flight requests, for settings.Timing.Drain at most, and returns nil. It
+// may be called once. It returns an error if one of its goroutines fails.
 func (e *Entry) Run(ctx context.Context) error {
 	return e.runIncarnations(ctx)
 }
 
-// runIncarnation runs this incarnation's duties.
+// runIncarnation runs the goroutines of this incarnation.
 func (e *Entry) runIncarnation(ctx context.Context) error {
 	defer e.background.Wait()
-	defer e.end()
+	defer e.cancelRun()
 	e.log.WithField("instance", e.settings.Instance).WithField("callers", e.CallersAddr()).Info("entry_started")
 	e.control.Subscribe(e.links.viewChanged)
 
 	var group run.Group
-	e.add(&group, e.schedulerDuty)
-	e.add(&group, e.control.Run)
-	e.add(&group, e.links.run)
-	e.add(&group, e.sharesDuty)
-	e.add(&group, e.outbox.Run)
-	e.add(&group, e.httpDuty)
-	if e.local != nil {
-		e.add(&group, e.local.run)
+	e.addActor(&group, e.runScheduler)
+	e.addActor(&group, e.control.Run)
+	e.addActor(&group, e.links.run)
+	e.addActor(&group, e.runShares)
+	e.addActor(&group, e.outbox.Run)
+	e.addActor(&group, e.runHTTP)
+	if e.localAgent != nil {
+		e.addActor(&group, e.localAgent.run)
 	}
-	stop := func(own context.Context) error { return e.stopDuty(ctx, own) }
-	e.add(&group, stop)
+	stop := func(groupContext context.Context) error { return e.runStop(ctx, groupContext) }
+	e.addActor(&group, stop)
 	err := group.Run()
 	e.calls.failAll()
 	if ctx.Err() != nil {
@@ -290,50 +291,50 @@
 	return err
 }
 
-// add runs a duty in the group with a context that ends when the first duty has.
-func (e *Entry) add(group *run.Group, duty func(context.Context) error) {
-	ctx, cancel := context.WithCancel(e.base)
-	group.Add(func() error { return duty(ctx) }, func(error) { cancel() })
+// addActor adds a function to the group with a context that ends when the first function of the group returns.
+func (e *Entry) addActor(group *run.Group, execute func(context.Context) error) {
+	ctx, cancel := context.WithCancel(e.runContext)
+	group.Add(func() error { return execute(ctx) }, func(error) { cancel() })
 }
 
-// stopDuty waits for the order to stop, or for the end of the other duties.
-func (e *Entry) stopDuty(order, own context.Context) error {
+// runStop waits until stop ends, then stops the entry gracefully. It returns early if the other goroutines end.
+func (e *Entry) runStop(stop, groupContext context.Context) error {
 	select {
-	case <-order.Done():
-	case <-own.Done():
+	case <-stop.Done():
+	case <-groupContext.Done():
 		return nil
 	}
-	e.leave(own)
+	e.announceLeaving(groupContext)
 	e.stopping.Store(true)
 	e.log.WithField("active", e.active.Load()).Info("entry_stopping")
-	if !e.drain(own) {
-		// What is still open is cut now, while the callers' connections can be closed in order.
+	if !e.drain(groupContext) {
+		// Cut the requests still in flight while callers' connections can still be closed in order.
 		e.calls.failAll()
 	}
-	e.deregister(own)
+	e.deregister(groupContext)
 	return nil
 }
 
-// leave lets the balancer notice before anything is refused.
+// announceLeaving reports the entry as not ready for settings.Timing.Leave before anything is refused.
 //
-// A balancer goes on sending connections until it has asked for readiness again. Refused at once, their callers would
-// hear of a shutdown that they have nothing to do with.
-func (e *Entry) leave(ctx context.Context) {
+// A load balancer keeps sending connections until its next readiness check. If they were refused at once, callers would
+// see errors caused by the shutdown although other entries are available.
+func (e *Entry) announceLeaving(ctx context.Context) {
 	if e.settings.Timing.Leave <= 0 {
 		return
 	}
 	end := time.Now().Add(e.settings.Timing.Leave + e.settings.Timing.Drain)
-	e.endBy.Store(&end)
+	e.drainDeadline.Store(&end)
 	e.leaving.Store(true)
 	e.log.WithField("active", e.active.Load()).WithField("for", e.settings.Timing.Leave).Info("entry_leaving")
 	pause.For(ctx, e.settings.Timing.Leave)
 }
 
-// drain waits until nothing is in flight. It returns false at the end of timing.drain.
+// drain waits until nothing is in flight. It returns false if that takes longer than settings.Timing.Drain.
 func (e *Entry) drain(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.Timing.Drain)
 	defer cancel()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for e.active.Load() > 0 {
 		select {
@@ -346,9 +347,9 @@
 	return true
 }
 
-// deregister tells control that this incarnation is gone, so that its open records may be taken over at once.
+// deregister tells control that this incarnation has ended, so that its open records may be taken over immediately.
 func (e *Entry) deregister(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
 	command := &wire.Command{Kind: &wire.Command_EndEntry{EndEntry: &wire.EndEntry{
 		Entry:       e.settings.Instance,
@@ -359,12 +360,12 @@
 	}
 }
 
-// hello is this entry's hello on links.
+// hello returns the hello message that this entry sends on links.
 func (e *Entry) hello() *wire.EntryHello {
 	return &wire.EntryHello{
 		Entry:            e.settings.Instance,
 		Incarnation:      e.incarnation,
 		AvailabilityZone: e.settings.AvailabilityZone,
-		ConfigVersion:    e.view.Load().version,
+		ConfigVersion:    e.catalogue.Load().version,
 	}
 }
--- a/entry/fake_agent_test.go
+++ b/entry/fake_agent_test.go
@@ -16,55 +16,56 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// fakeAgent is an agent with one backend server. It takes all that it is asked, and answers what the test says.
+// fakeAgent is an agent with one backend server. It accepts every reservation and dispatch, and answers as the test
+// specifies.
 type fakeAgent struct {
-	rig         *rig
+	harness     *harness
 	name        string
 	host        string
 	server      string
 	kind        string
 	target      string
 	incarnation uint64
-	resumes     bool // its engine can go on with a stream
+	resumes     bool // its engine can resume a stream
 	links       *link.EntryServer
 	stop        func()
 
 	mu         sync.Mutex
-	dispatches []*dispatched
+	dispatches []*receivedDispatch
 	cancels    []*wire.Cancel
 
-	// onDispatch and onCancel answer. Nil: a service echoes the body, and each Cancel is proved as cancelled if the
-	// attempt was dispatched here, else as never started.
-	onDispatch func(*dispatched)
+	// onDispatch and onCancel handle messages. If nil, a service echoes the body, and a Cancel is answered with a
+	// proof: cancelled if the attempt was dispatched here, otherwise never started.
+	onDispatch func(*receivedDispatch)
 	onCancel   func(link.EntryID, *wire.Cancel)
 }
 
-// dispatched is an attempt that reached the agent.
-type dispatched struct {
-	agent *fakeAgent
-	entry link.EntryID
-	d     *wire.Dispatch
+// receivedDispatch is an attempt dispatched to the agent.
+type receivedDispatch struct {
+	agent   *fakeAgent
+	entry   link.EntryID
+	message *wire.Dispatch
 }
 
-// addAgent starts an agent and puts it into the directory.
-func (r *rig) addAgent(number int, kind, target string) *fakeAgent {
-	r.t.Helper()
+// addAgent starts an agent and adds it to the directory.
+func (h *harness) addAgent(number int, kind, target string) *fakeAgent {
+	h.t.Helper()
 	n := strconv.Itoa(number)
 	a := &fakeAgent{
-		rig: r, name: "agent-" + n, host: "10.0.1." + n, server: "server-" + n, kind: kind, target: target, incarnation: 1,
+		harness: h, name: "agent-" + n, host: "10.0.1." + n, server: "server-" + n, kind: kind, target: target, incarnation: 1,
 	}
 	a.start()
-	r.control.publish(func(v *session.View) { v.Agents[a.name] = a.record() })
+	h.control.publish(func(v *session.View) { v.Agents[a.name] = a.record() })
 	synctest.Wait()
 	return a
 }
 
-func (r *rig) addService(number int) *fakeAgent {
-	return r.addAgent(number, settings.KindService, "registry")
+func (h *harness) addService(number int) *fakeAgent {
+	return h.addAgent(number, settings.KindService, "registry")
 }
 
-func (r *rig) addModel(number int) *fakeAgent {
-	return r.addAgent(number, settings.KindModel, "m")
+func (h *harness) addModel(number int) *fakeAgent {
+	return h.addAgent(number, settings.KindModel, "m")
 }
 
 func (a *fakeAgent) record() *wire.AgentRecord {
@@ -78,8 +79,8 @@
 }
 
 func (a *fakeAgent) start() {
-	listener, err := a.rig.net.Host(a.host).Listen(a.host + ":7000")
-	require.NoError(a.rig.t, err)
+	listener, err := a.harness.net.Host(a.host).Listen(a.host + ":7000")
+	require.NoError(a.harness.t, err)
 	incarnation := a.incarnation
 	a.links = &link.EntryServer{
 		Hello: func() *wire.AgentHello {
@@ -99,21 +100,21 @@
 		cancel()
 		<-done
 	})
-	a.rig.t.Cleanup(a.stop)
+	a.harness.t.Cleanup(a.stop)
 }
 
-// die ends the agent's process without a word.
-func (a *fakeAgent) die() {
-	a.rig.net.Reset(a.host)
+// crash ends the agent's process without a graceful stop.
+func (a *fakeAgent) crash() {
+	a.harness.net.Reset(a.host)
 	a.stop()
 	synctest.Wait()
 }
 
-// restart begins the next incarnation.
+// restart starts the next incarnation.
 func (a *fakeAgent) restart() {
 	a.incarnation++
 	a.start()
-	a.rig.control.publish(func(v *session.View) { v.Agents[a.name] = a.record() })
+	a.harness.control.publish(func(v *session.View) { v.Agents[a.name] = a.record() })
 }
 
 func (a *fakeAgent) up(_ context.Context, hello *wire.EntryHello) {
@@ -128,7 +129,7 @@
 	}
 }
 
-// announceRoom tells all entries of the room as it is now.
+// announceRoom sends the current room to all entries.
 func (a *fakeAgent) announceRoom() {
 	a.links.Broadcast(&wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: a.room()}})
 }
@@ -143,20 +144,20 @@
 		offer := &wire.Offer{Attempt: kind.Reserve.GetAttempt(), Server: a.server}
 		a.send(id, &wire.AgentMessage{Kind: &wire.AgentMessage_Offer{Offer: offer}})
 	case *wire.EntryMessage_Dispatch:
-		a.dispatch(&dispatched{agent: a, entry: id, d: kind.Dispatch})
+		a.dispatch(&receivedDispatch{agent: a, entry: id, message: kind.Dispatch})
 	case *wire.EntryMessage_Cancel:
 		a.cancel(id, kind.Cancel)
 	}
 	return nil
 }
 
-func (a *fakeAgent) dispatch(d *dispatched) {
+func (a *fakeAgent) dispatch(d *receivedDispatch) {
 	a.mu.Lock()
 	a.dispatches = append(a.dispatches, d)
 	answer := a.onDispatch
 	a.mu.Unlock()
 	if answer == nil {
-		answer = (*dispatched).echo
+		answer = (*receivedDispatch).sendDefaultAnswer
 	}
 	answer(d)
 }
@@ -171,96 +172,96 @@
 		return
 	}
 	proof := wire.Proof_PROOF_NEVER_STARTED
-	if a.ran(c.GetAttempt().GetRequest()) > 0 {
+	if a.dispatchCount(c.GetAttempt().GetRequest()) > 0 {
 		proof = wire.Proof_PROOF_CANCELLED
 	}
 	over := &wire.Over{Attempt: c.GetAttempt(), Server: a.server, Proof: proof}
 	a.send(id, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}})
 }
 
-// ran returns how many attempts of a request were dispatched here, of all requests with "".
-func (a *fakeAgent) ran(request string) int {
+// dispatchCount returns how many attempts of a request were dispatched here; "" counts those of all requests.
+func (a *fakeAgent) dispatchCount(request string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, d := range a.dispatches {
-		if request == "" || d.d.GetAttempt().GetRequest() == request {
+		if request == "" || d.message.GetAttempt().GetRequest() == request {
 			n++
 		}
 	}
 	return n
 }
 
-func (a *fakeAgent) cancelled() int {
+func (a *fakeAgent) cancelCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.cancels)
 }
 
-// all returns the attempts in the order of their dispatch.
-func (a *fakeAgent) all() []*dispatched {
+// dispatchList returns the attempts in order of dispatch.
+func (a *fakeAgent) dispatchList() []*receivedDispatch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.dispatches)
 }
 
-// hold keeps every attempt unanswered.
-func (a *fakeAgent) hold() {
-	a.script(func(*dispatched) {}, a.onCancel)
+// holdDispatches leaves every attempt unanswered.
+func (a *fakeAgent) holdDispatches() {
+	a.setHandlers(func(*receivedDispatch) {}, a.onCancel)
 }
 
-// deaf keeps every attempt and every Cancel unanswered.
-func (a *fakeAgent) deaf() {
-	a.script(func(*dispatched) {}, func(link.EntryID, *wire.Cancel) {})
+// ignoreMessages leaves every attempt and every Cancel unanswered.
+func (a *fakeAgent) ignoreMessages() {
+	a.setHandlers(func(*receivedDispatch) {}, func(link.EntryID, *wire.Cancel) {})
 }
 
-// script says how the agent answers from now on; nil is the default.
-func (a *fakeAgent) script(onDispatch func(*dispatched), onCancel func(link.EntryID, *wire.Cancel)) {
+// setHandlers sets how the agent answers subsequent messages; nil selects the default.
+func (a *fakeAgent) setHandlers(onDispatch func(*receivedDispatch), onCancel func(link.EntryID, *wire.Cancel)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.onDispatch = onDispatch
 	a.onCancel = onCancel
 }
 
-// echo answers a service call with its own body, a completion with two tokens.
-func (d *dispatched) echo() {
+// sendDefaultAnswer answers a service call with its own body, and a completion with two tokens.
+func (d *receivedDispatch) sendDefaultAnswer() {
 	if d.agent.kind == settings.KindModel {
-		d.answer("text/event-stream", chatEvent("Hel"), chatEvent("lo"), chatEnd)
+		d.sendAnswer("text/event-stream", chatEvent("Hel"), chatEvent("lo"), chatEnd)
 		return
 	}
-	d.answer("application/json", string(d.d.GetBody()))
+	d.sendAnswer("application/json", string(d.message.GetBody()))
 }
 
-// answer gives a whole answer, one frame for each event.
-func (d *dispatched) answer(contentType string, events ...string) {
+// sendAnswer sends a complete answer, one frame for each event.
+func (d *receivedDispatch) sendAnswer(contentType string, events ...string) {
 	for i, event := range events {
-		d.frame(uint64(i), event)
+		d.sendFrame(uint64(i), event)
 	}
-	d.end(contentType, events...)
+	d.sendEnd(contentType, events...)
 }
 
-func (d *dispatched) frame(offset uint64, events ...string) {
-	f := &wire.Frame{Attempt: d.d.GetAttempt(), Offset: offset}
+func (d *receivedDispatch) sendFrame(offset uint64, events ...string) {
+	f := &wire.Frame{Attempt: d.message.GetAttempt(), Offset: offset}
 	for _, event := range events {
 		f.Events = append(f.Events, []byte(event))
 	}
 	d.agent.send(d.entry, &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: f}})
 }
 
-func (d *dispatched) end(contentType string, events ...string) {
+func (d *receivedDispatch) sendEnd(contentType string, events ...string) {
 	digest, size := xxhash.New(), 0
 	for _, event := range events {
 		_, _ = digest.WriteString(event)
 		size += len(event)
 	}
-	d.over(&wire.Over{Proof: wire.Proof_PROOF_COMPLETED, Answer: &wire.AnswerEnd{
+	d.sendOver(&wire.Over{Proof: wire.Proof_PROOF_COMPLETED, Answer: &wire.AnswerEnd{
 		Events: uint64(len(events)), Bytes: uint64(size), Digest: digest.Sum64(), Status: 200, ContentType: contentType,
 		PromptTokens: 3, OutputTokens: 2,
 	}})
 }
 
-func (d *dispatched) over(o *wire.Over) {
-	o.Attempt = d.d.GetAttempt()
+func (d *receivedDispatch) sendOver(o *wire.Over) {
+	o.Attempt = d.message.GetAttempt()
 	o.Server = d.agent.server
 	d.agent.send(d.entry, &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: o}})
 }
@@ -276,7 +277,7 @@
 	return &wire.Over{Proof: wire.Proof_PROOF_FAILED}
 }
 
-// withNumber returns a dispatch of another attempt of the same request.
+// withNumber returns a dispatch for another attempt of the same request.
 func withNumber(d *wire.Dispatch, number uint64) *wire.Dispatch {
 	return &wire.Dispatch{Attempt: &wire.AttemptID{Request: d.GetAttempt().GetRequest(), Number: number}}
 }
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -25,8 +25,8 @@
 
 const (
 	callerHost = "10.0.9.9"
-	ownKey     = "key-of-compost"
-	otherKey   = "key-of-yatai"
+	compostKey = "key-of-compost"
+	yataiKey   = "key-of-yatai"
 )
 
 var testClasses = map[string]*wire.Class{
@@ -35,19 +35,19 @@
 	"summary":    {Name: "summary", Tier: 2, DeadlineMs: 10_000, LateMax: 0.01, LostMax: 0.05, Repeatable: true, Kind: settings.KindModel},
 }
 
-// fakeControl keeps the real state of operations in memory, for all entries of a test.
+// fakeControl keeps the real operation state in memory, for all entries of a test.
 type fakeControl struct {
-	mu     sync.Mutex
-	state  *state.State
-	index  uint64
-	view   *session.View
-	subs   []func(*session.View)
-	delay  func(*wire.Command) time.Duration // before a command is applied
-	fail   func(*wire.Command) error         // before a command is applied
-	lose   func(*wire.Command) error         // after it
-	ready  error
-	cutOff error
-	log    []string // kinds of commands, in order
+	mu          sync.Mutex
+	state       *state.State
+	index       uint64
+	view        *session.View
+	subscribers []func(*session.View)
+	delay       func(*wire.Command) time.Duration // before a command is applied
+	failBefore  func(*wire.Command) error         // before a command is applied
+	failAfter   func(*wire.Command) error         // after a command is applied
+	ready       error
+	cutOff      error
+	applied     []string // kinds of the applied commands, in order
 }
 
 func newFakeControl() *fakeControl {
@@ -74,17 +74,17 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fail != nil {
-		if err := f.fail(command); err != nil {
+	if f.failBefore != nil {
+		if err := f.failBefore(command); err != nil {
 			return nil, err
 		}
 	}
 	f.index++
 	command.UnixMs = uint64(time.Now().UnixMilli())
 	res := f.state.Apply(f.index, command)
-	f.log = append(f.log, kindOf(command))
-	if f.lose != nil {
-		if err := f.lose(command); err != nil {
+	f.applied = append(f.applied, kindOf(command))
+	if f.failAfter != nil {
+		if err := f.failAfter(command); err != nil {
 			return nil, err
 		}
 	}
@@ -104,12 +104,12 @@
 	}
 }
 
-// commands returns the operation commands that were applied.
+// commands returns the kinds of the operation commands that were applied.
 func (f *fakeControl) commands() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var kinds []string
-	for _, kind := range f.log {
+	for _, kind := range f.applied {
 		if kind != "other" {
 			kinds = append(kinds, kind)
 		}
@@ -117,7 +117,7 @@
 	return kinds
 }
 
-func (f *fakeControl) set(change func()) {
+func (f *fakeControl) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -132,7 +132,7 @@
 func (f *fakeControl) Subscribe(fn func(*session.View)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.subs = append(f.subs, fn)
+	f.subscribers = append(f.subscribers, fn)
 	fn(f.view)
 }
 
@@ -165,20 +165,21 @@
 	}
 	change(&next)
 	if next.Desired != f.view.Desired {
-		// The state gives shares of usage caps by it.
+		// The state grants shares of usage caps according to it.
 		f.index++
 		f.state.Apply(f.index, &wire.Command{Kind: &wire.Command_PutDesiredState{
 			PutDesiredState: &wire.PutDesiredState{Desired: next.Desired},
 		}})
 	}
 	f.view = &next
-	for _, fn := range f.subs {
+	for _, fn := range f.subscribers {
 		fn(&next)
 	}
 }
 
-// rig is entries, agents, control and a caller on a memory network. It lives in a bubble.
-type rig struct {
+// harness consists of entries, agents, control and a caller on a memory network. It must be used within a synctest
+// bubble.
+type harness struct {
 	t       *testing.T
 	net     *memory.Network
 	control *fakeControl
@@ -187,62 +188,62 @@
 	client  *http.Client
 }
 
-func newRig(t *testing.T, entries int) *rig {
+func newHarness(t *testing.T, entries int) *harness {
 	t.Helper()
-	r := &rig{t: t, net: memory.New(), control: newFakeControl()}
-	r.callFrom(callerHost)
+	r := &harness{t: t, net: memory.New(), control: newFakeControl()}
+	r.setCallerHost(callerHost)
 	for range entries {
 		r.addEntry(nil)
 	}
 	return r
 }
 
-// callFrom lets calls come from a host.
-func (r *rig) callFrom(ip string) {
-	caller := r.net.Host(ip)
+// setCallerHost sets the host that calls come from.
+func (h *harness) setCallerHost(ip string) {
+	caller := h.net.Host(ip)
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return caller.Dial(ctx, address) },
 	}
-	r.client = &http.Client{Transport: transport}
-	r.t.Cleanup(transport.CloseIdleConnections)
+	h.client = &http.Client{Transport: transport}
+	h.t.Cleanup(transport.CloseIdleConnections)
 }
 
-// addEntry starts an entry at a host of its own.
-func (r *rig) addEntry(change func(*settings.Entry)) *Entry {
-	r.t.Helper()
-	n := len(r.entries) + 1
+// addEntry starts an entry on a host of its own.
+func (h *harness) addEntry(change func(*settings.Entry)) *Entry {
+	h.t.Helper()
+	n := len(h.entries) + 1
 	s := settings.DefaultEntry()
 	s.Instance = "entry-" + string(rune('0'+n))
 	s.Listen.Callers = entryHost(n) + ":8080"
 	s.Organisations = []settings.Organisation{
-		{Name: "compost", KeyDigests: []string{settings.NewDigest(ownKey, settings.NewSalt())}, DefaultClass: "summary"},
-		{Name: "yatai", KeyDigests: []string{settings.NewDigest(otherKey, settings.NewSalt())}},
+		{Name: "compost", KeyDigests: []string{settings.NewDigest(compostKey, settings.NewSalt())}, DefaultClass: "summary"},
+		{Name: "yatai", KeyDigests: []string{settings.NewDigest(yataiKey, settings.NewSalt())}},
 	}
 	if change != nil {
 		change(&s)
 	}
 	e, err := New(s, Options{
-		Network: r.net.Host(entryHost(n)),
+		Network: h.net.Host(entryHost(n)),
 		Log:     &log.Logger{Handler: discard.Default, Level: log.DebugLevel},
 		Seed:    uint64(n),
-		Control: r.control,
+		Control: h.control,
 	})
-	require.NoError(r.t, err)
-	r.control.state.Apply(r.nextIndex(), &wire.Command{Kind: &wire.Command_RegisterEntry{
+	require.NoError(h.t, err)
+	h.control.state.Apply(h.nextIndex(), &wire.Command{Kind: &wire.Command_RegisterEntry{
 		RegisterEntry: &wire.RegisterEntry{Entry: &wire.EntryRecord{Entry: s.Instance, Incarnation: e.incarnation}},
 	}})
-	r.entries = append(r.entries, e)
-	r.start(e)
+	h.entries = append(h.entries, e)
+	h.start(e)
 	synctest.Wait()
 	return e
 }
 
-func (r *rig) nextIndex() uint64 {
-	r.control.index++
-	return r.control.index
+func (h *harness) nextIndex() uint64 {
+	h.control.index++
+	return h.control.index
 }
 
-func (r *rig) start(e *Entry) {
+func (h *harness) start(e *Entry) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- e.Run(ctx) }()
@@ -250,34 +251,35 @@
 		cancel()
 		return <-done
 	})
-	r.stops = append(r.stops, stop)
-	r.t.Cleanup(func() { _ = stop() })
+	h.stops = append(h.stops, stop)
+	h.t.Cleanup(func() { _ = stop() })
 }
 
 func entryHost(n int) string { return "10.0.0." + string(rune('0'+n)) }
 
-// answer is what a caller got.
-type answer struct {
+// callResponse is the response that a caller received.
+type callResponse struct {
 	status int
 	header http.Header
 	length int64
-	close  bool // the entry ends the connection after it
+	close  bool // the entry closes the connection after the response
 	body   string
-	err    error // of reading the body
+	err    error // from reading the body
 }
 
-func (a answer) code(t *testing.T) *result.Error {
+func (a callResponse) code(t *testing.T) *result.Error {
 	t.Helper()
 	var e result.Error
 	require.NoError(t, e.UnmarshalJSON([]byte(a.body)), a.body)
 	return &e
 }
 
-// request makes a call to the n-th entry. Header lines are "Name: value".
-func (r *rig) request(ctx context.Context, n int, method, path, body string, header ...string) *http.Request {
+// request returns a call to the n-th entry. Header lines have the form "Name: value"; an empty value removes the
+// header.
+func (h *harness) request(ctx context.Context, n int, method, path, body string, header ...string) *http.Request {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+entryHost(n)+":8080"+path, strings.NewReader(body))
-	require.NoError(r.t, err)
-	request.Header.Set("Authorization", "Bearer "+ownKey)
+	require.NoError(h.t, err)
+	request.Header.Set("Authorization", "Bearer "+compostKey)
 	for _, line := range header {
 		name, value, _ := strings.Cut(line, ": ")
 		request.Header.Set(name, value)
@@ -288,33 +290,33 @@
 	return request
 }
 
-func (r *rig) do(request *http.Request) (answer, error) {
-	response, err := r.client.Do(request)
+func (h *harness) do(request *http.Request) (callResponse, error) {
+	response, err := h.client.Do(request)
 	if err != nil {
-		return answer{}, err
+		return callResponse{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{
+	return callResponse{
 		status: response.StatusCode, header: response.Header, length: response.ContentLength, close: response.Close,
 		body: string(body), err: err,
 	}, nil
 }
 
-func (r *rig) call(n int, method, path, body string, header ...string) answer {
-	r.t.Helper()
-	a, err := r.do(r.request(context.Background(), n, method, path, body, header...))
-	require.NoError(r.t, err)
-	require.NotEmpty(r.t, a.header.Get(headerRequestID))
+func (h *harness) call(n int, method, path, body string, header ...string) callResponse {
+	h.t.Helper()
+	a, err := h.do(h.request(context.Background(), n, method, path, body, header...))
+	require.NoError(h.t, err)
+	require.NotEmpty(h.t, a.header.Get(headerRequestID))
 	return a
 }
 
-// goCall makes a call in the background.
-func (r *rig) goCall(n int, path, body string, header ...string) <-chan answer {
-	answers := make(chan answer, 1)
-	request := r.request(context.Background(), n, http.MethodPost, path, body, header...)
+// callAsync makes a call in a goroutine.
+func (h *harness) callAsync(n int, path, body string, header ...string) <-chan callResponse {
+	answers := make(chan callResponse, 1)
+	request := h.request(context.Background(), n, http.MethodPost, path, body, header...)
 	go func() {
-		a, err := r.do(request)
+		a, err := h.do(request)
 		if err != nil {
 			a.err = err
 		}
@@ -324,13 +326,13 @@
 }
 
 const (
-	checkPath = "/v1/services/registry/check"
-	issuePath = "/v1/services/registry/issue"
-	chatPath  = "/v1/chat/completions"
-	chatBody  = `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
-	chatSSE   = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
-	gateCheck = "Carawaypitch-Class: gate-check"
-	passIssue = "Carawaypitch-Class: pass-issue"
+	checkPath       = "/v1/services/registry/check"
+	issuePath       = "/v1/services/registry/issue"
+	chatPath        = "/v1/chat/completions"
+	chatBody        = `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
+	streamBody      = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
+	gateCheckHeader = "Carawaypitch-Class: gate-check"
+	passIssueHeader = "Carawaypitch-Class: pass-issue"
 )
 
-func key(k string) string { return "Idempotency-Key: " + k }
+func keyHeader(k string) string { return "Idempotency-Key: " + k }
--- a/entry/http.go
+++ b/entry/http.go
@@ -15,17 +15,17 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Bounds of an HTTP connection.
+// Limits of an HTTP connection.
 const (
 	httpHeaderTimeout = 5 * time.Second
 	httpReadTimeout   = time.Minute
 	httpIdleTimeout   = 2 * time.Minute
-	// httpStopTimeout bounds how long answers that are being written may take when the entry ends.
+	// httpStopTimeout bounds the time for responses that are being written when the entry stops.
 	httpStopTimeout = time.Second
 	maxHeaderBytes  = 64 << 10
 )
 
-// Headers.
+// Request and response headers.
 const (
 	headerRequestID      = "Carawaypitch-Request-Id"
 	headerClass          = "Carawaypitch-Class"
@@ -48,10 +48,10 @@
 	return listener, nil
 }
 
-// httpDuty serves callers until ctx ends.
-func (e *Entry) httpDuty(ctx context.Context) error {
+// runHTTP serves callers until ctx ends.
+func (e *Entry) runHTTP(ctx context.Context) error {
 	server := &http.Server{
-		Handler:           e.moveOn(e.handler()),
+		Handler:           e.closeConnectionsWhenStopping(e.handler()),
 		ReadHeaderTimeout: httpHeaderTimeout,
 		ReadTimeout:       httpReadTimeout,
 		IdleTimeout:       httpIdleTimeout,
@@ -77,11 +77,11 @@
 	return errors.Wrap(err, "entry: http")
 }
 
-// moveOn has callers connect anew after each answer of an entry that stops.
+// closeConnectionsWhenStopping closes the caller's connection after each response while the entry is stopping.
 //
-// Balancers choose an entry for new connections only. A caller that keeps one would send on it until the process ends,
-// and be refused each time.
-func (e *Entry) moveOn(next http.Handler) http.Handler {
+// Load balancers choose an entry for new connections only. A caller that kept its connection would send on it until the
+// process ends, and be refused each time.
+func (e *Entry) closeConnectionsWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.leaving.Load() || e.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -90,7 +90,7 @@
 	})
 }
 
-// handler serves callers: those of the product's own interface, unless an adapter gives another one.
+// handler returns the handler for callers: the product's own HTTP interface, unless Options.Callers replaces it.
 func (e *Entry) handler() http.Handler {
 	if e.options.Callers != nil {
 		return e.options.Callers(e)
@@ -100,7 +100,7 @@
 
 func (e *Entry) routes() *echo.Echo {
 	r := process.NewRouter(process.Process{Ready: e.Ready, WriteMetrics: e.meter.set.WritePrometheus}, e.httpError)
-	r.Use(nameRequest)
+	r.Use(assignRequestID)
 	r.POST("/v1/chat/completions", e.postCompletion)
 	r.POST("/v1/completions", e.postCompletion)
 	r.POST("/v1/services/:service/*", e.postService)
@@ -110,8 +110,8 @@
 	return r
 }
 
-// nameRequest gives each reply its identity before anything can fail.
-func nameRequest(next echo.HandlerFunc) echo.HandlerFunc {
+// assignRequestID sets the request ID on each response before anything can fail.
+func assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		c.Response().Header().Set(headerRequestID, uuid.NewString())
 		return next(c)
@@ -122,10 +122,10 @@
 	return c.Response().Header().Get(headerRequestID)
 }
 
-// httpError answers with the numbered code of an error.
+// httpError responds with the result code of an error.
 func (e *Entry) httpError(err error, c echo.Context) {
 	refusal := process.Refusal(err)
-	e.meter.refused(refusal.Code, 0)
+	e.meter.countRefusal(refusal.Code, 0)
 	e.replyError(c, refusal)
 }
 
@@ -142,7 +142,7 @@
 	return name, nil
 }
 
-// Ready returns why the entry may not receive work, nil if it may.
+// Ready returns the reason that the entry may not receive requests, or nil if it may.
 func (e *Entry) Ready() error {
 	if successor := e.successor.Load(); successor != nil {
 		return successor.Ready()
--- a/entry/http_completions.go
+++ b/entry/http_completions.go
@@ -19,7 +19,7 @@
 	})
 }
 
-// readCompletion reads the model, the prompt and what else decides from the body.
+// readCompletion sets the target, the sizes and the prefix digests of a request from its body.
 func (e *Entry) readCompletion(r *sched.Request) *result.Error {
 	prompt, err := engine.ParsePrompt(r.Body)
 	if err != nil {
@@ -34,7 +34,7 @@
 	if prompt.Model == "" {
 		return result.New(result.MalformedBody, "no model is named")
 	}
-	if !e.view.Load().models[prompt.Model] {
+	if !e.catalogue.Load().models[prompt.Model] {
 		return result.New(result.UnknownModel, "no model %q", prompt.Model)
 	}
 	r.Target = prompt.Model
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// prefixDigests gives the digests of the prompt's leading blocks.
+// prefixDigests returns the digests of the prompt's leading blocks.
 func prefixDigests(prompt engine.Prompt) []uint64 {
 	longest := min(len(prompt.Text), maxPrefixBlocks*prefixBlockTokens*engine.BytesPerToken)
 	return engine.PrefixBlocks(prompt.Model, prompt.Text[:longest], prefixBlockTokens)
--- a/entry/http_requests.go
+++ b/entry/http_requests.go
@@ -12,58 +12,60 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// requestList is the answer of GET /v1/requests.
+// requestList is the response of GET /v1/requests.
 type requestList struct {
 	Entry    string              `json:"entry"`
 	Requests []sched.Explanation `json:"requests"`
 }
 
-// reader is who asks about requests: an organisation, about its own, or an operator, about all.
-type reader struct {
+// requestViewer identifies who asks about requests: an organisation may see its own, an operator all.
+type requestViewer struct {
 	organisation string
 	isOperator   bool
 }
 
-func (r reader) sees(organisation string) bool {
+func (r requestViewer) maySee(organisation string) bool {
 	return r.isOperator || r.organisation == organisation
 }
 
-// authenticateReader returns whose key was sent. A key that is also an organisation's is that organisation's only: by a
-// mistake in the settings it must not show the work of its rivals.
-func (e *Entry) authenticateReader(c echo.Context) (reader, *result.Error) {
+// authenticateViewer returns the viewer whose key was sent. A key that belongs to both an organisation and an operator
+// only gives access as the organisation, so that an error in the settings doesn't expose the requests of other
+// organisations.
+func (e *Entry) authenticateViewer(c echo.Context) (requestViewer, *result.Error) {
 	organisation, err := e.authenticate(c)
 	if err == nil {
-		return reader{organisation: organisation}, nil
+		return requestViewer{organisation: organisation}, nil
 	}
 	key, ok := process.BearerKey(c.Request())
 	if !ok {
-		return reader{}, err
+		return requestViewer{}, err
 	}
 	operator, ok := e.operators.Find(key)
 	if !ok {
-		return reader{}, err
+		return requestViewer{}, err
 	}
 	e.log.WithField("operator", operator).WithField("path", c.Request().URL.Path).Info("requests_read")
-	return reader{isOperator: true}, nil
+	return requestViewer{isOperator: true}, nil
 }
 
-// getRequests serves GET /v1/requests: where the requests at this entry that the reader may see stand, the oldest first.
+// getRequests serves GET /v1/requests: the state of the requests at this entry that the viewer may see, the oldest
+// first.
 func (e *Entry) getRequests(c echo.Context) error {
-	who, err := e.authenticateReader(c)
+	viewer, err := e.authenticateViewer(c)
 	if err != nil {
 		return e.refuse(c, nil, err)
 	}
 	list := requestList{Entry: e.settings.Instance, Requests: []sched.Explanation{}}
-	live := e.calls.list(who)
-	askErr := e.ask(c.Request().Context(), func(s *sched.Scheduler) {
-		for _, r := range live {
+	visible := e.calls.visibleTo(viewer)
+	queryErr := e.queryScheduler(c.Request().Context(), func(s *sched.Scheduler) {
+		for _, r := range visible {
 			if explanation, ok := s.Explain(r.ID); ok {
 				list.Requests = append(list.Requests, explanation)
 			}
 		}
 	})
-	if askErr != nil {
-		return e.refuse(c, nil, result.From(askErr))
+	if queryErr != nil {
+		return e.refuse(c, nil, result.From(queryErr))
 	}
 	slices.SortFunc(list.Requests, func(a, b sched.Explanation) int {
 		if order := a.Arrived.Compare(b.Arrived); order != 0 {
@@ -74,22 +76,22 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// getRequest serves GET /v1/requests/{id}: where a request stands and how it came there. Another organisation's is as
-// unknown as none: that it exists is nobody else's business.
+// getRequest serves GET /v1/requests/{id}: the state and the history of a request. A request of another organisation is
+// reported as not found, so that its existence is not disclosed.
 func (e *Entry) getRequest(c echo.Context) error {
-	who, err := e.authenticateReader(c)
+	viewer, err := e.authenticateViewer(c)
 	if err != nil {
 		return e.refuse(c, nil, err)
 	}
 	var explanation sched.Explanation
 	var known bool
-	askErr := e.ask(c.Request().Context(), func(s *sched.Scheduler) {
+	queryErr := e.queryScheduler(c.Request().Context(), func(s *sched.Scheduler) {
 		explanation, known = s.Explain(c.Param("id"))
 	})
 	switch {
-	case askErr != nil:
-		return e.refuse(c, nil, result.From(askErr))
-	case !known || !who.sees(explanation.Organisation):
+	case queryErr != nil:
+		return e.refuse(c, nil, result.From(queryErr))
+	case !known || !viewer.maySee(explanation.Organisation):
 		return e.refuse(c, nil, result.New(result.NotFound, "no such request at this entry"))
 	}
 	return c.JSON(http.StatusOK, explanation)
--- a/entry/http_service.go
+++ b/entry/http_service.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// servicesPath begins the path of a call to a plain service.
+// servicesPath is the path prefix of calls to plain services.
 const servicesPath = "/v1/services/"
 
 // postService serves POST /v1/services/{service}/{path...}.
@@ -28,8 +28,9 @@
 	})
 }
 
-// splitServicePath returns the service and the path at the service, escaped as the caller wrote it, with the query.
-// A path with a dot segment is refused: a proxy or the service could take it for another path than was checked here.
+// splitServicePath returns the service and the path at the service, escaped as the caller wrote it, with the query. A
+// path with a dot segment is refused: a proxy or the service could resolve it to a different path than the one checked
+// here.
 func splitServicePath(u *url.URL) (service, path string, err *result.Error) {
 	rest := strings.TrimPrefix(u.EscapedPath(), servicesPath)
 	name, path, found := strings.Cut(rest, "/")
@@ -56,7 +57,7 @@
 	if !json.Valid(r.Body) {
 		return result.New(result.MalformedBody, "the body is not JSON")
 	}
-	if !e.view.Load().services[service] {
+	if !e.catalogue.Load().services[service] {
 		return result.New(result.UnknownService, "no service %q", service)
 	}
 	r.Target = service
--- a/entry/incarnations.go
+++ b/entry/incarnations.go
@@ -8,12 +8,12 @@
 	"github.com/carawaypitch/carawaypitch/session"
 )
 
-// runIncarnations runs this incarnation, and a new one after each that control ended.
+// runIncarnations runs this incarnation, and a new one each time control ends the current one.
 //
-// An entry that was cut off for long is ended: its keyed requests may have been taken over, and agents refuse it for
-// good. If it went on, it would look ready and have every request refused; if it exited, the site would lose an instance
-// to each long cut. The new incarnation starts as a new process would, with the same address and settings. What the old
-// one had in flight is answered with what is known of it.
+// Control ends an entry that was cut off for a long time: its keyed requests may have been taken over, and agents
+// refuse it permanently. If it continued, it would appear ready and have every request refused; if it exited, each long
+// network partition would cost the site an instance. The new incarnation starts like a new process, with the same
+// address and settings. In-flight requests of the old one are answered with what is known of them.
 func (e *Entry) runIncarnations(ctx context.Context) error {
 	current := e
 	for {
@@ -35,11 +35,11 @@
 
 // AddControls opens links to further control instances by their link addresses.
 func (e *Entry) AddControls(addresses []string) {
-	e.present().control.AddControls(addresses)
+	e.latestIncarnation().control.AddControls(addresses)
 }
 
-// present is the incarnation that runs.
-func (e *Entry) present() *Entry {
+// latestIncarnation returns the running incarnation.
+func (e *Entry) latestIncarnation() *Entry {
 	if successor := e.successor.Load(); successor != nil {
 		return successor
 	}
--- a/entry/inflight_keys.go
+++ b/entry/inflight_keys.go
@@ -9,37 +9,37 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// flight is the work of this entry on one key. Calls with the same key that come meanwhile wait for it.
+// inflightKey is the work of this entry on one idempotency key. Other calls with the same key wait for it.
 //
-// The requests of one key share their identity. Were two of them with the scheduler or with control at a time, control
-// would take the second's begin for a resend of the first's and allow both to dispatch.
-type flight struct {
-	id     string
-	digest [sha256.Size]byte
-	done   chan struct{} // closed when there is an outcome
-	out    *outcome
-	once   sync.Once
+// All requests of a key have the same ID. If two of them were at the scheduler or at control at a time, control would
+// take the begin command of the second for a resend of the first and allow both to dispatch.
+type inflightKey struct {
+	id      string
+	digest  [sha256.Size]byte
+	done    chan struct{} // closed when the outcome is set
+	outcome *outcome
+	once    sync.Once
 }
 
-// flights are the keys that this entry works on.
-type flights struct {
+// inflightKeys holds the keys that this entry is working on.
+type inflightKeys struct {
 	entry *Entry
 
 	mu  sync.Mutex
-	all map[string]*flight
+	all map[string]*inflightKey
 }
 
-func newFlights(e *Entry) *flights {
-	return &flights{entry: e, all: make(map[string]*flight)}
+func newInflightKeys(e *Entry) *inflightKeys {
+	return &inflightKeys{entry: e, all: make(map[string]*inflightKey)}
 }
 
-// keyedID derives the identity that all requests of a key share, at all entries.
+// keyedID derives the request ID that all requests of a key share, at all entries.
 func keyedID(organisation, key string) string {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// digestOf covers what makes an operation another one: class, path and body.
+// digestOf covers everything that distinguishes operations: class, method, target, path and body.
 func digestOf(r *sched.Request) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{r.Class.GetName(), r.Method, r.Target, r.Path} {
@@ -50,40 +50,40 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// join returns the flight of a key, and whether the caller has begun it. Who has must call land at its end.
-func (f *flights) join(id string, digest [sha256.Size]byte) (*flight, bool) {
+// acquire returns the inflightKey of an ID and whether this call created it. The call that created it must release it.
+func (f *inflightKeys) acquire(id string, digest [sha256.Size]byte) (*inflightKey, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if old := f.all[id]; old != nil {
 		return old, false
 	}
-	mine := &flight{id: id, digest: digest, done: make(chan struct{})}
-	f.all[id] = mine
+	added := &inflightKey{id: id, digest: digest, done: make(chan struct{})}
+	f.all[id] = added
 	f.entry.active.Add(1)
-	return mine, true
+	return added, true
 }
 
-// land frees the key for the next call.
-func (f *flights) land(fl *flight) {
+// release frees the key for the next call.
+func (f *inflightKeys) release(key *inflightKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.all, fl.id)
+	delete(f.all, key.id)
 	f.entry.active.Add(-1)
 }
 
-// decide gives the outcome to all that wait. Only the first counts.
-func (fl *flight) decide(out *outcome) {
-	fl.once.Do(func() {
-		fl.out = out
-		close(fl.done)
+// setOutcome passes the outcome to all waiting calls. Only the first call has an effect.
+func (k *inflightKey) setOutcome(out *outcome) {
+	k.once.Do(func() {
+		k.outcome = out
+		close(k.done)
 	})
 }
 
 // wait returns the outcome, or the cause of ctx's end.
-func (fl *flight) wait(ctx context.Context) (*outcome, error) {
+func (k *inflightKey) wait(ctx context.Context) (*outcome, error) {
 	select {
-	case <-fl.done:
-		return fl.out, nil
+	case <-k.done:
+		return k.outcome, nil
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
--- a/entry/keyed_end_test.go
+++ b/entry/keyed_end_test.go
@@ -17,230 +17,228 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: two engines work on one summary, or a caller that lost its connection can never use its key again. Sequence:
-// a repeatable keyed request is running, its caller leaves, the agent proves the cancel, the caller sends again. Cause:
-// the key is freed before the proof, or never.
-func TestRepeatableKeyIsFreeAfterTheProof(t *testing.T) {
+// Two engines would work on one summary if the key were released before the proof, and a caller that lost its
+// connection could never use its key again if it were never released. The caller disconnects from a repeatable keyed
+// request, the agent proves the cancellation, and the caller resends.
+func TestRepeatableKeyIsReleasedAfterProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addModel(1)
-		agent.deaf()
-		ctx, leave := context.WithCancel(context.Background())
-		go func() { _, _ = r.do(r.request(ctx, 1, http.MethodPost, chatPath, chatBody, key("k"))) }()
+		h := newHarness(t, 2)
+		agent := h.addModel(1)
+		agent.ignoreMessages()
+		ctx, disconnect := context.WithCancel(context.Background())
+		go func() { _, _ = h.do(h.request(ctx, 1, http.MethodPost, chatPath, chatBody, keyHeader("k"))) }()
 		synctest.Wait()
-		leave()
+		disconnect()
 		time.Sleep(2 * time.Second)
-		require.Equal(t, []string{"begin"}, r.control.commands(), "no proof yet")
-		again := r.goCall(2, chatPath, chatBody, key("k"))
+		require.Equal(t, []string{"begin"}, h.control.commands(), "must wait for the proof")
+		again := h.callAsync(2, chatPath, chatBody, keyHeader("k"))
 		time.Sleep(2 * time.Second)
-		require.Equal(t, 1, agent.ran(""))
-		agent.script(nil, nil)
-		agent.all()[0].over(&wire.Over{Proof: wire.Proof_PROOF_CANCELLED})
+		require.Equal(t, 1, agent.dispatchCount(""))
+		agent.setHandlers(nil, nil)
+		agent.dispatchList()[0].sendOver(&wire.Over{Proof: wire.Proof_PROOF_CANCELLED})
 		require.Equal(t, 200, (<-again).status)
-		require.Equal(t, 2, agent.ran(""))
+		require.Equal(t, 2, agent.dispatchCount(""))
 	})
 }
 
-// Symptom: a pass is issued twice, or two engines run one summary. Sequence: the entry dies with the request dispatched;
-// control ends it; the caller sends again to another entry. Cause: the next owner dispatches without proof.
-func TestNextOwnerNeedsProof(t *testing.T) {
+// A pass would be issued twice, or two engines would run one summary, if the next owner of a record dispatched without
+// proof after control ended the entry that had dispatched the request.
+func TestNextOwnerWaitsForProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		service, model := r.addService(1), r.addModel(2)
-		service.hold()
-		model.hold()
-		r.goCall(1, issuePath, `{}`, passIssue, key("pass"))
-		r.goCall(1, chatPath, chatBody, key("text"))
+		h := newHarness(t, 2)
+		service, model := h.addService(1), h.addModel(2)
+		service.holdDispatches()
+		model.holdDispatches()
+		h.callAsync(1, issuePath, `{}`, passIssueHeader, keyHeader("pass"))
+		h.callAsync(1, chatPath, chatBody, keyHeader("text"))
 		synctest.Wait()
-		require.Equal(t, 1, service.ran(""))
-		require.Equal(t, 1, model.ran(""))
-		r.endEntry(1)
+		require.Equal(t, 1, service.dispatchCount(""))
+		require.Equal(t, 1, model.dispatchCount(""))
+		h.endEntry(1)
 
-		e := r.issue(2, "pass", `{}`).code(t)
+		e := h.issuePass(2, "pass", `{}`).code(t)
 		require.Equal(t, result.OutcomeUnknown, e.Code)
 		require.Equal(t, result.RanUnknown, e.Ran)
-		require.Equal(t, 1, service.ran(""), "never a second time")
+		require.Equal(t, 1, service.dispatchCount(""), "must not run a second time")
 
-		model.deaf()
-		again := r.goCall(2, chatPath, chatBody, key("text"))
+		model.ignoreMessages()
+		again := h.callAsync(2, chatPath, chatBody, keyHeader("text"))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 1, model.ran(""), "no proof yet")
-		require.Positive(t, model.cancelled())
-		model.script(nil, nil)
+		require.Equal(t, 1, model.dispatchCount(""), "must wait for the proof")
+		require.Positive(t, model.cancelCount())
+		model.setHandlers(nil, nil)
 		require.Equal(t, 200, (<-again).status)
-		require.Equal(t, 2, model.ran(""))
-		all := model.all()
-		require.Equal(t, all[0].d.GetAttempt().GetRequest(), all[1].d.GetAttempt().GetRequest())
-		require.Greater(t, all[1].d.GetAttempt().GetNumber(), all[0].d.GetAttempt().GetNumber())
+		require.Equal(t, 2, model.dispatchCount(""))
+		all := model.dispatchList()
+		require.Equal(t, all[0].message.GetAttempt().GetRequest(), all[1].message.GetAttempt().GetRequest())
+		require.Greater(t, all[1].message.GetAttempt().GetNumber(), all[0].message.GetAttempt().GetNumber())
 	})
 }
 
-// endEntry cuts an entry off from all and has control end it.
-func (r *rig) endEntry(n int) {
-	e := r.entries[n-1]
+// endEntry cuts an entry off from all agents and makes control end it.
+func (h *harness) endEntry(n int) {
+	e := h.entries[n-1]
 	for i := range 9 {
-		r.net.Cut(entryHost(n), "10.0.1."+string(rune('0'+i)))
+		h.net.Cut(entryHost(n), "10.0.1."+string(rune('0'+i)))
 	}
-	_, err := r.control.Propose(context.Background(), &wire.Command{Kind: &wire.Command_EndEntry{
+	_, err := h.control.Propose(context.Background(), &wire.Command{Kind: &wire.Command_EndEntry{
 		EndEntry: &wire.EndEntry{Entry: e.settings.Instance, Incarnation: e.incarnation},
 	}})
-	require.NoError(r.t, err)
+	require.NoError(h.t, err)
 }
 
-// Symptom: work that may not be repeated runs twice. Sequence: its outcome is unknown at the deadline; the caller sends
-// again with the key, to the same entry and to another. Cause: the key is freed, or the resend is taken for a new one.
-func TestUnknownStaysUnknown(t *testing.T) {
+// Non-repeatable work would run twice if, after its outcome was unknown at the deadline, the key were released or a
+// resend taken for a new request. The caller resends to the same entry and to another.
+func TestUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addService(1)
-		agent.deaf()
+		h := newHarness(t, 2)
+		agent := h.addService(1)
+		agent.ignoreMessages()
 		for n := range 2 {
-			e := r.issue(n+1, "k", `{}`).code(t)
+			e := h.issuePass(n+1, "k", `{}`).code(t)
 			require.Equal(t, result.OutcomeUnknown, e.Code)
 			require.Equal(t, result.RanUnknown, e.Ran)
 		}
-		agent.script(nil, nil)
-		require.Equal(t, result.OutcomeUnknown, r.issue(1, "k", `{}`).code(t).Code)
-		require.Equal(t, 1, agent.ran(""))
+		agent.setHandlers(nil, nil)
+		require.Equal(t, result.OutcomeUnknown, h.issuePass(1, "k", `{}`).code(t).Code)
+		require.Equal(t, 1, agent.dispatchCount(""))
 	})
 }
 
-func TestTooLargeAnswerIsNotKept(t *testing.T) {
+func TestOversizedAnswerIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addService(1)
-		long := `"` + strings.Repeat("x", 100_000) + `"`
-		require.Equal(t, long, r.issue(1, "k", long).body)
-		e := r.issue(2, "k", long).code(t)
+		h := newHarness(t, 2)
+		agent := h.addService(1)
+		oversized := `"` + strings.Repeat("x", 100_000) + `"`
+		require.Equal(t, oversized, h.issuePass(1, "k", oversized).body)
+		e := h.issuePass(2, "k", oversized).code(t)
 		require.Equal(t, result.AnswerTooLarge, e.Code)
 		require.Equal(t, result.RanYes, e.Ran)
-		require.Equal(t, 1, agent.ran(""))
+		require.Equal(t, 1, agent.dispatchCount(""))
 	})
 }
 
-// Symptom: a keyed request goes to a server that its record doesn't name, so a next owner never asks it for proof.
-// Sequence: no server is known yet when the record is begun. Cause: no candidates mean any server.
-func TestNoServerFreesTheKey(t *testing.T) {
+// A keyed request would go to a server that its record doesn't name, so that the next owner never asks that server for
+// proof, if a record begun without known servers (no candidates) allowed any server.
+func TestNoServerReleasesKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
-		agent := r.addAgent(1, settings.KindService, "registry")
-		r.control.publish(func(v *session.View) { delete(v.Agents, agent.name) })
-		// The service is still known to admission for this moment.
-		r.entries[0].view.Store(&catalogue{version: 1, classes: testClasses, services: map[string]bool{"registry": true}})
+		h := newHarness(t, 1)
+		agent := h.addAgent(1, settings.KindService, "registry")
+		h.control.publish(func(v *session.View) { delete(v.Agents, agent.name) })
+		// Admission still knows the service from the previous catalogue.
+		h.entries[0].catalogue.Store(&catalogue{version: 1, classes: testClasses, services: map[string]bool{"registry": true}})
 		synctest.Wait()
-		r.entries[0].view.Store(&catalogue{version: 1, classes: testClasses, services: map[string]bool{"registry": true}})
-		e := r.issue(1, "k", `{}`).code(t)
+		h.entries[0].catalogue.Store(&catalogue{version: 1, classes: testClasses, services: map[string]bool{"registry": true}})
+		e := h.issuePass(1, "k", `{}`).code(t)
 		require.Equal(t, result.NoServer, e.Code)
 		require.Equal(t, result.RanNo, e.Ran)
-		require.Equal(t, []string{"begin", "release"}, r.control.commands())
+		require.Equal(t, []string{"begin", "release"}, h.control.commands())
 	})
 }
 
-// Symptom: a request runs twice. Sequence: an attempt is proved never started, its record is released, the same key
-// begins a new record whose attempts have the same numbers; a late repetition of the old proof arrives. Cause: it is taken
-// for one about the new attempt.
-func TestLateProofOfAFreedRecord(t *testing.T) {
+// A request would run twice if a repeated proof for an attempt of a released record were taken for a new attempt. The
+// new record of the same key has attempts with the same numbers.
+func TestStaleProofOfReleasedRecordIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
-		agent := r.addService(1)
-		agent.script(func(d *dispatched) { d.over(&wire.Over{Proof: wire.Proof_PROOF_NEVER_STARTED}) }, nil)
-		require.Equal(t, result.RanNo, r.issue(1, "k", `{}`).code(t).Ran)
-		old := agent.all()
-		agent.hold()
-		again := r.goCall(1, issuePath, `{}`, passIssue, key("k"))
+		h := newHarness(t, 1)
+		agent := h.addService(1)
+		agent.setHandlers(func(d *receivedDispatch) { d.sendOver(&wire.Over{Proof: wire.Proof_PROOF_NEVER_STARTED}) }, nil)
+		require.Equal(t, result.RanNo, h.issuePass(1, "k", `{}`).code(t).Ran)
+		old := agent.dispatchList()
+		agent.holdDispatches()
+		again := h.callAsync(1, issuePath, `{}`, passIssueHeader, keyHeader("k"))
 		synctest.Wait()
-		require.Len(t, agent.all(), len(old)+1, "the freed key is served at once")
+		require.Len(t, agent.dispatchList(), len(old)+1, "the released key is served at once")
 		for _, d := range old {
-			d.over(&wire.Over{Proof: wire.Proof_PROOF_NEVER_STARTED})
+			d.sendOver(&wire.Over{Proof: wire.Proof_PROOF_NEVER_STARTED})
 		}
 		synctest.Wait()
-		all := agent.all()
-		require.Len(t, all, len(old)+1, "dispatched again while it runs")
-		all[len(old)].echo()
+		all := agent.dispatchList()
+		require.Len(t, all, len(old)+1, "must not be dispatched again while it runs")
+		all[len(old)].sendDefaultAnswer()
 		require.Equal(t, 200, (<-again).status)
 	})
 }
 
-// Symptom: two engines work on one summary. Sequence: a repeatable keyed request fails at its deadline without a proof
-// that its attempt is over; the caller sends again. Cause: the key is freed because the work may be repeated.
-func TestRepeatableKeyIsSpentWithoutProof(t *testing.T) {
+// Two engines would work on one summary if the key of repeatable work were released at the deadline without proof that
+// the attempt ended.
+func TestRepeatableKeyIsNotReleasedWithoutProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addModel(1)
-		agent.deaf()
-		first := r.call(1, http.MethodPost, chatPath, chatBody, key("k")).code(t)
+		h := newHarness(t, 2)
+		agent := h.addModel(1)
+		agent.ignoreMessages()
+		first := h.call(1, http.MethodPost, chatPath, chatBody, keyHeader("k")).code(t)
 		require.Equal(t, result.RanUnknown, first.Ran)
-		require.Equal(t, []string{"begin", "complete"}, r.control.commands())
-		agent.script(nil, nil)
-		again := r.call(2, http.MethodPost, chatPath, chatBody, key("k")).code(t)
+		require.Equal(t, []string{"begin", "complete"}, h.control.commands())
+		agent.setHandlers(nil, nil)
+		again := h.call(2, http.MethodPost, chatPath, chatBody, keyHeader("k")).code(t)
 		require.Equal(t, first.Code, again.Code)
 		require.Equal(t, result.RanUnknown, again.Ran)
-		require.Equal(t, 1, agent.ran(""))
+		require.Equal(t, 1, agent.dispatchCount(""))
 	})
 }
 
-// Symptom: a pass is issued twice. Sequence: the service fails on the first run, which has begun; the caller sends again.
-// Cause: the key is freed because the attempt is over.
-func TestFailedRunOfUnrepeatableWorkStays(t *testing.T) {
+// A pass would be issued twice if the key were released because the attempt ended, although the service failed after it
+// began to run.
+func TestFailureOfNonRepeatableWorkIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addService(1)
-		agent.script(func(d *dispatched) { d.over(failedProof()) }, nil)
-		first := r.issue(1, "k", `{}`).code(t)
+		h := newHarness(t, 2)
+		agent := h.addService(1)
+		agent.setHandlers(func(d *receivedDispatch) { d.sendOver(failedProof()) }, nil)
+		first := h.issuePass(1, "k", `{}`).code(t)
 		require.Equal(t, result.EngineFailed, first.Code)
 		require.Equal(t, result.RanYes, first.Ran)
-		agent.script(nil, nil)
-		again := r.issue(2, "k", `{}`).code(t)
+		agent.setHandlers(nil, nil)
+		again := h.issuePass(2, "k", `{}`).code(t)
 		require.Equal(t, result.EngineFailed, again.Code)
 		require.Equal(t, result.RanYes, again.Ran)
-		require.Equal(t, 1, agent.ran(""))
+		require.Equal(t, 1, agent.dispatchCount(""))
 	})
 }
 
-// Symptom: a caller hears "not run" of a summary that an earlier owner ran, or the next owner loses the list of servers to
-// ask. Sequence: a record is taken over, and the request can't go to the scheduler. Cause: the refusal, and the record's
-// release, look at the new epoch only.
-func TestRefusalAfterTakeOver(t *testing.T) {
+// A caller would be told "not run" of a summary that an earlier owner ran, or the next owner would lose the list of
+// servers to ask, if a refusal after a takeover, or the release of the record, considered the new epoch only.
+func TestRefusalAfterTakeoverReportsRanUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
-		agent := r.addModel(1)
-		agent.hold()
-		r.goCall(1, chatPath, chatBody, key("k"))
+		h := newHarness(t, 2)
+		agent := h.addModel(1)
+		agent.holdDispatches()
+		h.callAsync(1, chatPath, chatBody, keyHeader("k"))
 		synctest.Wait()
-		r.endEntry(1)
-		e := r.entries[1]
-		known := e.view.Load()
-		r.control.publish(func(v *session.View) { delete(v.Agents, agent.name) })
+		h.endEntry(1)
+		e := h.entries[1]
+		known := e.catalogue.Load()
+		h.control.publish(func(v *session.View) { delete(v.Agents, agent.name) })
 		synctest.Wait()
-		e.view.Store(known)
-		refusal := r.call(2, http.MethodPost, chatPath, chatBody, key("k")).code(t)
+		e.catalogue.Store(known)
+		refusal := h.call(2, http.MethodPost, chatPath, chatBody, keyHeader("k")).code(t)
 		require.Equal(t, result.RanUnknown, refusal.Ran)
-		require.Equal(t, []string{"begin", "begin", "release"}, r.control.commands())
-		record := r.control.state.Operation("compost", "k")
+		require.Equal(t, []string{"begin", "begin", "release"}, h.control.commands())
+		record := h.control.state.Operation("compost", "k")
 		require.Equal(t, []string{agent.server}, record.GetEarlier())
-		require.Empty(t, record.GetOwner(), "the next owner needn't wait for this one")
+		require.Empty(t, record.GetOwner(), "the next owner must not wait for this one")
 	})
 }
 
-// Symptom: a caller hears one answer, and another one when it sends again. Sequence: the entry counts as gone, and the
-// agent commits the outcome; the entry, alive, has an answer too and commits it later. Cause: the entry gives its own.
-func TestCommittedAnswerWins(t *testing.T) {
+// A caller would get one answer and, on a resend, another if an entry sent its own answer although an agent had
+// committed the outcome while the entry was considered gone.
+func TestCommittedAnswerTakesPrecedence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
-		agent := r.addService(1)
-		agent.hold()
-		done := r.goCall(1, issuePath, `{}`, passIssue, key("k"))
+		h := newHarness(t, 1)
+		agent := h.addService(1)
+		agent.holdDispatches()
+		done := h.callAsync(1, issuePath, `{}`, passIssueHeader, keyHeader("k"))
 		synctest.Wait()
-		d := agent.all()[0]
-		_, err := r.control.Propose(context.Background(), &wire.Command{Kind: &wire.Command_CompleteOperation{
+		d := agent.dispatchList()[0]
+		_, err := h.control.Propose(context.Background(), &wire.Command{Kind: &wire.Command_CompleteOperation{
 			CompleteOperation: &wire.CompleteOperation{
-				Organisation: "compost", Key: "k", Request: d.d.GetAttempt().GetRequest(),
-				Epoch:  d.d.GetAttempt().GetNumber() >> sched.EpochShift,
+				Organisation: "compost", Key: "k", Request: d.message.GetAttempt().GetRequest(),
+				Epoch:  d.message.GetAttempt().GetNumber() >> sched.EpochShift,
 				Answer: &wire.Answer{Status: 201, ContentType: "text/plain", Body: []byte("from the agent")},
 			},
 		}})
 		require.NoError(t, err)
-		d.echo()
+		d.sendDefaultAnswer()
 		a := <-done
 		require.Equal(t, 201, a.status)
 		require.Equal(t, "from the agent", a.body)
--- a/entry/links.go
+++ b/entry/links.go
@@ -14,26 +14,26 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// links keeps links to agents of the directory, see agentSubset.
+// links maintains links to a subset of the agents in the directory, see agentSubset.
 type links struct {
 	entry *Entry
 	tls   *tls.Config
 	wake  chan struct{}
 
 	mu     sync.Mutex
-	latest *session.View
+	newest *session.View
 	byName map[string]*agentLink
-	needed map[string]time.Time // servers whose agents are linked whatever the subset, until then
+	needed map[string]time.Time // by server, until when its agent is linked regardless of the subset
 	wg     sync.WaitGroup
 }
 
-// agentLink is the link duty of one agent at one address.
+// agentLink maintains the link to one agent at one address.
 type agentLink struct {
 	dialer *link.AgentDialer
 	stop   context.CancelFunc
 	// Guarded by links.mu.
 	up      bool
-	removed bool // not in the directory any more
+	removed bool // no longer in the entry's subset of the directory
 }
 
 func newLinks(e *Entry, config *tls.Config) *links {
@@ -46,11 +46,11 @@
 	}
 }
 
-// viewChanged takes a new view from the session. It doesn't wait; views that come faster than the duty takes them are
-// skipped, since each is whole.
+// viewChanged receives a new view from the session. It doesn't block. Each view is complete, so views that arrive
+// faster than they are applied are skipped.
 func (l *links) viewChanged(view *session.View) {
 	l.mu.Lock()
-	l.latest = view
+	l.newest = view
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -58,18 +58,18 @@
 	}
 }
 
-// run is the duty that follows the directory.
+// run applies new views until ctx ends.
 func (l *links) run(ctx context.Context) error {
 	defer l.wg.Wait()
 	var last *session.View
-	unused := time.NewTicker(unusedInterval)
-	defer unused.Stop()
+	unusedTicks := time.NewTicker(unusedLinkInterval)
+	defer unusedTicks.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-unused.C:
-			l.dropUnused(ctx)
+		case <-unusedTicks.C:
+			l.closeUnused(ctx)
 			continue
 		case <-l.wake:
 		}
@@ -84,37 +84,37 @@
 func (l *links) view() *session.View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.latest
+	return l.newest
 }
 
-// apply puts a view in force: the scheduler first, then admission, then the links.
+// apply puts a view in force: first in the scheduler, then for admission, then for the links.
 func (l *links) apply(ctx context.Context, last, view *session.View) error {
 	e := l.entry
 	if last == nil || last.ConfigVersion != view.ConfigVersion {
-		if err := e.tell(ctx, sched.Config{Version: view.ConfigVersion, Classes: classesOf(view)}); err != nil {
+		if err := e.postEvent(ctx, sched.Config{Version: view.ConfigVersion, Classes: classesOf(view)}); err != nil {
 			return err
 		}
 		e.log.WithField("version", view.ConfigVersion).Info("config_applied")
 		e.meter.declareClasses(view.Classes)
 	}
 	agents := l.agents(view)
-	if err := e.tell(ctx, sched.Directory{Agents: agents, Entries: len(view.Entries)}); err != nil {
+	if err := e.postEvent(ctx, sched.Directory{Agents: agents, Entries: len(view.Entries)}); err != nil {
 		return err
 	}
 	if err := e.applyPoison(ctx, last, view); err != nil {
 		return err
 	}
 	catalogue := newCatalogue(view)
-	catalogue.routing = routingOf(view, e.view.Load().routing, e.caps)
+	catalogue.routing = routingOf(view, e.catalogue.Load().routing, e.caps)
 	e.caps.SetEntries(len(view.Entries))
-	e.view.Store(catalogue)
-	e.prover.learn(view)
+	e.catalogue.Store(catalogue)
+	e.prover.recordAddresses(view)
 	l.update(ctx, agents)
 	return nil
 }
 
-// update opens links to new agents. The link to one that left the directory, or this entry's part of it, stays while it is up
-// and has work: answers in flight come over it, and the scheduler sends it no new work.
+// update opens links to new agents. The link to an agent that has left the directory or this entry's subset stays open
+// while it is up and has attempts: their answers arrive on it, and the scheduler sends it no new requests.
 func (l *links) update(ctx context.Context, agents []*wire.AgentRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +140,7 @@
 	}
 }
 
-// stopIfUnused is called with the lock held.
+// stopIfUnused stops the link to a removed agent if it is down. The caller must hold l.mu.
 func (l *links) stopIfUnused(a *agentLink) {
 	if !a.removed || a.up {
 		return
@@ -152,7 +152,7 @@
 }
 
 func (l *links) open(ctx context.Context, name, address string) *agentLink {
-	duties := ctx
+	parent := ctx
 	ctx, stop := context.WithCancel(ctx)
 	a := &agentLink{stop: stop}
 	a.dialer = &link.AgentDialer{
@@ -162,7 +162,7 @@
 		Agent:   name,
 		Hello:   l.entry.hello,
 		Up:      func(ctx context.Context, hello *wire.AgentHello) { l.up(ctx, a, hello) },
-		Down:    func(hello *wire.AgentHello, cause error) { l.down(duties, a, hello, cause) },
+		Down:    func(hello *wire.AgentHello, cause error) { l.down(parent, a, hello, cause) },
 		Receive: l.receive,
 		Failed:  func(error) { l.failed(a) },
 		Timing:  link.Timing{Heartbeat: l.entry.settings.Timing.Heartbeat},
@@ -174,26 +174,26 @@
 	return a
 }
 
-// agents are this entry's part of those of the directory, and its own.
+// agents returns this entry's subset of the agents in the directory, and its local agent.
 func (l *links) agents(view *session.View) []*wire.AgentRecord {
 	s := l.entry.settings
-	agents := slices.Clip(agentSubset(s.Instance, s.AvailabilityZone, sortedAgents(view), l.neededNow()))
-	if l.entry.local != nil {
-		agents = append(agents, l.entry.local.record(view))
+	agents := slices.Clip(agentSubset(s.Instance, s.AvailabilityZone, sortedAgents(view), l.currentlyNeeded()))
+	if l.entry.localAgent != nil {
+		agents = append(agents, l.entry.localAgent.record(view))
 	}
 	return agents
 }
 
-// network is how an agent is reached: the entry's own is in this process.
+// network returns the network on which an agent is reached: the local agent's is within this process.
 func (l *links) network(agent string) network.Network {
-	if l.entry.local.is(agent) {
-		return l.entry.local.network
+	if l.entry.localAgent.is(agent) {
+		return l.entry.localAgent.network
 	}
 	return l.entry.network
 }
 
-// again applies the present view once more, after the entry's own agent has other servers.
-func (l *links) again() {
+// reapply applies the current view again, after the servers of the local agent or the needed servers have changed.
+func (l *links) reapply() {
 	l.viewChanged(l.entry.control.View())
 }
 
@@ -202,14 +202,14 @@
 	a.up = true
 	l.mu.Unlock()
 	l.entry.log.WithField("agent", hello.GetAgent()).WithField("incarnation", hello.GetIncarnation()).Info("link_up")
-	l.entry.observe(hello.GetConfigVersion())
-	_ = l.entry.tell(ctx, sched.AgentUp{Hello: hello})
+	l.entry.observeVersion(hello.GetConfigVersion())
+	_ = l.entry.postEvent(ctx, sched.AgentUp{Hello: hello})
 }
 
 func (l *links) down(ctx context.Context, a *agentLink, hello *wire.AgentHello, cause error) {
 	l.entry.log.WithField("agent", a.dialer.Agent).WithField("incarnation", hello.GetIncarnation()).WithError(cause).Warn("link_down")
-	l.entry.meter.linkLost()
-	_ = l.entry.tell(ctx, sched.AgentDown{Agent: a.dialer.Agent, Incarnation: hello.GetIncarnation()})
+	l.entry.meter.countLostLink()
+	_ = l.entry.postEvent(ctx, sched.AgentDown{Agent: a.dialer.Agent, Incarnation: hello.GetIncarnation()})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.up = false
@@ -217,27 +217,27 @@
 }
 
 func (l *links) failed(a *agentLink) {
-	l.entry.meter.dialFailed()
+	l.entry.meter.countFailedDial()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopIfUnused(a)
 }
 
-// receive passes a message of an agent on. A full ring holds the link back.
+// receive passes a message from an agent to the scheduler. While the ring is full, it blocks the link.
 func (l *links) receive(ctx context.Context, hello *wire.AgentHello, message *wire.AgentMessage) error {
-	if beat := message.GetHeartbeat(); beat != nil {
-		l.entry.observe(beat.GetConfigVersion())
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil {
+		l.entry.observeVersion(heartbeat.GetConfigVersion())
 		return nil
 	}
-	return l.entry.tell(ctx, sched.MessageReceived{Agent: hello.GetAgent(), Incarnation: hello.GetIncarnation(), Message: message})
+	return l.entry.postEvent(ctx, sched.MessageReceived{Agent: hello.GetAgent(), Incarnation: hello.GetIncarnation(), Message: message})
 }
 
-// send passes a message of the scheduler on. What can't be sent is lost and counted; the scheduler asks again.
+// send sends a message of the scheduler. A message that can't be sent is lost and counted; the scheduler retries.
 func (l *links) send(a sched.Send) {
 	l.mu.Lock()
 	to := l.byName[a.Agent]
 	l.mu.Unlock()
 	if to == nil || !to.dialer.Send(a.Incarnation, a.Message) {
-		l.entry.meter.messageDropped()
+		l.entry.meter.countDroppedMessage()
 	}
 }
--- a/entry/links_needed.go
+++ b/entry/links_needed.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// neededFor is how long the agents of servers that an operation may have run on stay linked: longer than any call.
-const neededFor = 10 * time.Minute
+// neededLinkDuration is how long the agents of servers that may have run an operation stay linked. It is longer than
+// any call.
+const neededLinkDuration = 10 * time.Minute
 
-// need has the agents of servers linked, for an operation that another entry began: only they can tell what became of it.
-func (l *links) need(servers []string) {
+// keepLinked keeps links to the agents of the given servers, for an operation begun by another entry: only these agents
+// can report its outcome.
+func (l *links) keepLinked(servers []string) {
 	l.mu.Lock()
-	isNew := false
+	hasNew := false
 	for _, server := range servers {
-		isNew = isNew || l.needed[server].IsZero()
-		l.needed[server] = time.Now().Add(neededFor)
+		hasNew = hasNew || l.needed[server].IsZero()
+		l.needed[server] = time.Now().Add(neededLinkDuration)
 	}
 	l.mu.Unlock()
-	if isNew {
-		l.again()
+	if hasNew {
+		l.reapply()
 	}
 }
 
-// neededNow returns the servers that are needed still.
-func (l *links) neededNow() map[string]bool {
+// currentlyNeeded returns the servers whose agents must stay linked, and removes expired ones.
+func (l *links) currentlyNeeded() map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/entry/links_unused.go
+++ b/entry/links_unused.go
@@ -8,24 +8,24 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// unusedInterval is how often links are looked for that are open and have no work any more.
-const unusedInterval = 2 * time.Second
+// unusedLinkInterval is the interval between checks for open links that are no longer used.
+const unusedLinkInterval = 2 * time.Second
 
-// dropUnused closes the open links to agents that aren't this entry's any more, once no attempt is there.
+// closeUnused closes open links to agents that are no longer in this entry's subset, once they have no attempts.
 //
-// A fleet that starts registers its agents one after the other, so the part of them that is an entry's changes until all are
-// there. Were the earlier links kept, most entries would end with twice their part.
-func (l *links) dropUnused(ctx context.Context) {
+// The agents of a starting fleet register one after another, so an entry's subset changes until all have registered. If
+// the earlier links were kept, most entries would end up with twice their number of links.
+func (l *links) closeUnused(ctx context.Context) {
 	removed := l.removedLinks()
 	if len(removed) == 0 {
 		return
 	}
 	var idle []string
-	err := l.entry.ask(ctx, func(s *sched.Scheduler) {
+	err := l.entry.queryScheduler(ctx, func(s *sched.Scheduler) {
 		idle = slices.DeleteFunc(removed, s.HasAttempts)
 	})
 	if err != nil {
-		return // the entry stops
+		return // the entry is stopping
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/local_agent.go
+++ b/entry/local_agent.go
@@ -17,52 +17,53 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// localSuffix follows the entry's name in the name of its own agent.
+// localSuffix is appended to the entry's name to form the name of its local agent.
 const localSuffix = "/services"
 
-// localProbe is how often the entry's own agent looks after its servers. A server is suspect after two failures, so what
-// is lost to one that just died goes on for half a second at most.
-const localProbe = 200 * time.Millisecond
+// localProbeInterval is the interval between probes of the local agent's servers. A server is suspect after two failed
+// probes, so requests are lost to a crashed server for at most half a second.
+const localProbeInterval = 200 * time.Millisecond
 
-// localUnprovenHold is how long a place at a plain service counts as taken after a connection to it was lost. Its calls
-// take tens of milliseconds.
+// localUnprovenHold is how long a slot at a plain service counts as occupied after a connection to it was lost. Calls
+// to plain services take tens of milliseconds.
 const localUnprovenHold = time.Second
 
-// The entry's own agent sees a part of a server's work only, so it learns neither how many attempts the server runs well at
-// a time nor, from its pace, much of its health: all announced slots are given out, and only a standstill is suspect.
+// The local agent sees only part of a server's work, so it can't learn how many concurrent attempts the server handles
+// well, nor infer much about its health from its speed: it uses all announced slots, and suspects a server only if it
+// stalls.
 const (
 	localSlotsFloor = 1
 	localSlowRatio  = 10
 )
 
-// localDrain is how long calls may still take after the entry itself has let its own requests finish.
-const localDrain = 100 * time.Millisecond
+// localDrainTimeout is how long calls may still take after the entry has drained its own requests.
+const localDrainTimeout = 100 * time.Millisecond
 
-// localSettle is how long the entry's own agent waits for what an earlier process left at the servers: the least there
-// is, since the requests of that process died with it and can't run a second time.
-const localSettle = time.Nanosecond
+// localSettleTime is how long the local agent waits for attempts that an earlier process left at the servers. It is the
+// smallest possible value, since the requests of that process ended with it and can't run a second time.
+const localSettleTime = time.Nanosecond
 
-// Addresses of the entry's own agent on a network inside this process.
+// Addresses of the local agent on its in-process network.
 const (
 	localHost  = "127.0.0.1"
 	localLinks = localHost + ":1"
 	localHTTP  = localHost + ":2"
 )
 
-// localMaxServers bounds the servers of the entry's own agent, with those that left lately. It is a guard against announcements
-// without end: ten thousand servers are more than any deployment has.
+// localMaxServers bounds the servers of the local agent, including those that left recently. It guards against an
+// unbounded number of announcements; ten thousand servers are more than any deployment has.
 const localMaxServers = 10_000
 
-// localAttendWait is how long a model server has no agent before the entries' own agents take it. Agents announce themselves
-// within a second of their start.
-const localAttendWait = 2 * time.Second
+// agentlessGracePeriod is how long a model server must be without an agent before the entries' local agents serve it.
+// Agents announce themselves within a second of starting.
+const agentlessGracePeriod = 2 * time.Second
 
-// localAgent is an agent inside the entry, for the plain services that have no agent beside them. Each entry has one of
-// its own, in no directory. An agent that several entries share would be one more process whose death loses what is in
-// flight; a plain service is lightly loaded, so its entries need no common gate to keep their order.
+// localAgent is an agent within the entry process, for plain services without an agent of their own. Each entry has
+// one, which is not in the directory. An agent shared by several entries would be one more process whose crash loses
+// in-flight requests; plain services are lightly loaded, so the entries need no common gate to order their requests.
 //
-// It also takes model servers that have no agent, for want of a better one, see unattended: the gates of several entries keep no common
-// order there, so its slots are given out more than once under high load.
+// It also serves model servers that have no agent, see agentlessSelector. The gates of several entries don't
+// coordinate, so under high load the slots of such a server are offered more than once.
 type localAgent struct {
 	entry   *Entry
 	name    string
@@ -84,10 +85,10 @@
 	s.Listen = settings.AgentListen{HTTP: localHTTP, Links: localLinks}
 	s.Advertise = localLinks
 	s.Limits.MaxBody, s.Limits.MaxAnswer = e.settings.Limits.MaxBody, e.settings.Limits.MaxAnswer
-	s.Timing.Heartbeat, s.Timing.Drain = e.settings.Timing.Heartbeat, localDrain
-	s.Timing.Probe = localProbe
+	s.Timing.Heartbeat, s.Timing.Drain = e.settings.Timing.Heartbeat, localDrainTimeout
+	s.Timing.Probe = localProbeInterval
 	s.Timing.UnprovenHold = localUnprovenHold
-	s.Timing.UnlistedSettle = localSettle
+	s.Timing.UnlistedSettle = localSettleTime
 	s.Limits.SlowRatio, s.Limits.SlotsFloor = localSlowRatio, localSlotsFloor
 	var err error
 	l.agent, err = agent.New(s, agent.Options{
@@ -97,7 +98,7 @@
 		Control:   localControl{l},
 		Select: agent.Either(
 			agent.OfKind(engine.KindService),
-			newUnattended(e.settings.Instance, e.settings.AvailabilityZone, localAttendWait).choose,
+			newAgentlessSelector(e.settings.Instance, e.settings.AvailabilityZone, agentlessGracePeriod).choose,
 		),
 
 		// Any entry may send to a server without an agent.
@@ -105,30 +106,31 @@
 		MaxServers: localMaxServers,
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "entry: own agent")
+		return nil, errors.Wrap(err, "entry: local agent")
 	}
 	return l, nil
 }
 
-// is tells whether the name is that of the entry's own agent.
+// is reports whether name is that of the local agent. It returns false if there is none.
 func (l *localAgent) is(name string) bool {
 	return l != nil && l.name == name
 }
 
-// record is the agent as the directory would have it. A server that an agent of the directory lists is that agent's.
+// record returns the agent's record in the form used by the directory. Servers that are listed by an agent in the
+// directory are omitted.
 func (l *localAgent) record(view *session.View) *wire.AgentRecord {
-	attended := agent.Attended(view)
+	withAgent := agent.Attended(view)
 	return &wire.AgentRecord{
 		Agent:            l.name,
 		AvailabilityZone: l.entry.settings.AvailabilityZone,
 		LinkAddress:      localLinks,
 		Servers: slices.DeleteFunc(slices.Clone(*l.servers.Load()), func(server *wire.ServerRecord) bool {
-			return attended[server.GetServer()]
+			return withAgent[server.GetServer()]
 		}),
 	}
 }
 
-// run is the duty of the agent. It stops with the entry's duties, after what is in flight has ended.
+// run runs the agent. It stops with the entry's other goroutines, after in-flight requests have ended.
 func (l *localAgent) run(ctx context.Context) error {
 	err := l.agent.Run(ctx)
 	if ctx.Err() != nil {
@@ -137,8 +139,8 @@
 	return err
 }
 
-// localControl is the entry's session as its own agent sees it. The agent proposes nothing of its own: it is in no
-// directory.
+// localControl provides the entry's session to its local agent. The agent is not in the directory, so its removal is
+// not proposed.
 type localControl struct{ local *localAgent }
 
 var _ agent.Control = localControl{}
@@ -152,7 +154,7 @@
 // SetServers implements agent.Control.
 func (c localControl) SetServers(servers []*wire.ServerRecord) {
 	c.local.servers.Store(&servers)
-	c.local.entry.links.again()
+	c.local.entry.links.reapply()
 }
 
 // Propose implements agent.Control.
@@ -163,7 +165,7 @@
 	return c.local.entry.control.Propose(ctx, command)
 }
 
-// Orders implements agent.Control. Nobody orders the entry's own agent.
+// Orders implements agent.Control. The local agent receives no orders.
 func (localControl) Orders() <-chan *wire.Order { return nil }
 
 // Report implements agent.Control.
@@ -178,7 +180,7 @@
 // Subscribe implements agent.Control.
 func (c localControl) Subscribe(fn func(*session.View)) { c.local.entry.control.Subscribe(fn) }
 
-// AddControls implements agent.Control: the entry's session has its own.
+// AddControls implements agent.Control. It does nothing, since the entry's session maintains its own links to control.
 func (localControl) AddControls([]string) {}
 
 // ObserveVersion implements agent.Control.
--- a/entry/metrics_declare.go
+++ b/entry/metrics_declare.go
@@ -7,18 +7,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// roomCodes are the refusals for want of room, which operators watch.
-var roomCodes = []result.Code{
+// capacityCodes are the codes of refusals for lack of capacity, which operators monitor.
+var capacityCodes = []result.Code{
 	result.NoServer, result.CannotFinishInTime, result.QueueFull, result.ShedForHigherTier, result.DeadlinePassedInQueue,
 }
 
-// declare makes the counters that are known from the start, at 0.
+// declare creates the counters whose labels are known at the start, with value 0.
 //
-// A counter that appears with its first event can't show that event as a rise, and an alert on a rate stays silent for
-// the first refusal of a kind. A reader would also take a missing name for a mistake of its own.
+// A counter that appears with its first event doesn't show that event as an increase, so that an alert on a rate misses
+// the first refusal of a kind. A missing name would also look like a mistake in the query.
 func (m *meter) declare(organisations []settings.Organisation) {
 	for tier := uint32(settings.HighestTier); tier <= settings.LowestTier; tier++ {
-		for _, code := range roomCodes {
+		for _, code := range capacityCodes {
 			m.count(sched.Count{Counter: sched.Refusals, Code: code, Tier: tier})
 		}
 		for _, o := range organisations {
@@ -31,7 +31,7 @@
 	}
 }
 
-// declareClasses does the same for classes, once they are known.
+// declareClasses does the same for the counters of classes, once these are known.
 func (m *meter) declareClasses(classes map[string]*wire.Class) {
 	for name, class := range classes {
 		for _, counter := range []sched.Counter{sched.Goodput, sched.Late, sched.Lost} {
--- a/entry/metrics_test.go
+++ b/entry/metrics_test.go
@@ -10,9 +10,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: the first refusals of a kind raise no alert. Sequence: an entry starts; its metrics are read; something is
-// refused; they are read again. Cause: a counter that appeared with its first event shows no rise.
-func TestCountersAreThereBeforeTheirFirstEvent(t *testing.T) {
+// The first refusals of a kind would raise no alert if a counter appeared only with its first event, since it would
+// then show no increase between two scrapes.
+func TestCountersExistBeforeFirstEvent(t *testing.T) {
 	m := newMeter()
 	m.declare([]settings.Organisation{{Name: "zagreb"}})
 	m.declareClasses(map[string]*wire.Class{"summary": {Name: "summary", Tier: 2}})
--- a/entry/operation_close.go
+++ b/entry/operation_close.go
@@ -9,77 +9,77 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// maxKeptMessage bounds the message of a kept failure in bytes.
-const maxKeptMessage = 512
+// maxStoredMessage bounds the message of a stored failure, in bytes.
+const maxStoredMessage = 512
 
-// close commits what became of the operation, and returns the outcome to answer with. It waits for the commit until
-// closeBy, then goes on in the background: a whole answer is given also without it.
+// close commits the outcome of the operation and returns the outcome to answer with. It waits for the commit until
+// commitDeadline, then continues in the background: a complete answer is sent even without the commit.
 //
-// Without the commit before the answer, a caller that hears the answer, or loses it on the way, and sends again could
-// hear another one, or that nothing is known.
+// If the answer were sent before the commit, a caller that resends could get a different answer, or be told that the
+// outcome is unknown.
 func (op *operation) close(ctx context.Context, out *outcome) *outcome {
-	command, kind := op.closing(out)
-	bounded, cancel := context.WithDeadline(context.WithoutCancel(ctx), closeBy(op.request, op.entry.now()))
+	command, kind := op.closingCommand(out)
+	bounded, cancel := context.WithDeadline(context.WithoutCancel(ctx), commitDeadline(op.request, op.entry.now()))
 	defer cancel()
 	res, err := op.entry.propose(bounded, kind, command)
 	if err != nil {
-		op.settleLater(kind, command)
-		return op.decided(out)
+		op.commitInBackground(kind, command)
+		return op.setOutcome(out)
 	}
-	return op.decided(op.winner(out, res))
+	return op.setOutcome(op.committedOutcome(out, res))
 }
 
-// closing chooses the command: an answer and a failure that may have run are kept, and the key is freed when nothing
-// ran, or when the work may be repeated and is proved over. A record that was taken over without the proofs is given
-// back: the next owner needs the same ones.
-func (op *operation) closing(out *outcome) (*wire.Command, string) {
+// closingCommand chooses the command: answers and failures that may have run are stored; the key is released if nothing
+// ran, or if the work may be repeated and is proven to have ended. A record that was taken over and for which the
+// proofs are missing is returned, since the next owner needs the same proofs.
+func (op *operation) closingCommand(out *outcome) (*wire.Command, string) {
 	switch {
 	case out.err == nil:
-		return op.completion(out), "complete"
+		return op.completeCommand(out), "complete"
 	case out.err.Ran == result.RanNo:
-		return op.release(), "release"
-	case !out.fate.sent && op.taken:
-		return op.giveBack(), "release"
-	case op.request.Class.GetRepeatable() && out.fate.over:
-		return op.release(), "release"
+		return op.releaseCommand(), "release"
+	case !out.attempts.anySent && op.takenOver:
+		return op.giveBackCommand(), "release"
+	case op.request.Class.GetRepeatable() && out.attempts.allEnded:
+		return op.releaseCommand(), "release"
 	default:
-		return op.completion(out), "complete"
+		return op.completeCommand(out), "complete"
 	}
 }
 
-func (op *operation) completion(out *outcome) *wire.Command {
+func (op *operation) completeCommand(out *outcome) *wire.Command {
 	r := op.request
 	return &wire.Command{Kind: &wire.Command_CompleteOperation{CompleteOperation: &wire.CompleteOperation{
 		Organisation: r.Organisation,
 		Key:          r.Key,
 		Request:      r.ID,
 		Epoch:        op.epoch,
-		Answer:       keptAnswer(out),
+		Answer:       storedAnswer(out),
 	}}}
 }
 
-func keptAnswer(out *outcome) *wire.Answer {
+func storedAnswer(out *outcome) *wire.Answer {
 	if out.err != nil {
 		return &wire.Answer{
 			Status:  uint32(out.err.Status()),
 			Code:    uint32(out.err.Code),
-			Message: out.err.Message[:min(len(out.err.Message), maxKeptMessage)],
+			Message: out.err.Message[:min(len(out.err.Message), maxStoredMessage)],
 		}
 	}
-	kept := &wire.Answer{
+	stored := &wire.Answer{
 		Status:      uint32(out.status),
 		ContentType: out.contentType,
 		Body:        out.body,
-		Dropped:     out.dropped,
+		Dropped:     out.bodyDropped,
 	}
 	if len(out.body) > state.DefaultLimits.AnswerBytes {
-		kept.Body = nil
-		kept.Dropped = true
+		stored.Body = nil
+		stored.Dropped = true
 	}
-	return kept
+	return stored
 }
 
-func (op *operation) release() *wire.Command {
+func (op *operation) releaseCommand() *wire.Command {
 	r := op.request
 	return &wire.Command{Kind: &wire.Command_ReleaseOperation{ReleaseOperation: &wire.ReleaseOperation{
 		Organisation:     r.Organisation,
@@ -90,16 +90,16 @@
 	}}}
 }
 
-// giveBack leaves the record to whoever asks next, with its earlier servers.
-func (op *operation) giveBack() *wire.Command {
-	command := op.release()
+// giveBackCommand leaves the record, with its earlier servers, to the next owner.
+func (op *operation) giveBackCommand() *wire.Command {
+	command := op.releaseCommand()
 	command.GetReleaseOperation().GiveBack = true
 	return command
 }
 
-// winner is the outcome that the record holds. If another owner has committed one, the caller gets that, so that a
-// resend gives the same.
-func (op *operation) winner(out *outcome, res *wire.CommandResult) *outcome {
+// committedOutcome returns the outcome that the record holds. If another owner has committed one, the caller gets that,
+// so that a resend gives the same.
+func (op *operation) committedOutcome(out *outcome, res *wire.CommandResult) *outcome {
 	done := res.GetOperation().GetState() == wire.OperationState_OPERATION_STATE_DONE
 	if result.Code(res.GetCode()) == result.AttemptSuperseded && done && !op.request.Stream {
 		return answerOutcome(res.GetOperation())
@@ -107,74 +107,74 @@
 	return out
 }
 
-// settleLater repeats a commit until it is known, so that the record isn't left open.
-func (op *operation) settleLater(kind string, command *wire.Command) {
-	op.settles = true
+// commitInBackground repeats a commit until its result is known, so that the record is not left open.
+func (op *operation) commitInBackground(kind string, command *wire.Command) {
+	op.settling = true
 	op.entry.background.Go(func() {
-		defer op.entry.flights.land(op.flight)
-		op.repeat(kind, command)
+		defer op.entry.inflight.release(op.inflight)
+		op.proposeUntilKnown(kind, command)
 	})
 }
 
-func (op *operation) repeat(kind string, command *wire.Command) *wire.CommandResult {
-	wait := pollFirst
-	for op.entry.base.Err() == nil {
-		ctx, cancel := context.WithTimeout(op.entry.base, commitTry)
+func (op *operation) proposeUntilKnown(kind string, command *wire.Command) *wire.CommandResult {
+	wait := pollInitial
+	for op.entry.runContext.Err() == nil {
+		ctx, cancel := context.WithTimeout(op.entry.runContext, proposalTimeout)
 		res, err := op.entry.propose(ctx, kind, command)
 		cancel()
 		if err == nil {
 			return res
 		}
-		pause.For(op.entry.base, wait)
-		wait = min(2*wait, pollMost)
+		pause.For(op.entry.runContext, wait)
+		wait = min(2*wait, pollMax)
 	}
 	return nil
 }
 
-// end frees the key for the next call, unless the record still has to be settled.
-func (op *operation) end() {
-	op.flight.decide(&outcome{err: result.New(result.OutcomeUnknown, "")})
-	op.entry.release(op.request)
-	if op.unclear != nil {
-		op.settleBegin()
+// finish releases the key for the next call, unless the record is still being settled.
+func (op *operation) finish() {
+	op.inflight.setOutcome(&outcome{err: result.New(result.OutcomeUnknown, "")})
+	op.entry.releaseBody(op.request)
+	if op.unknownBegin != nil {
+		op.resolveBegin()
 	}
-	if !op.settles {
-		op.entry.flights.land(op.flight)
+	if !op.settling {
+		op.entry.inflight.release(op.inflight)
 	}
 }
 
-// settleBegin finds out what became of a begin whose outcome got lost, and frees the key if it made a record, or gives a
-// record back that it took over: nothing was dispatched under it.
+// resolveBegin determines the result of a begin command whose reply was lost. It releases the key if the command
+// created a record, or returns the record if the command took it over, since nothing was dispatched under it.
 //
-// Otherwise: control commits the begin after its caller heard that control is unavailable. The entry lives and has no
-// request for the record, so a resend at another entry would wait there until its deadline. The same begin is sent
-// again, since it needs nothing of the entry that may fail.
-func (op *operation) settleBegin() {
-	op.settles = true
+// Without this, control may commit the begin command after the caller was told that control is unavailable. The entry
+// is alive but has no request for the record, so a resend at another entry would wait until its deadline. The same
+// begin command is sent again because it depends on nothing in the entry that may fail.
+func (op *operation) resolveBegin() {
+	op.settling = true
 	op.entry.background.Go(func() {
-		defer op.entry.flights.land(op.flight)
-		res := op.repeat("begin", op.unclear)
+		defer op.entry.inflight.release(op.inflight)
+		res := op.proposeUntilKnown("begin", op.unknownBegin)
 		op.epoch = res.GetOperation().GetEpoch()
 		switch res.GetBegin() {
 		case wire.BeginOutcome_BEGIN_OUTCOME_BEGUN:
-			op.repeat("release", op.release())
+			op.proposeUntilKnown("release", op.releaseCommand())
 		case wire.BeginOutcome_BEGIN_OUTCOME_TAKEN_OVER:
-			op.repeat("release", op.giveBack())
+			op.proposeUntilKnown("release", op.giveBackCommand())
 		}
 	})
 }
 
-// propose counts what becomes of a proposal.
+// propose proposes a command and counts its result.
 func (e *Entry) propose(ctx context.Context, kind string, command *wire.Command) (*wire.CommandResult, error) {
 	res, err := e.control.Propose(ctx, command)
 	switch {
 	case err != nil:
-		e.meter.committed(kind, result.CodeOf(err).String())
+		e.meter.countCommit(kind, result.CodeOf(err).String())
 		e.log.WithField("command", kind).WithError(err).Warn("proposal_failed")
 	case res.GetCode() != 0:
-		e.meter.committed(kind, result.Code(res.GetCode()).String())
+		e.meter.countCommit(kind, result.Code(res.GetCode()).String())
 	default:
-		e.meter.committed(kind, "committed")
+		e.meter.countCommit(kind, "committed")
 	}
 	return res, err
 }
--- a/entry/operation_widen.go
+++ b/entry/operation_widen.go
@@ -8,7 +8,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// widen has a record allow more servers. It returns the answer at once when it can't be asked.
+// widen proposes to add candidate servers to a record. It returns an event at once if the proposal can't be started,
+// and nil otherwise.
 func (e *Entry) widen(a sched.WidenCandidates) sched.Event {
 	call := e.calls.get(a.Request)
 	if call == nil {
@@ -24,7 +25,7 @@
 		Candidates:       a.Candidates,
 	}}}
 	started := e.inBackground(func(ctx context.Context) {
-		_ = e.tell(ctx, e.widened(ctx, a, command))
+		_ = e.postEvent(ctx, e.proposeWiden(ctx, a, command))
 	})
 	if !started {
 		return sched.CandidatesWidened{Request: a.Request, Code: result.ProposalQueueFull}
@@ -32,8 +33,8 @@
 	return nil
 }
 
-func (e *Entry) widened(ctx context.Context, a sched.WidenCandidates, command *wire.Command) sched.CandidatesWidened {
-	ctx, cancel := context.WithTimeout(ctx, commitTry)
+func (e *Entry) proposeWiden(ctx context.Context, a sched.WidenCandidates, command *wire.Command) sched.CandidatesWidened {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	res, err := e.propose(ctx, "widen", command)
 	switch {
--- a/entry/options_test.go
+++ b/entry/options_test.go
@@ -8,8 +8,8 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// Symptom: a baseline is measured with another knob than was asked for. Sequence: the bench sets it in Options. Cause:
-// the scheduler got its default.
+// A baseline would be measured with the wrong parameter if the scheduler used its default instead of the value in
+// Options.
 func TestOptionsReachTheScheduler(t *testing.T) {
 	e := new(Entry)
 	options := e.schedulerOptions(Options{Policy: sched.PolicyLeastLoad, MaxOutstanding: 4, Seed: 7})
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -10,41 +10,41 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// outcome is how a request ended: with a whole answer, or with err.
+// outcome is how a request ended: with a complete answer, or with err.
 type outcome struct {
-	err  *result.Error
-	fate fate // with err
+	err      *result.Error
+	attempts attemptSummary // set together with err
 
 	trace sched.Trace
 
 	status      int
 	contentType string
-	body        []byte // whole; of a stream the events as they are sent, without the end mark
-	dropped     bool   // body was too large to be kept
-	size        int    // bytes of the answer, also when dropped
+	body        []byte // complete; for a stream the events as sent, without the end marker
+	bodyDropped bool   // body was too large to be stored
+	size        int    // bytes of the answer, even if dropped
 }
 
-// Parts of a stream.
+// Parts of an event stream.
 const (
 	eventPrefix = "data: "
 	eventEnd    = "\n\n"
 	streamEnd   = eventPrefix + engine.StreamDone + eventEnd
 )
 
-// collector keeps the events of an answer.
+// collector collects the events of an answer.
 type collector struct {
-	request *sched.Request
-	bound   int // bytes kept of a stream
-	events  [][]byte
-	stream  bytes.Buffer
-	size    int
-	dropped bool
+	request        *sched.Request
+	maxStreamBytes int // bound on the bytes stored of a stream
+	events         [][]byte
+	stream         bytes.Buffer
+	size           int
+	dropped        bool
 }
 
-// newCollector keeps everything of an answer that isn't a stream, which the scheduler has bounded, and up to bound
-// bytes of a stream.
-func newCollector(r *sched.Request, bound int) *collector {
-	return &collector{request: r, bound: bound}
+// newCollector returns a collector that keeps all of a non-streamed answer, whose size the scheduler bounds, and up to
+// maxStreamBytes bytes of a stream. A longer stream is dropped.
+func newCollector(r *sched.Request, maxStreamBytes int) *collector {
+	return &collector{request: r, maxStreamBytes: maxStreamBytes}
 }
 
 func (k *collector) add(events [][]byte) {
@@ -61,7 +61,7 @@
 }
 
 func (k *collector) addToStream(event []byte) {
-	if k.dropped || k.stream.Len()+len(eventPrefix)+len(event)+len(eventEnd) > k.bound {
+	if k.dropped || k.stream.Len()+len(eventPrefix)+len(event)+len(eventEnd) > k.maxStreamBytes {
 		k.dropped = true
 		k.stream = bytes.Buffer{}
 		return
@@ -71,7 +71,7 @@
 	k.stream.WriteString(eventEnd)
 }
 
-// outcome makes the whole answer.
+// outcome returns the outcome for a complete answer.
 func (k *collector) outcome(end *wire.AnswerEnd) *outcome {
 	out := &outcome{
 		status:      statusOf(end),
@@ -82,20 +82,20 @@
 	case k.request.Stream:
 		out.contentType = engine.ContentTypeStream
 		out.body = k.stream.Bytes()
-		out.dropped = k.dropped
+		out.bodyDropped = k.dropped
 	case isModel(k.request.Class) && isStream(end.GetContentType()):
-		return assembled(out, k.request, k.events, end)
+		return assembleOutcome(out, k.request, k.events, end)
 	default:
 		out.body = bytes.Join(k.events, nil)
 	}
 	return out
 }
 
-func assembled(out *outcome, r *sched.Request, events [][]byte, end *wire.AnswerEnd) *outcome {
+func assembleOutcome(out *outcome, r *sched.Request, events [][]byte, end *wire.AnswerEnd) *outcome {
 	body, err := assemble(r.Path, events, end)
 	if err != nil {
 		failure := result.Wrap(err, result.EngineFailed, "the engine's events can't be put together").WithRan(result.RanYes)
-		return &outcome{err: failure, fate: fate{sent: true, over: true}}
+		return &outcome{err: failure, attempts: attemptSummary{anySent: true, allEnded: true}}
 	}
 	out.contentType = engine.ContentTypeJSON
 	out.body = body
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// applyPoison tells the scheduler which requests are watched or quarantined, if that changed.
+// applyPoison tells the scheduler which requests are watched or quarantined, if that has changed.
 func (e *Entry) applyPoison(ctx context.Context, last, view *session.View) error {
 	var before map[string]*wire.PoisonRecord
 	if last != nil {
@@ -35,10 +35,10 @@
 			e.logPoison(poison.KeyOf(record).NewRecord())
 		}
 	}
-	return e.tell(ctx, sched.PoisonRecords{Records: records})
+	return e.postEvent(ctx, sched.PoisonRecords{Records: records})
 }
 
-// logPoison notes how a request stands from now on.
+// logPoison logs the new standing of a request.
 func (e *Entry) logPoison(record *wire.PoisonRecord) {
 	e.log.WithField("organisation", record.GetOrganisation()).
 		WithField("fingerprint", poison.Fingerprint(record.GetFingerprint()).String()).
@@ -48,7 +48,8 @@
 		Info("poison_changed")
 }
 
-// clearReport has control forget the crashes that a request was beside which was answered since.
+// clearReport returns an item that makes control clear the crashes attributed to a request that has since been
+// answered.
 func clearReport(record *wire.PoisonRecord) outbox.Item {
 	return outbox.Item{
 		EventPrefix: "clear",
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -15,11 +15,11 @@
 
 const headerRetryAfter = "Retry-After"
 
-// reply writes one answer to a caller.
+// reply writes one response to a caller.
 type reply struct {
 	c       echo.Context
 	stream  bool
-	begun   bool // the status and a part of a stream were sent
+	started bool // the status and part of a stream were sent
 	control *http.ResponseController
 }
 
@@ -27,12 +27,12 @@
 	return &reply{c: c, stream: r.Stream, control: http.NewResponseController(c.Response())}
 }
 
-// events sends events of a stream. An error means that the caller can't be reached.
-func (w *reply) events(events [][]byte) error {
+// writeEvents sends events of a stream. An error means that the caller is unreachable.
+func (w *reply) writeEvents(events [][]byte) error {
 	if len(events) == 0 {
 		return nil
 	}
-	w.begin()
+	w.startStream()
 	for _, event := range events {
 		if err := w.write(eventPrefix, string(event), eventEnd); err != nil {
 			return err
@@ -41,13 +41,13 @@
 	return w.control.Flush()
 }
 
-func (w *reply) begin() {
-	// A caller that reads nothing would hold this goroutine for ever.
+func (w *reply) startStream() {
+	// Without a deadline, a caller that reads nothing would block this goroutine indefinitely.
 	_ = w.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if w.begun {
+	if w.started {
 		return
 	}
-	w.begun = true
+	w.started = true
 	w.c.Response().Header().Set(echo.HeaderContentType, engine.ContentTypeStream)
 	w.c.Response().Header().Set(echo.HeaderCacheControl, "no-cache")
 	w.c.Response().WriteHeader(http.StatusOK)
@@ -62,44 +62,44 @@
 	return nil
 }
 
-// finish ends the reply. Only a whole answer gets the end mark of a stream or a body with its length.
+// finish ends the reply. Only a complete answer gets the end marker of a stream, or a body with its length.
 func (w *reply) finish(out *outcome) {
 	switch {
-	case out.err != nil && w.begun:
-		w.errorEvent(out.err)
+	case out.err != nil && w.started:
+		w.writeErrorEvent(out.err)
 	case out.err != nil:
 		replyError(w.c, out.err)
 	case w.stream:
-		w.begin()
+		w.startStream()
 		_ = w.write(streamEnd)
 		_ = w.control.Flush()
 	default:
 		_ = w.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-		writeWhole(w.c, out.status, out.contentType, out.body)
+		writeResponse(w.c, out.status, out.contentType, out.body)
 	}
 }
 
-// replay sends an answer that was kept, all at once.
+// replay sends a stored answer in one piece.
 func (w *reply) replay(out *outcome) {
-	if out.err == nil && w.stream && !w.begun {
-		w.begin()
+	if out.err == nil && w.stream && !w.started {
+		w.startStream()
 		_ = w.write(string(out.body))
 	}
 	w.finish(out)
 }
 
-// errorEvent says in a stream that has begun why there is no whole answer.
-func (w *reply) errorEvent(err *result.Error) {
+// writeErrorEvent reports, in a stream that may have begun, why the answer is incomplete.
+func (w *reply) writeErrorEvent(err *result.Error) {
 	data, marshalErr := json.Marshal(err)
 	if marshalErr != nil {
 		return
 	}
-	w.begin()
+	w.startStream()
 	_ = w.write(eventPrefix, string(data), eventEnd)
 	_ = w.control.Flush()
 }
 
-func writeWhole(c echo.Context, status int, contentType string, body []byte) {
+func writeResponse(c echo.Context, status int, contentType string, body []byte) {
 	header := c.Response().Header()
 	if contentType != "" {
 		header.Set(echo.HeaderContentType, contentType)
@@ -114,7 +114,7 @@
 	replyError(c, err)
 }
 
-// replyError writes an error as JSON with its length.
+// replyError writes an error as JSON with a Content-Length.
 func replyError(c echo.Context, err *result.Error) {
 	if c.Response().Committed {
 		return
@@ -127,5 +127,5 @@
 		seconds := (err.RetryAfter + time.Second - 1) / time.Second
 		c.Response().Header().Set(headerRetryAfter, strconv.Itoa(int(seconds)))
 	}
-	writeWhole(c, err.Status(), engine.ContentTypeJSON, append(body, '\n'))
+	writeResponse(c, err.Status(), engine.ContentTypeJSON, append(body, '\n'))
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -12,69 +12,69 @@
 )
 
 const (
-	// lookInterval is how often the scheduler duty notes what waits.
-	lookInterval = time.Second
-	// maxReported bounds the classes, and the targets, of one report.
-	maxReported = 128
-	// codeGroup is how many result codes one group spans.
-	codeGroup = 100
+	// queueSampleInterval is the interval at which the scheduler goroutine samples the queues.
+	queueSampleInterval = time.Second
+	// maxReportEntries bounds the classes, and the targets, of one report.
+	maxReportEntries = 128
+	// codesPerGroup is the number of result codes in a group.
+	codesPerGroup = 100
 )
 
-// tally counts by class since this incarnation began, for the reports to control.
-type tally struct {
+// classCounters counts outcomes by class since the start of this incarnation, for the reports to control.
+type classCounters struct {
 	mu      sync.Mutex
-	classes map[string]*classTally
+	classes map[string]*classCounter
 }
 
-type classTally struct {
+type classCounter struct {
 	good, late, lost uint64
-	refusals         map[result.Code]uint64 // by first code of the group
+	refusals         map[result.Code]uint64 // by the first code of the group
 }
 
-func newTally() *tally {
-	return &tally{classes: make(map[string]*classTally)}
+func newClassCounters() *classCounters {
+	return &classCounters{classes: make(map[string]*classCounter)}
 }
 
-// add notes a count of the scheduler. One without a class, such as the refusal of a call that names none, belongs to
-// no class's target.
-func (t *tally) add(c sched.Count) {
-	if c.Class == "" {
+// add adds a count reported by the scheduler. A count without a class, such as the refusal of a call that names none,
+// is ignored.
+func (c *classCounters) add(count sched.Count) {
+	if count.Class == "" {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	class := t.classes[c.Class]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	class := c.classes[count.Class]
 	if class == nil {
-		class = &classTally{refusals: make(map[result.Code]uint64)}
-		t.classes[c.Class] = class
+		class = &classCounter{refusals: make(map[result.Code]uint64)}
+		c.classes[count.Class] = class
 	}
-	switch c.Counter {
+	switch count.Counter {
 	case sched.Goodput:
-		class.good += c.Add
+		class.good += count.Add
 	case sched.Late:
-		class.late += c.Add
+		class.late += count.Add
 	case sched.Lost:
-		class.lost += c.Add
+		class.lost += count.Add
 	case sched.Refusals:
-		class.refusals[c.Code-c.Code%codeGroup] += c.Add
+		class.refusals[count.Code-count.Code%codesPerGroup] += count.Add
 	}
 }
 
-// report returns the counts of the wanted classes, sorted by name.
-func (t *tally) report(wanted map[string]*wire.Class) []*wire.ClassReport {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// report returns the counts of the configured classes, sorted by name.
+func (c *classCounters) report(configured map[string]*wire.Class) []*wire.ClassReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var reports []*wire.ClassReport
-	for _, name := range slices.Sorted(maps.Keys(t.classes)) {
-		if wanted[name] == nil || len(reports) == maxReported {
+	for _, name := range slices.Sorted(maps.Keys(c.classes)) {
+		if configured[name] == nil || len(reports) == maxReportEntries {
 			continue
 		}
-		reports = append(reports, t.classes[name].report(name))
+		reports = append(reports, c.classes[name].report(name))
 	}
 	return reports
 }
 
-func (c *classTally) report(name string) *wire.ClassReport {
+func (c *classCounter) report(name string) *wire.ClassReport {
 	report := &wire.ClassReport{Name: name, Good: c.good, Late: c.late, Lost: c.lost}
 	for _, group := range slices.Sorted(maps.Keys(c.refusals)) {
 		report.Refusals = append(report.Refusals, &wire.RefusalReport{Group: uint32(group), Count: c.refusals[group]})
@@ -82,29 +82,30 @@
 	return report
 }
 
-// look notes what waits. Only the scheduler duty may call it.
-func (e *Entry) look() {
-	waiting := e.scheduler.TargetQueues()
-	e.waiting.Store(&waiting)
+// sampleQueues records the state of the queues. It may be called by the scheduler goroutine only.
+func (e *Entry) sampleQueues() {
+	queues := e.scheduler.TargetQueues()
+	e.targetQueues.Store(&queues)
 }
 
-// report tells control how classes and queues stand. It reads what the duties have noted and never waits for them, so
-// that a busy scheduler doesn't delay the polls by which this process knows that it isn't cut off.
+// report returns the counts by class and the state of the queues, for control. It reads recorded values and never waits
+// for other goroutines, so that a busy scheduler doesn't delay the polls by which this process detects that it is cut
+// off.
 func (e *Entry) report() *wire.EntryReport {
-	report := &wire.EntryReport{Classes: e.meter.tally.report(e.view.Load().classes)}
-	waiting := e.waiting.Load()
-	if waiting == nil {
+	report := &wire.EntryReport{Classes: e.meter.classCounts.report(e.catalogue.Load().classes)}
+	queues := e.targetQueues.Load()
+	if queues == nil {
 		return report
 	}
-	for _, w := range (*waiting)[:min(len(*waiting), maxReported)] {
-		report.Targets = append(report.Targets, targetReport(w))
+	for _, queue := range (*queues)[:min(len(*queues), maxReportEntries)] {
+		report.Targets = append(report.Targets, targetReport(queue))
 	}
 	return report
 }
 
-func targetReport(w sched.TargetQueue) *wire.TargetReport {
-	report := &wire.TargetReport{Name: w.Target, Kind: w.Kind, OldestWaitMs: uint64(w.OldestWait.Milliseconds())}
-	for _, queued := range w.Queued {
+func targetReport(queue sched.TargetQueue) *wire.TargetReport {
+	report := &wire.TargetReport{Name: queue.Target, Kind: queue.Kind, OldestWaitMs: uint64(queue.OldestWait.Milliseconds())}
+	for _, queued := range queue.Queued {
 		report.QueuedByTier = append(report.QueuedByTier, uint32(queued))
 	}
 	return report
--- a/entry/routing.go
+++ b/entry/routing.go
@@ -12,52 +12,52 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// routing is the desired state in the form in which calls are looked up. It is never changed.
+// routing is the desired state, indexed for looking up calls. It is immutable.
 type routing struct {
-	version uint64
-	limits  *wire.CallerLimits
-	hosts   map[string]map[string]*route // by host and path prefix
-	members map[string]*member           // by key
-	keyed   bool                         // callers need a key
-	all     []*member
+	version     uint64
+	limits      *wire.CallerLimits
+	hosts       map[string]map[string]*route // by host and path prefix
+	members     map[string]*member           // by key
+	requiresKey bool                         // callers need a key
+	all         []*member
 }
 
-// route is one route with its class for each tier that an organisation may have.
+// route is a route with its class for each tier that an organisation may have.
 type route struct {
 	*wire.Route
-	byTier map[uint32]*wire.Class
-	kinds  map[string]string // of its pools
-	total  uint64            // of the weights
+	byTier      map[uint32]*wire.Class
+	poolKinds   map[string]string // kind of each of its pools
+	totalWeight uint64            // sum of the pools' weights
 }
 
-// member is an organisation and what its usage cap has left here.
+// member is an organisation and its usage cap at this entry.
 type member struct {
 	*wire.Member
 	cap *quota.Cap // nil without a cap
 }
 
-// newRouting indexes a desired state; nil gives nil. What the caps of the earlier one have counted is kept: usage
-// doesn't start anew with each change.
+// newRouting indexes a desired state; it returns nil for nil. The usage counted by caps is kept, so that usage doesn't
+// restart with each change of the desired state.
 func newRouting(desired *wire.DesiredState, caps *quota.Caps) *routing {
 	if desired == nil {
 		return nil
 	}
 	r := &routing{
-		version: desired.GetVersion(),
-		limits:  desired.GetLimits(),
-		hosts:   make(map[string]map[string]*route),
-		members: make(map[string]*member),
-		keyed:   len(desired.GetOrganisations()) > 0,
+		version:     desired.GetVersion(),
+		limits:      desired.GetLimits(),
+		hosts:       make(map[string]map[string]*route),
+		members:     make(map[string]*member),
+		requiresKey: len(desired.GetOrganisations()) > 0,
 	}
-	kinds := make(map[string]string)
+	poolKinds := make(map[string]string)
 	for _, pool := range desired.GetPools() {
-		kinds[pool.GetName()] = pool.GetKind()
+		poolKinds[pool.GetName()] = pool.GetKind()
 	}
 	for _, organisation := range desired.GetOrganisations() {
 		r.addMember(organisation, caps)
 	}
 	for _, spec := range desired.GetRoutes() {
-		r.addRoute(spec, kinds)
+		r.addRoute(spec, poolKinds)
 	}
 	return r
 }
@@ -71,10 +71,10 @@
 }
 
 func (r *routing) addRoute(spec *wire.Route, kinds map[string]string) {
-	added := &route{Route: spec, byTier: make(map[uint32]*wire.Class), kinds: make(map[string]string)}
+	added := &route{Route: spec, byTier: make(map[uint32]*wire.Class), poolKinds: make(map[string]string)}
 	for _, to := range spec.GetPools() {
-		added.total += uint64(to.GetWeight())
-		added.kinds[to.GetPool()] = kinds[to.GetPool()]
+		added.totalWeight += uint64(to.GetWeight())
+		added.poolKinds[to.GetPool()] = kinds[to.GetPool()]
 	}
 	added.byTier[0] = spec.GetClass()
 	for _, m := range r.all {
@@ -91,8 +91,8 @@
 	r.hosts[host][spec.GetPrefix()] = added
 }
 
-// find returns the route of a host and path with the longest prefix, nil if there is none. Every prefix ends with a
-// slash, so only the path's parts up to a slash need looking at.
+// find returns the route of a host and path with the longest prefix, or nil if there is none. Every prefix ends with a
+// slash, so only the parts of the path up to a slash are looked up.
 func (r *routing) find(host, path string) *route {
 	prefixes := r.hosts[strings.ToLower(host)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -103,19 +103,19 @@
 	return nil
 }
 
-// pool draws one of the route's pools by weight.
-func (r *route) pool() string {
-	at := rand.Uint64N(r.total)
+// pickPool picks one of the route's pools at random, by weight.
+func (r *route) pickPool() string {
+	offset := rand.Uint64N(r.totalWeight)
 	for _, to := range r.GetPools() {
-		if at < uint64(to.GetWeight()) {
+		if offset < uint64(to.GetWeight()) {
 			return to.GetPool()
 		}
-		at -= uint64(to.GetWeight())
+		offset -= uint64(to.GetWeight())
 	}
 	return ""
 }
 
-// class is the route's class at an organisation's tier. An organisation's own tier goes before the route's.
+// class returns the route's class at an organisation's tier. The organisation's tier takes precedence over the route's.
 func (r *route) class(m *member) *wire.Class {
 	if m == nil || m.GetTier() == 0 {
 		return r.byTier[0]
@@ -123,18 +123,19 @@
 	return r.byTier[m.GetTier()]
 }
 
-// objective is when a call is due that arrived at a time, zero for a route without an objective.
-func (r *route) objective(arrived time.Time) time.Time {
+// objectiveTime returns when a call that arrived at the given time should be answered, or the zero time for a route
+// without an objective.
+func (r *route) objectiveTime(arrived time.Time) time.Time {
 	if r.GetObjectiveMs() == 0 {
 		return time.Time{}
 	}
 	return arrived.Add(time.Duration(r.GetObjectiveMs()) * time.Millisecond)
 }
 
-// kindOf is a pool's kind, by which the class of a call fits where it goes.
-func (r *route) kindOf(pool string) string { return r.kinds[pool] }
+// kindOf returns a pool's kind, which the class of a call to the pool must have.
+func (r *route) kindOf(pool string) string { return r.poolKinds[pool] }
 
-// routingOf returns the routing of a view. One whose desired state is the old one's stays as it is.
+// routingOf returns the routing of a view. It returns old if the desired state has not changed.
 func routingOf(view *session.View, old *routing, caps *quota.Caps) *routing {
 	if old != nil && view.Desired.GetVersion() == old.version {
 		return old
--- a/entry/routing_test.go
+++ b/entry/routing_test.go
@@ -28,7 +28,7 @@
 	}, quota.NewCaps("entry", 1, quota.Clock{Now: time.Now, SinceBoot: clock.SinceBoot}, usageTolerance(settings.DefaultEntry())))
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	r := testRouting(
 		testRoute("root", "a.example", "/"), testRoute("one", "a.example", "/one/"),
 		testRoute("deep", "a.example", "/one/two/"), testRoute("other", "b.example", "/one/"),
@@ -39,32 +39,32 @@
 		"A.EXAMPLE /one/": "one", "b.example /one/two/": "other", "b.example /": "", "c.example /one/": "",
 		"a.example /onex/": "root", "a.example //one/": "root",
 	}
-	for place, want := range cases {
-		host, path := place[:9], place[10:]
-		require.Equal(t, want, r.find(host, path).name(), place)
+	for hostAndPath, want := range cases {
+		host, path := hostAndPath[:9], hostAndPath[10:]
+		require.Equal(t, want, r.find(host, path).nameOrEmpty(), hostAndPath)
 	}
 }
 
-func (r *route) name() string {
+func (r *route) nameOrEmpty() string {
 	if r == nil {
 		return ""
 	}
 	return r.GetName()
 }
 
-func TestPoolsAreDrawnByWeight(t *testing.T) {
+func TestPoolsArePickedByWeight(t *testing.T) {
 	r := testRouting(testRoute("one", "a.example", "/",
 		&wire.WeightedPool{Pool: "m", Weight: 3}, &wire.WeightedPool{Pool: "none", Weight: 0}, &wire.WeightedPool{Pool: "registry", Weight: 1}))
 	drawn := map[string]int{}
 	for range 8000 {
-		drawn[r.find("a.example", "/").pool()]++
+		drawn[r.find("a.example", "/").pickPool()]++
 	}
 	require.Zero(t, drawn["none"])
 	require.InDelta(t, 6000, drawn["m"], 400)
 	require.Equal(t, settings.KindModel, r.find("a.example", "/").kindOf("m"))
 }
 
-func TestTierOfTheOrganisationGoesFirst(t *testing.T) {
+func TestOrganisationTierOverridesRouteTier(t *testing.T) {
 	r := testRouting(testRoute("one", "a.example", "/"))
 	one := r.find("a.example", "/")
 	require.EqualValues(t, 1, one.class(r.members["k"]).GetTier())
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -10,18 +10,18 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// input is one thing for the scheduler duty: an event, or a question.
+// input is an input of the scheduler goroutine: an event or a query.
 type input struct {
 	event sched.Event
-	ask   func(*sched.Scheduler)
+	query func(*sched.Scheduler)
 }
 
-// schedulerDuty is the only one that touches the scheduler.
-func (e *Entry) schedulerDuty(ctx context.Context) error {
+// runScheduler runs the scheduler until ctx ends. No other goroutine accesses the scheduler.
+func (e *Entry) runScheduler(ctx context.Context) error {
 	ticks := pause.NewTimer(sched.MinTickInterval)
 	defer ticks.Stop()
-	looks := time.NewTicker(lookInterval)
-	defer looks.Stop()
+	samples := time.NewTicker(queueSampleInterval)
+	defer samples.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -29,49 +29,50 @@
 		case <-ticks.C():
 			e.step(sched.Tick{})
 			ticks.Fired(e.scheduler.NextTick())
-		case <-looks.C:
-			e.look()
+		case <-samples.C:
+			e.sampleQueues()
 		case in := <-e.inputs.C():
-			e.take(in)
-			e.takeMore()
+			e.handleInput(in)
+			e.handleQueuedInputs()
 			ticks.Within(e.scheduler.NextTick())
 		}
 	}
 }
 
-func (e *Entry) takeMore() {
-	for range inputBatch {
+func (e *Entry) handleQueuedInputs() {
+	for range maxInputBatch {
 		select {
 		case in := <-e.inputs.C():
-			e.take(in)
+			e.handleInput(in)
 		default:
 			return
 		}
 	}
 }
 
-func (e *Entry) take(in input) {
-	if in.ask != nil {
-		in.ask(e.scheduler)
+func (e *Entry) handleInput(in input) {
+	if in.query != nil {
+		in.query(e.scheduler)
 		return
 	}
 	e.step(in.event)
 }
 
-// step passes an event to the scheduler and does what it says. Events that come of that at once follow in order.
+// step passes an event to the scheduler and executes the resulting actions. Events that these produce immediately are
+// processed in order.
 func (e *Entry) step(event sched.Event) {
 	next := []sched.Event{event}
 	for len(next) > 0 {
 		event, next = next[0], next[1:]
 		for _, action := range e.scheduler.Step(e.now(), event) {
-			if follow := e.execute(action); follow != nil {
-				next = append(next, follow)
+			if resulting := e.execute(action); resulting != nil {
+				next = append(next, resulting)
 			}
 		}
 	}
 }
 
-// execute does one action without waiting. It returns the event that follows at once, nil for none.
+// execute executes one action without blocking. It returns the event that the action produces immediately, or nil.
 func (e *Entry) execute(action sched.Action) sched.Event {
 	switch a := action.(type) {
 	case sched.Send:
@@ -79,13 +80,13 @@
 	case sched.Deliver:
 		e.calls.deliver(a.Request, a.Events)
 	case sched.Answer:
-		e.calls.answer(a)
+		e.calls.complete(a)
 	case sched.Fail:
 		e.fail(a)
 	case sched.WidenCandidates:
 		return e.widen(a)
 	case sched.ProveAtEngine:
-		e.prover.ask(a)
+		e.prover.start(a)
 	case sched.ReportCrash:
 		e.outbox.Put(outbox.CrashReport(a.Note))
 	case sched.ClearPoison:
@@ -98,18 +99,18 @@
 	return nil
 }
 
-// fail closes a call, and says whether attempts of it may still be running.
+// fail closes a call, with the state of its attempts.
 func (e *Entry) fail(a sched.Fail) {
 	explanation, known := e.scheduler.Explain(a.Request)
-	fate := fate{sent: true}
+	attempts := attemptSummary{anySent: true}
 	if known {
-		fate.sent = len(explanation.Attempts) > 0
-		fate.over = attemptsOver(explanation)
+		attempts.anySent = len(explanation.Attempts) > 0
+		attempts.allEnded = allAttemptsProved(explanation)
 	}
-	e.calls.fail(a, fate)
+	e.calls.fail(a, attempts)
 }
 
-func attemptsOver(explanation sched.Explanation) bool {
+func allAttemptsProved(explanation sched.Explanation) bool {
 	for _, attempt := range explanation.Attempts {
 		if !attempt.Proved {
 			return false
@@ -118,16 +119,16 @@
 	return true
 }
 
-// tell passes an event to the scheduler duty, and waits while its ring is full, until ctx ends.
-func (e *Entry) tell(ctx context.Context, event sched.Event) error {
+// postEvent passes an event to the scheduler goroutine. While the ring is full it waits, until ctx ends.
+func (e *Entry) postEvent(ctx context.Context, event sched.Event) error {
 	return e.inputs.Push(ctx, input{event: event})
 }
 
-// ask runs a question in the scheduler duty and waits for its end.
-func (e *Entry) ask(ctx context.Context, question func(*sched.Scheduler)) error {
+// queryScheduler runs query in the scheduler goroutine and waits until it returns.
+func (e *Entry) queryScheduler(ctx context.Context, query func(*sched.Scheduler)) error {
 	done := make(chan struct{})
-	in := input{ask: func(s *sched.Scheduler) {
-		question(s)
+	in := input{query: func(s *sched.Scheduler) {
+		query(s)
 		close(done)
 	}}
 	if !e.inputs.TryPush(in) {
@@ -138,21 +139,21 @@
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
-	case <-e.base.Done():
+	case <-e.runContext.Done():
 		return result.New(result.Stopping, "")
 	}
 }
 
-// inBackground runs work that the scheduler asked for, unless too much is under way.
+// inBackground starts work requested by the scheduler. It returns false if too much is already in progress.
 func (e *Entry) inBackground(work func(context.Context)) bool {
 	select {
-	case e.slots <- struct{}{}:
+	case e.backgroundSlots <- struct{}{}:
 	default:
 		return false
 	}
 	e.background.Go(func() {
-		defer func() { <-e.slots }()
-		work(e.base)
+		defer func() { <-e.backgroundSlots }()
+		work(e.runContext)
 	})
 	return true
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -11,10 +11,10 @@
 	"github.com/carawaypitch/carawaypitch/sched"
 )
 
-// errCallerLeft says that nobody reads the answer any more.
-var errCallerLeft = errors.New("entry: the caller left")
+// errCallerLeft reports that the caller has disconnected.
+var errCallerLeft = errors.New("entry: caller disconnected")
 
-// serve takes a call from its arrival to its answer. Fill adds what the kind of call has of its own.
+// serve handles a call from its arrival to its answer. fill sets the fields specific to the kind of call.
 func (e *Entry) serve(c echo.Context, kind string, fill func(*sched.Request) *result.Error) error {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -24,28 +24,28 @@
 	}
 	r, err := e.admit(c, organisation, kind)
 	if err != nil {
-		return e.refuse(c, nil, beforeRecord(c, err))
+		return e.refuse(c, nil, refusalWithoutRecord(c, err))
 	}
 	if err := fill(r); err != nil {
-		e.release(r)
-		return e.refuse(c, r, beforeRecord(c, err))
+		e.releaseBody(r)
+		return e.refuse(c, r, refusalWithoutRecord(c, err))
 	}
 	if r.Key != "" {
 		return e.serveKeyed(c, r)
 	}
-	defer e.release(r)
+	defer e.releaseBody(r)
 	return e.serveOnce(c, r)
 }
 
 // serveOnce serves a call without a key.
 func (e *Entry) serveOnce(c echo.Context, r *sched.Request) error {
-	call, err := e.arrive(r)
+	call, err := e.submit(r)
 	if err != nil {
 		return e.refuse(c, r, err)
 	}
 	w := newReply(c, r)
-	out, left := e.follow(c.Request().Context(), call, w, nil)
-	if left != nil {
+	out, followErr := e.follow(c.Request().Context(), call, w, nil)
+	if followErr != nil {
 		e.callerLeft(r)
 		return nil
 	}
@@ -53,13 +53,14 @@
 	return nil
 }
 
-// refuse replies with a refusal of the entry itself, before the scheduler heard of the request.
+// refuse replies with a refusal by the entry itself, before the scheduler received the request. r is nil if the request
+// is not known yet.
 func (e *Entry) refuse(c echo.Context, r *sched.Request, err *result.Error) error {
 	var tier uint32
 	if r != nil {
 		tier = r.Class.GetTier()
 	}
-	e.meter.refused(err.Code, tier)
+	e.meter.countRefusal(err.Code, tier)
 	e.log.WithField("request", requestID(c)).
 		WithField("code", uint16(err.Code)).
 		WithField("ran", err.Ran.String()).
@@ -91,29 +92,30 @@
 			Info("request_failed")
 		return
 	}
-	e.meter.ended(out.trace, e.now().Sub(r.Arrived))
+	e.meter.observeAnswer(out.trace, e.now().Sub(r.Arrived))
 	fields.WithField("bytes", out.size).Info("request_answered")
 }
 
-// callerLeft tells the scheduler, so that no more is spent on the request.
+// callerLeft tells the scheduler that the caller has disconnected, so that no more work is spent on the request.
 func (e *Entry) callerLeft(r *sched.Request) {
 	e.log.WithField("request", r.ID).Info("caller_left")
-	_ = e.tell(e.base, sched.CallerLeft{Request: r.ID})
+	_ = e.postEvent(e.runContext, sched.CallerLeft{Request: r.ID})
 }
 
-// follow takes what the scheduler delivers until the request ends, and passes the events of a stream to w. The error is
-// errCallerLeft when ctx ends or w fails; the request goes on then. A nil w only collects.
-func (e *Entry) follow(ctx context.Context, call *call, w *reply, kept *collector) (*outcome, error) {
-	if kept == nil {
-		kept = newCollector(call.request, 0)
+// follow receives what the scheduler delivers until the request ends, and writes the events of a stream to w. It
+// returns errCallerLeft if ctx ends or w fails; the request then continues. If w is nil, the events are only collected;
+// if collected is nil, a stream is not stored.
+func (e *Entry) follow(ctx context.Context, call *call, w *reply, collected *collector) (*outcome, error) {
+	if collected == nil {
+		collected = newCollector(call.request, 0)
 	}
 	for {
 		d, err := call.next(ctx)
 		if err != nil {
 			return nil, errCallerLeft
 		}
-		kept.add(d.events)
-		if w != nil && call.request.Stream && w.events(d.events) != nil {
+		collected.add(d.events)
+		if w != nil && call.request.Stream && w.writeEvents(d.events) != nil {
 			return nil, errCallerLeft
 		}
 		if !d.ended {
@@ -121,15 +123,15 @@
 		}
 		if d.err != nil {
 			if call.overflowed() {
-				_ = e.tell(e.base, sched.CallerLeft{Request: call.request.ID})
+				_ = e.postEvent(e.runContext, sched.CallerLeft{Request: call.request.ID})
 			}
-			return &outcome{err: d.err, fate: d.fate, trace: d.trace}, nil
+			return &outcome{err: d.err, attempts: d.attempts, trace: d.trace}, nil
 		}
-		return kept.outcome(d.end), nil
+		return collected.outcome(d.end), nil
 	}
 }
 
-// withTrace adds what a request went through to the line about its end.
+// withTrace adds the trace of a request to the log line about its end.
 func withTrace(fields *log.Entry, t sched.Trace) *log.Entry {
 	return fields.WithFields(log.Fields{
 		"tier":        t.Tier,
--- a/entry/timeout_tracker.go
+++ b/entry/timeout_tracker.go
@@ -7,96 +7,100 @@
 )
 
 const (
-	// patienceTries is over how many of the last tries the usual time limits are learnt: those of a class, and those of a class and
-	// organisation.
-	patienceTries = 256
-	// patienceCommon is how many of them must have nearly the same limit for it to be one that callers set out with. What is left to
-	// callers who come back differs by the time they were away.
-	patienceCommon = 8
-	// patienceNear is how far two limits may be apart to count as the same, one in so many.
-	patienceNear = 200
-	// patienceKeys bounds the classes and organisations that are remembered.
-	patienceKeys = 4096
+	// timeoutWindowSize is the number of recent tries from which the usual timeouts are learned, for each class, and
+	// for each class and organisation.
+	timeoutWindowSize = 256
+	// commonTimeoutCount is how many of them must have nearly the same timeout for it to count as an initial one. The
+	// remaining times of callers that retry differ by how long they were away.
+	commonTimeoutCount = 8
+	// timeoutToleranceDivisor defines how far two timeouts may differ to count as equal: by 1/200 of their value.
+	timeoutToleranceDivisor = 200
+	// maxTimeoutKeys bounds the tracked combinations of class and organisation.
+	maxTimeoutKeys = 4096
 )
 
-// patience learns with how much time callers set out, and tells how much of it one had used up before it came here: a caller that was
-// refused comes back with what is left. It goes by all callers of a class; those of an organisation that gives them less time than others
-// do are known by their own.
+// timeoutTracker learns the initial timeouts of callers and estimates how much time a caller had used before this try:
+// a caller that was refused retries with its remaining time. The estimate uses all callers of a class; organisations
+// that set shorter timeouts than others are recognised by their own tries.
 //
-// The objective of a request counts from its caller's first try. Served in the order of arrival here, those who come back, for whom it has
-// passed, take the places of those who could still be served in time; these are refused after their objective and come back in
-// turn. One would notice, under an overload, by answers that are in time by this entry's count and late by the callers', about
-// as many as requests refused at their objective.
-type patience struct {
-	mu    sync.Mutex
-	tries map[patienceKey]*limits
+// The objective of a request counts from its caller's first try. If requests were served in order of arrival, retries
+// whose objective has passed would take the slots of requests that could still be served in time; these would then be
+// refused after their objective and retry in turn. Under overload, about as many answers as there are requests refused
+// at their objective would count as in time at this entry but be late for their callers.
+type timeoutTracker struct {
+	mu      sync.Mutex
+	windows map[timeoutKey]*timeoutWindow
 }
 
-type patienceKey struct{ class, organisation string } // the organisation is empty for all of a class
+type timeoutKey struct{ class, organisation string } // organisation is empty for all of a class
 
-// limits are the time limits of the last tries, the oldest overwritten first.
-type limits struct {
-	last []time.Duration
-	next int
+// timeoutWindow holds the timeouts of the most recent tries; the oldest is overwritten first.
+type timeoutWindow struct {
+	recent []time.Duration
+	next   int
 }
 
-func newPatience() *patience { return &patience{tries: make(map[patienceKey]*limits)} }
+func newTimeoutTracker() *timeoutTracker {
+	return &timeoutTracker{windows: make(map[timeoutKey]*timeoutWindow)}
+}
 
-// used notes a try with a time limit, and returns how much of its time its caller has probably used up before.
-func (p *patience) used(class, organisation string, limit time.Duration) time.Duration {
-	if limit <= 0 {
+// elapsedBefore records a try with a timeout, and returns an estimate of the time that the caller had used before it.
+// It returns 0 if timeout is 0, which means unknown.
+func (t *timeoutTracker) elapsedBefore(class, organisation string, timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all, own := p.note(patienceKey{class, ""}, limit), p.note(patienceKey{class, organisation}, limit)
-	if own.common(limit) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all, own := t.record(timeoutKey{class, ""}, timeout), t.record(timeoutKey{class, organisation}, timeout)
+	if own.isCommon(timeout) {
 		return 0
 	}
-	return all.used(limit)
+	return all.elapsedBefore(timeout)
 }
 
-// note adds a try.
-func (p *patience) note(key patienceKey, limit time.Duration) *limits {
-	known := p.tries[key]
-	if known == nil {
-		if len(p.tries) >= patienceKeys {
-			clear(p.tries)
+// record adds a try and returns the window of the key.
+func (t *timeoutTracker) record(key timeoutKey, timeout time.Duration) *timeoutWindow {
+	window := t.windows[key]
+	if window == nil {
+		if len(t.windows) >= maxTimeoutKeys {
+			clear(t.windows)
 		}
-		known = new(limits)
-		p.tries[key] = known
+		window = new(timeoutWindow)
+		t.windows[key] = window
 	}
-	if len(known.last) < patienceTries {
-		known.last = append(known.last, limit)
-		return known
+	if len(window.recent) < timeoutWindowSize {
+		window.recent = append(window.recent, timeout)
+		return window
 	}
-	known.last[known.next] = limit
-	known.next = (known.next + 1) % patienceTries
-	return known
+	window.recent[window.next] = timeout
+	window.next = (window.next + 1) % timeoutWindowSize
+	return window
 }
 
-// used is the distance to the next longer limit that is common, 0 if the limit itself is.
-func (l *limits) used(limit time.Duration) time.Duration {
-	if l.common(limit) {
+// elapsedBefore returns the difference to the next longer common timeout, or 0 if the timeout itself is common or there
+// is none.
+func (w *timeoutWindow) elapsedBefore(timeout time.Duration) time.Duration {
+	if w.isCommon(timeout) {
 		return 0
 	}
-	sorted := slices.Clone(l.last)
+	sorted := slices.Clone(w.recent)
 	slices.Sort(sorted)
 	for i, other := range sorted {
-		most := i + patienceCommon - 1
-		if other > limit && most < len(sorted) && sorted[most]-other <= other/patienceNear {
-			return other - limit
+		lastNeeded := i + commonTimeoutCount - 1
+		if other > timeout && lastNeeded < len(sorted) && sorted[lastNeeded]-other <= other/timeoutToleranceDivisor {
+			return other - timeout
 		}
 	}
 	return 0
 }
 
-func (l *limits) common(limit time.Duration) bool {
+func (w *timeoutWindow) isCommon(timeout time.Duration) bool {
 	n := 0
-	for _, other := range l.last {
-		if (other - limit).Abs() <= limit/patienceNear {
+	for _, other := range w.recent {
+		if (other - timeout).Abs() <= timeout/timeoutToleranceDivisor {
 			n++
 		}
 	}
-	return n >= patienceCommon
+	return n >= commonTimeoutCount
 }
--- a/entry/usage_shares.go
+++ b/entry/usage_shares.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// usageTolerance is what an entry's settings say of usage caps.
+// usageTolerance returns the usage cap tolerance from an entry's settings.
 func usageTolerance(s settings.Entry) quota.Tolerance {
 	return quota.Tolerance{
 		Window:    s.Timing.UsageWindow,
@@ -18,8 +18,8 @@
 	}
 }
 
-// sharesDuty moves this entry's shares of usage caps as its use rises and falls.
-func (e *Entry) sharesDuty(ctx context.Context) error {
+// runShares adjusts this entry's shares of usage caps, as its use rises and falls, until ctx ends.
+func (e *Entry) runShares(ctx context.Context) error {
 	ticker := time.NewTicker(quota.MoveInterval)
 	defer ticker.Stop()
 	for {
@@ -35,12 +35,13 @@
 	}
 }
 
-// isListed tells whether the directory has this incarnation. The state gives no shares to another.
+// isListed reports whether the directory contains this incarnation. The state grants shares only to incarnations in the
+// directory.
 func (e *Entry) isListed() bool {
 	return e.control.View().Entries[e.settings.Instance].GetIncarnation() == e.incarnation
 }
 
-// moveShares proposes the shares that should be held, if they differ from those that are.
+// moveShares proposes the shares that this entry should hold, if they differ from those it holds.
 func (e *Entry) moveShares(ctx context.Context) {
 	move := e.caps.NextProposal()
 	if move == nil {
@@ -51,7 +52,7 @@
 	begun := e.now()
 	res, err := e.control.Propose(ctx, &wire.Command{Kind: &wire.Command_MoveShares{MoveShares: move}})
 	e.caps.ProposalEnded(move, res)
-	e.meter.sharesMoved(res, err)
+	e.meter.countShareMove(res, err)
 	log := e.log.WithField("sequence", move.GetSequence()).
 		WithField("asked", wire.FormatShares(move.GetShares())).
 		WithField("held", wire.FormatShares(res.GetShares())).
