--- a/entry/verbatim.go
+++ b/entry/verbatim.go
@@ -15,51 +15,51 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Call is a request that goes to its backend server byte for byte as its caller wrote it, where the desired state
-// routes it.
+// Call is a request that is forwarded to its backend server byte for byte, according to the routes of the desired
+// state.
 type Call struct {
-	// ID names the request in logs. Callers may use one twice.
+	// ID names the request in logs. It need not be unique.
 	ID string
-	// Method, Host and Target are those of the request line and the Host header; Target holds path and query.
+	// Method, Host and Target are those of the request line and the Host header; Target contains path and query.
 	Method, Host, Target string
-	// Path is the path alone, still escaped, by which the route is found.
+	// Path is the escaped path without the query, by which the route is found.
 	Path string
-	// Key is the organisation's key, empty for none.
+	// Key is the organisation's key, empty if none was sent.
 	Key string
-	// Headers are passed on with the request.
+	// Headers are forwarded with the request.
 	Headers []*wire.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
-	// Arrived is when the request's head had come.
+	// Arrived is when the request's header was received.
 	Arrived time.Time
-	// Timeout is how long the caller waits, 0 if it doesn't say.
+	// Timeout is how long the caller waits, 0 if unknown.
 	Timeout time.Duration
-	// PromptTokens and OutputTokens are the size that the caller declares; HasTokens tells whether it does.
+	// PromptTokens and OutputTokens are the sizes declared by the caller; HasTokens reports whether it declared them.
 	PromptTokens, OutputTokens uint32
 	HasTokens                  bool
-	// OutputEstimate is how many output tokens the caller expects, 0 if it doesn't say.
+	// OutputEstimate is the number of output tokens that the caller expects, 0 if unknown.
 	OutputEstimate uint32
 }
 
-// AnswerWriter takes an answer as it comes. An error means that the caller can't be reached any more.
+// AnswerWriter receives an answer as it arrives. An error means that the caller is unreachable.
 type AnswerWriter interface {
-	// WriteHead comes first, once.
+	// WriteHead is called once, before any WriteBody.
 	WriteHead(head *wire.AnswerHead) error
-	// WriteBody takes the next bytes of the body, which must go out at once.
+	// WriteBody writes the next bytes of the body, which must be sent without buffering.
 	WriteBody(data []byte) error
 }
 
-// Admission is a call whose route and organisation are known, before its body is read.
+// Admission is an admitted call, with its route and organisation, before its body is read.
 type Admission struct {
-	// Limits are in force for the caller.
+	// Limits are the limits in force for the caller.
 	Limits *wire.CallerLimits
 
 	route  *route
 	member *member
 }
 
-// Admit finds the route and the organisation of a call. Errors have code result.UnknownRoute, MissingKey or WrongKey, or
-// say why the entry admits nothing now.
+// Admit finds the route and the organisation of a call. Errors have code result.UnknownRoute, MissingKey or WrongKey,
+// or tell why the entry currently admits no requests.
 func (e *Entry) Admit(ctx context.Context, call *Call) (*Admission, *result.Error) {
 	if err := e.waitForStart(ctx, call); err != nil {
 		return nil, e.refuseCall(call, nil, err)
@@ -67,7 +67,7 @@
 	if err := e.waitForVersion(ctx); err != nil {
 		return nil, e.refuseCall(call, nil, err)
 	}
-	table := e.view.Load().routing
+	table := e.catalogue.Load().routing
 	if table == nil {
 		return nil, e.refuseCall(call, nil, result.New(result.Starting, "no desired state is in force yet"))
 	}
@@ -76,7 +76,7 @@
 		return nil, e.refuseCall(call, nil, result.New(result.UnknownRoute, ""))
 	}
 	admission := &Admission{Limits: table.limits, route: found}
-	if !table.keyed {
+	if !table.requiresKey {
 		return admission, nil
 	}
 	admission.member = table.members[call.Key]
@@ -90,11 +90,12 @@
 	}
 }
 
-// startWaitShare is the part of a caller's time, one in so many, that it is held at most while the process starts. The
-// rest is left for another entry.
-const startWaitShare = 4
+// startWaitDivisor bounds the wait for the process to start to 1/startWaitDivisor of the caller's timeout. The rest is
+// left for a retry at another entry.
+const startWaitDivisor = 4
 
-// waitForStart holds a call while the process starts, and returns why it may not be admitted after that.
+// waitForStart delays a call while the process starts. It returns nil if the call may be admitted, otherwise the reason
+// that it may not.
 func (e *Entry) waitForStart(ctx context.Context, call *Call) *result.Error {
 	err := e.notReady()
 	if err == nil || err.Code != result.Starting {
@@ -102,44 +103,45 @@
 	}
 	wait := e.settings.Timing.StartWait
 	if call.Timeout > 0 {
-		wait = min(wait, call.Timeout/startWaitShare)
+		wait = min(wait, call.Timeout/startWaitDivisor)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	for err != nil && err.Code == result.Starting && pause.For(ctx, startPoll) {
+	for err != nil && err.Code == result.Starting && pause.For(ctx, startPollInterval) {
 		err = e.notReady()
 	}
 	return err
 }
 
-// Exchange serves an admitted call and passes the answer to w. A nil error means that w has the whole answer, or that
-// the caller left; any other says what became of the request. If w had the answer's head by then, the answer is cut.
+// Exchange serves an admitted call and writes the answer to w. It returns nil if w received the complete answer or the
+// caller disconnected; otherwise the error describes the outcome of the request. If w had already received the answer's
+// head, the answer is truncated.
 func (e *Entry) Exchange(ctx context.Context, admission *Admission, call *Call, w AnswerWriter) *result.Error {
 	e.active.Add(1)
 	defer e.active.Add(-1)
-	spent, err := e.spend(ctx, admission, call)
+	grant, err := e.chargeCap(ctx, admission, call)
 	if err != nil {
 		return e.refuseCall(call, admission, err)
 	}
 	err = e.schedule(ctx, admission, call, w)
 	if err != nil && err.Ran == result.RanNo {
-		spent.Refund()
+		grant.Refund()
 	}
 	return err
 }
 
-// schedule has the scheduler serve a call.
+// schedule passes a call to the scheduler and relays its answer.
 func (e *Entry) schedule(ctx context.Context, admission *Admission, call *Call, w AnswerWriter) *result.Error {
 	r := e.verbatimRequest(admission, call)
-	if err := e.holdBody(r); err != nil {
+	if err := e.reserveBody(r); err != nil {
 		return e.refuseCall(call, admission, err)
 	}
-	defer e.release(r)
-	waiting, err := e.arrive(r)
+	defer e.releaseBody(r)
+	accepted, err := e.submit(r)
 	if err != nil {
 		return e.refuseCall(call, admission, err)
 	}
-	out := e.relay(ctx, waiting, w)
+	out := e.relay(ctx, accepted, w)
 	if out == nil {
 		e.callerLeft(r)
 		return nil
@@ -148,7 +150,7 @@
 	return out.err
 }
 
-// refuseCall counts and logs a refusal of the entry itself.
+// refuseCall counts and logs a refusal by the entry itself.
 func (e *Entry) refuseCall(call *Call, admission *Admission, err *result.Error) *result.Error {
 	var tier uint32
 	route, organisation := "", ""
@@ -157,14 +159,14 @@
 		tier = admission.route.class(admission.member).GetTier()
 		route = admission.route.GetName()
 	}
-	e.meter.refused(err.Code, tier)
+	e.meter.countRefusal(err.Code, tier)
 	e.log.WithField("request", call.ID).
 		WithField("organisation", organisation).
 		WithField("route", route).
 		WithField("host", call.Host).
 		WithField("path", call.Path).
-		WithField("desired", e.view.Load().routing.versionOrZero()).
-		WithField("config", e.view.Load().version).
+		WithField("desired", e.catalogue.Load().routing.versionOrZero()).
+		WithField("config", e.catalogue.Load().version).
 		WithField("code", uint16(err.Code)).
 		WithField("ran", err.Ran.String()).
 		WithError(err).
@@ -179,48 +181,48 @@
 	return r.version
 }
 
-// spend takes a call from its organisation's usage cap.
-func (e *Entry) spend(ctx context.Context, admission *Admission, call *Call) (quota.Grant, *result.Error) {
+// chargeCap charges a call to its organisation's usage cap.
+func (e *Entry) chargeCap(ctx context.Context, admission *Admission, call *Call) (quota.Grant, *result.Error) {
 	m := admission.member
 	if m == nil || m.cap == nil {
 		return quota.Grant{}, nil
 	}
 	class := admission.route.class(m)
-	from := quota.Class{Name: class.GetName(), Precedence: class.GetPrecedence()}
-	m.cap.RecordDemand(m.units(call), from)
-	spent, wait, ok := takeFromCap(ctx, m.cap, m.units(call), from)
+	capClass := quota.Class{Name: class.GetName(), Precedence: class.GetPrecedence()}
+	m.cap.RecordDemand(m.units(call), capClass)
+	grant, wait, ok := takeFromCap(ctx, m.cap, m.units(call), capClass)
 	if ok {
-		return spent, nil
+		return grant, nil
 	}
 	return quota.Grant{}, result.New(result.OverUsageCap, "%s", m.cap).WithRetryAfter(wait)
 }
 
-// takeFromCap takes units from a cap. Where a larger share could let the request in, it is held until the share has changed,
-// for quota.MaxShareWait at most: a refusal within the cap is the worse mistake.
-func takeFromCap(ctx context.Context, u *quota.Cap, units uint64, class quota.Class) (g quota.Grant, wait time.Duration, ok bool) {
-	if g, wait, ok = u.Take(units, class); ok {
+// takeFromCap takes units from a cap. If a larger share could admit the request, it waits until the share has changed,
+// for quota.MaxShareWait at most, since refusing a request within the cap is worse than delaying it.
+func takeFromCap(ctx context.Context, usageCap *quota.Cap, units uint64, class quota.Class) (g quota.Grant, wait time.Duration, ok bool) {
+	if g, wait, ok = usageCap.Take(units, class); ok {
 		return g, 0, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, quota.MaxShareWait)
 	defer cancel()
 	for !ok && ctx.Err() == nil {
-		changed, helps := u.AwaitShare(units)
-		if helps {
+		changed, largerShareHelps := usageCap.AwaitShare(units)
+		if largerShareHelps {
 			select {
 			case <-changed:
 			case <-ctx.Done():
 			}
 		}
-		// The share may have changed since the last try, also where a larger one wouldn't help any more.
-		g, wait, ok = u.Take(units, class)
-		if !helps {
+		// The share may have changed since the previous Take, even if a larger one would no longer help.
+		g, wait, ok = usageCap.Take(units, class)
+		if !largerShareHelps {
 			break
 		}
 	}
 	return g, wait, ok
 }
 
-// units is what a call takes from its organisation's cap.
+// units returns how many units a call takes from its organisation's cap.
 func (m *member) units(call *Call) uint64 {
 	switch {
 	case !m.GetCountsTokens():
@@ -234,7 +236,7 @@
 
 func (e *Entry) verbatimRequest(admission *Admission, call *Call) *sched.Request {
 	route := admission.route
-	pool := route.pool()
+	pool := route.pickPool()
 	class := route.class(admission.member)
 	if kind := route.kindOf(pool); kind != class.GetKind() {
 		class = proto.CloneOf(class)
@@ -249,7 +251,7 @@
 		prompt = uint32(len(call.Body))
 	}
 	return &sched.Request{
-		ID:           call.ID + "-" + strconv.FormatUint(e.sequence.Add(1), 36),
+		ID:           call.ID + "-" + strconv.FormatUint(e.verbatimSequence.Add(1), 36),
 		Organisation: admission.member.GetName(),
 		Class:        class,
 		Target:       pool,
@@ -263,18 +265,18 @@
 		Stream:       route.GetPauseMs() > 0,
 		Arrived:      call.Arrived,
 		Deadline:     call.Arrived.Add(timeout),
-		Objective:    route.objective(call.Arrived),
+		Objective:    route.objectiveTime(call.Arrived),
 		Overdue:      e.isOverdue(route, class, admission.member.GetName(), call),
 		Verbatim:     &sched.Verbatim{Host: call.Host, Headers: call.Headers},
 		MaxAttempts:  int(route.GetMaxAttempts()),
 	}
 }
 
-// isOverdue tells whether the objective of a call has probably passed already, by its caller's first try.
+// isOverdue reports whether the objective of a call, counted from its caller's first try, has probably passed.
 func (e *Entry) isOverdue(route *route, class *wire.Class, organisation string, call *Call) bool {
-	used := e.patience.used(class.GetName(), organisation, call.Timeout)
+	elapsed := e.callerTimeouts.elapsedBefore(class.GetName(), organisation, call.Timeout)
 	objective := time.Duration(route.GetObjectiveMs()) * time.Millisecond
-	return objective > 0 && used >= objective
+	return objective > 0 && elapsed >= objective
 }
 
 // GetName returns the organisation's name, empty for a caller without a key.
@@ -285,48 +287,48 @@
 	return m.Member.GetName()
 }
 
-// holdBody counts a body against the bound on all bodies.
-func (e *Entry) holdBody(r *sched.Request) *result.Error {
+// reserveBody counts a body towards the limit on body bytes.
+func (e *Entry) reserveBody(r *sched.Request) *result.Error {
 	total := e.bodyBytes.Add(int64(len(r.Body)))
-	if float64(total) <= float64(e.settings.Limits.MaxQueuedBytes)*tierShare(r.Class) {
+	if float64(total) <= float64(e.settings.Limits.MaxQueuedBytes)*tierFraction(r.Class) {
 		return nil
 	}
 	e.bodyBytes.Add(-int64(len(r.Body)))
 	return result.New(result.QueueFull, "the bodies of waiting requests fill their bound").WithRetryAfter(controlRetryAfter)
 }
 
-// relay passes an answer on as it comes. It returns nil if the caller left.
-func (e *Entry) relay(ctx context.Context, waiting *call, w AnswerWriter) *outcome {
+// relay writes an answer to w as it arrives. It returns nil if the caller disconnected.
+func (e *Entry) relay(ctx context.Context, accepted *call, w AnswerWriter) *outcome {
 	out := &outcome{}
-	headed := false
+	headWritten := false
 	for {
-		d, err := waiting.next(ctx)
+		d, err := accepted.next(ctx)
 		if err != nil {
 			return nil
 		}
 		for _, part := range d.events {
 			out.size += len(part)
-			if headed {
+			if headWritten {
 				err = w.WriteBody(part)
 			} else {
-				headed, err = true, passHead(part, w, out)
+				headWritten, err = true, writeAnswerHead(part, w, out)
 			}
 			if err != nil {
 				return nil
 			}
 		}
 		if d.ended {
-			if waiting.overflowed() {
-				_ = e.tell(e.base, sched.CallerLeft{Request: waiting.request.ID})
+			if accepted.overflowed() {
+				_ = e.postEvent(e.runContext, sched.CallerLeft{Request: accepted.request.ID})
 			}
-			out.err, out.fate, out.trace = d.err, d.fate, d.trace
+			out.err, out.attempts, out.trace = d.err, d.attempts, d.trace
 			return out
 		}
 	}
 }
 
-// passHead passes on the head of a verbatim answer, which is its first event.
-func passHead(part []byte, w AnswerWriter, out *outcome) error {
+// writeAnswerHead writes the head of a verbatim answer, which is its first event.
+func writeAnswerHead(part []byte, w AnswerWriter, out *outcome) error {
 	head := new(wire.AnswerHead)
 	if err := proto.Unmarshal(part, head); err != nil {
 		return err
