--- a/agent/agent.go
+++ b/agent/agent.go
@@ -266,7 +266,7 @@
 		Metrics:       a.meter.set,
 	}
 	if a.follow.selects != nil {
-		config.Released = a.released
+		config.RegisterAfter = a.released
 	}
 	return config
 }
--- a/control/sessions_test.go
+++ b/control/sessions_test.go
@@ -384,7 +384,7 @@
 		for range many {
 			require.Equal(t, result.NotFound, <-codes)
 		}
-		require.Contains(t, entry.Contacts(), session.Answering)
+		require.Contains(t, entry.Reachability(), session.Answering)
 		require.Zero(t, entry.LinksLost())
 	})
 }
--- a/control/startup_test.go
+++ b/control/startup_test.go
@@ -21,11 +21,11 @@
 		s, stop := c.client("entry-1", "10.0.1.1", wire.Role_ROLE_ENTRY, 1)
 		defer stop()
 		time.Sleep(time.Second)
-		before := s.Questions()
+		before := s.RequestCount()
 		const span = 10 * time.Second
 		time.Sleep(span)
 		// A poll is held for half a second, and one is sent every second.
-		require.LessOrEqual(t, s.Questions()-before, uint64(3*span/time.Second))
+		require.LessOrEqual(t, s.RequestCount()-before, uint64(3*span/time.Second))
 		c.start(c.instances[1])
 		c.start(c.instances[2])
 		c.leader()
--- a/session/counters.go
+++ b/session/counters.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Questions returns how many polls and proposals were made.
-func (s *Session) Questions() uint64 { return s.ids.Load() }
+// RequestCount returns how many polls and proposals were made.
+func (s *Session) RequestCount() uint64 { return s.ids.Load() }
 
 // LinksLost returns how many links to control instances have ended after they were open.
 func (s *Session) LinksLost() uint64 {
--- a/session/follow.go
+++ b/session/follow.go
@@ -158,7 +158,7 @@
 	for p, a := range s.awaited {
 		if view.ConfigVersion >= a.answer.GetConfigVersion() && view.DirectoryVersion >= a.answer.GetDirectoryVersion() {
 			delete(s.awaited, p)
-			s.freshness.Confirmed(a.sent.at, now)
+			s.freshness.RecordConfirmation(a.sent.at, now)
 			taken = append(taken, a)
 		}
 	}
--- a/session/freshness.go
+++ b/session/freshness.go
@@ -20,18 +20,18 @@
 	cutOff      bool
 }
 
-// Contact is how a control instance is reached.
-type Contact uint8
+// Reachability is how a control instance is reached.
+type Reachability uint8
 
 // The values of Contact.
 const (
-	Silent Contact = iota
+	Silent Reachability = iota
 	Answering
 	Refusing
 )
 
 // String returns the name of the contact.
-func (c Contact) String() string {
+func (c Reachability) String() string {
 	switch c {
 	case Answering:
 		return "answering"
@@ -44,7 +44,7 @@
 
 type contact struct {
 	at   time.Time
-	kind Contact
+	kind Reachability
 }
 
 // NewFreshness returns the state of a process that starts now, with so many control instances. Each of them counts
@@ -63,15 +63,15 @@
 	f.heard = append(f.heard, contact{at: now})
 }
 
-// Answered notes that an instance answered a poll, which was sent at sent. Times count from the sending: how long the
+// RecordAnswer notes that an instance answered a poll, which was sent at sent. Times count from the sending: how long the
 // answer took to come back says nothing of what happened meanwhile.
-func (f *Freshness) Answered(instance int, sent, now time.Time) {
+func (f *Freshness) RecordAnswer(instance int, sent, now time.Time) {
 	f.update(now)
 	f.note(instance, contact{sent, Answering})
 }
 
-// Refused notes that an instance refused the connection.
-func (f *Freshness) Refused(instance int, now time.Time) {
+// RecordRefusal notes that an instance refused the connection.
+func (f *Freshness) RecordRefusal(instance int, now time.Time) {
 	f.update(now)
 	f.note(instance, contact{now, Refusing})
 }
@@ -82,8 +82,8 @@
 	}
 }
 
-// Confirmed notes that what a quorum confirmed for a poll sent at sent is in force here.
-func (f *Freshness) Confirmed(sent, now time.Time) {
+// RecordConfirmation notes that what a quorum confirmed for a poll sent at sent is in force here.
+func (f *Freshness) RecordConfirmation(sent, now time.Time) {
 	f.update(now)
 	if sent.After(f.confirmed) {
 		f.confirmed = sent
@@ -110,8 +110,8 @@
 	return f.cutOff
 }
 
-// Contact returns how an instance is reached.
-func (f *Freshness) Contact(instance int, now time.Time) Contact {
+// Reachability returns how an instance is reached.
+func (f *Freshness) Reachability(instance int, now time.Time) Reachability {
 	c := f.heard[instance]
 	if now.Sub(c.at) > f.bound {
 		return Silent
--- a/session/freshness_test.go
+++ b/session/freshness_test.go
@@ -17,7 +17,7 @@
 // report is one event: what an instance did, or a confirmed poll.
 type report struct {
 	instance  int
-	contact   Contact
+	contact   Reachability
 	confirmed bool
 	sent, at  float64
 }
@@ -25,12 +25,12 @@
 func (r report) apply(f *Freshness) {
 	switch {
 	case r.confirmed:
-		f.Answered(r.instance, at(r.sent), at(r.at))
-		f.Confirmed(at(r.sent), at(r.at))
+		f.RecordAnswer(r.instance, at(r.sent), at(r.at))
+		f.RecordConfirmation(at(r.sent), at(r.at))
 	case r.contact == Answering:
-		f.Answered(r.instance, at(r.sent), at(r.at))
+		f.RecordAnswer(r.instance, at(r.sent), at(r.at))
 	default:
-		f.Refused(r.instance, at(r.at))
+		f.RecordRefusal(r.instance, at(r.at))
 	}
 }
 
@@ -92,18 +92,18 @@
 
 func TestContacts(t *testing.T) {
 	f := NewFreshness(3, bound, at(0))
-	f.Answered(0, at(2), at(2))
-	f.Refused(1, at(2))
-	require.Equal(t, Answering, f.Contact(0, at(4)))
-	require.Equal(t, Refusing, f.Contact(1, at(4)))
-	require.Equal(t, Silent, f.Contact(2, at(4)))
+	f.RecordAnswer(0, at(2), at(2))
+	f.RecordRefusal(1, at(2))
+	require.Equal(t, Answering, f.Reachability(0, at(4)))
+	require.Equal(t, Refusing, f.Reachability(1, at(4)))
+	require.Equal(t, Silent, f.Reachability(2, at(4)))
 	require.Equal(t, 1, f.SilentInstances(at(4)))
-	f.Answered(0, at(1), at(4))
-	require.Equal(t, Answering, f.Contact(0, at(5)), "an older answer takes nothing back")
-	require.Equal(t, "silent", f.Contact(0, at(9)).String())
+	f.RecordAnswer(0, at(1), at(4))
+	require.Equal(t, Answering, f.Reachability(0, at(5)), "an older answer takes nothing back")
+	require.Equal(t, "silent", f.Reachability(0, at(9)).String())
 	require.False(t, f.IsConfirmed())
-	f.Confirmed(at(4), at(4))
-	f.Confirmed(at(3), at(4))
+	f.RecordConfirmation(at(4), at(4))
+	f.RecordConfirmation(at(3), at(4))
 	require.True(t, f.IsConfirmed())
 	require.Equal(t, at(4), f.LastConfirmed())
 }
--- a/session/peer.go
+++ b/session/peer.go
@@ -114,7 +114,7 @@
 	p.session.counters.dialsRefused.Inc()
 	p.session.mu.Lock()
 	defer p.session.mu.Unlock()
-	p.session.freshness.Refused(p.number, time.Now())
+	p.session.freshness.RecordRefusal(p.number, time.Now())
 }
 
 func (p *peer) hello() *wire.ClientMessage {
@@ -262,7 +262,7 @@
 	s := p.session
 	s.setLeader(f.GetLeader())
 	s.mu.Lock()
-	s.freshness.Answered(p.number, sent.at, time.Now())
+	s.freshness.RecordAnswer(p.number, sent.at, time.Now())
 	s.mu.Unlock()
 	if f.GetConfirmed() {
 		s.AddControls(f.GetControls())
@@ -281,13 +281,13 @@
 // tellConfirmed passes on what only counts in an answer that a quorum confirmed.
 func (p *peer) tellConfirmed(f *wire.Fresh, sent pollTime) {
 	cfg := p.session.cfg
-	if cfg.Confirmed != nil && p.session.listed() == cfg.Incarnation {
-		cfg.Confirmed(sent.sinceBoot)
+	if cfg.OnConfirmed != nil && p.session.listed() == cfg.Incarnation {
+		cfg.OnConfirmed(sent.sinceBoot)
 	}
 	// With few links only the leader hears all entries, so only it can tell of the others.
 	hearsAll := len(p.session.all()) <= linkAllUpTo || f.GetLeader() == p.name()
-	if cfg.Caps != nil && len(f.GetCaps()) > 0 && hearsAll {
-		cfg.Caps(f.GetCaps())
+	if cfg.OnCaps != nil && len(f.GetCaps()) > 0 && hearsAll {
+		cfg.OnCaps(f.GetCaps())
 	}
 }
 
--- a/session/propose.go
+++ b/session/propose.go
@@ -109,7 +109,7 @@
 	if !p.send(&wire.ClientMessage{Kind: &wire.ClientMessage_Propose{Propose: &wire.Propose{Id: id, Command: cmd}}}) {
 		return nil, false
 	}
-	timer := time.NewTimer(p.session.cfg.Try)
+	timer := time.NewTimer(p.session.cfg.ProposeTimeout)
 	defer timer.Stop()
 	select {
 	case reply := <-replies:
--- a/session/registration.go
+++ b/session/registration.go
@@ -57,11 +57,11 @@
 
 // register is the duty that proposes the registration.
 func (s *Session) register(ctx context.Context) {
-	if s.cfg.Released != nil {
+	if s.cfg.RegisterAfter != nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.cfg.Released:
+		case <-s.cfg.RegisterAfter:
 		}
 	}
 	ticker := time.NewTicker(s.cfg.PollInterval)
--- a/session/session.go
+++ b/session/session.go
@@ -22,9 +22,9 @@
 
 // Defaults of Config.
 const (
-	DefaultPollInterval = time.Second
-	DefaultSilenceBound = 3 * time.Second
-	DefaultTry          = 2 * time.Second
+	DefaultPollInterval   = time.Second
+	DefaultSilenceBound   = 3 * time.Second
+	DefaultProposeTimeout = 2 * time.Second
 	// startPoll is how soon a process asks again that no quorum has confirmed the state to yet.
 	startPoll = 50 * time.Millisecond
 )
@@ -60,20 +60,20 @@
 	PollInterval time.Duration
 	// SilenceBound is how long a majority may be silent before the process counts as cut off.
 	SilenceBound time.Duration
-	// Try is how long a proposal waits at one control instance before it goes to another.
-	Try time.Duration
+	// ProposeTimeout is how long a proposal waits at one control instance before it goes to another.
+	ProposeTimeout time.Duration
 	// Report gives what goes to control with some of the polls, see reporter. It must not block. Nil for none.
 	Report func() *wire.EntryReport
 	// Usage gives what goes to control with each poll, and Caps takes the answer. They must not block. Nil for none.
-	Usage func() []*wire.Usage
-	Caps  func(states []*wire.CapState)
-	// Confirmed hears of each answer that a quorum confirmed while the directory has this incarnation, by the time since boot
+	Usage  func() []*wire.Usage
+	OnCaps func(states []*wire.CapState)
+	// OnConfirmed hears of each answer that a quorum confirmed while the directory has this incarnation, by the time since boot
 	// at which it was asked for. It must not block. Nil for none.
-	Confirmed func(asked time.Duration)
+	OnConfirmed func(asked time.Duration)
 	// UsageWindow is the time over which Usage counts.
 	UsageWindow time.Duration
-	// Released, if not nil, holds the registration back until it is closed.
-	Released <-chan struct{}
+	// RegisterAfter, if not nil, holds the registration back until it is closed.
+	RegisterAfter <-chan struct{}
 	// Log and Metrics may be nil.
 	Log     log.Interface
 	Metrics *metrics.Set
@@ -82,7 +82,7 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.PollInterval, DefaultPollInterval)
 	setDefault(&c.SilenceBound, DefaultSilenceBound)
-	setDefault(&c.Try, DefaultTry)
+	setDefault(&c.ProposeTimeout, DefaultProposeTimeout)
 	if c.Log == nil {
 		c.Log = &log.Logger{Handler: log.HandlerFunc(func(*log.Entry) error { return nil }), Level: log.FatalLevel}
 	}
@@ -311,14 +311,14 @@
 		s.freshness.SilentInstances(now), len(s.all()))
 }
 
-// Contacts returns how each control instance is reached, in the order of Config.Controls.
-func (s *Session) Contacts() []Contact {
+// Reachability returns how each control instance is reached, in the order of Config.Controls.
+func (s *Session) Reachability() []Reachability {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Contact, len(s.all()))
+	out := make([]Reachability, len(s.all()))
 	for i := range out {
-		out[i] = s.freshness.Contact(i, now)
+		out[i] = s.freshness.Reachability(i, now)
 	}
 	return out
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -95,7 +95,7 @@
 		}
 		time.Sleep(10 * time.Minute)
 		require.NoError(t, f.session.CutOff())
-		require.Equal(t, []Contact{Refusing, Refusing, Refusing}, f.session.Contacts())
+		require.Equal(t, []Reachability{Refusing, Refusing, Refusing}, f.session.Reachability())
 		for _, c := range f.controls {
 			f.start(c)
 		}
--- a/session/start_test.go
+++ b/session/start_test.go
@@ -35,9 +35,9 @@
 		f := newFakes(t, 1, asEntry)
 		var heard atomic.Int32
 		f.session.cfg.Incarnation = f.session.listed()
-		f.session.cfg.Caps = func([]*wire.CapState) { heard.Add(1) }
+		f.session.cfg.OnCaps = func([]*wire.CapState) { heard.Add(1) }
 		var asked atomic.Int64
-		f.session.cfg.Confirmed = func(at time.Duration) { asked.Store(int64(at)) }
+		f.session.cfg.OnConfirmed = func(at time.Duration) { asked.Store(int64(at)) }
 		f.ready()
 		answer := func(confirmed bool) {
 			id := f.session.ids.Add(1)
@@ -69,7 +69,7 @@
 		f := newFakes(t, 1, asEntry)
 		held := New(Config{
 			Instance: "held", Role: wire.Role_ROLE_AGENT, Incarnation: 9, Controls: []string{f.controls[0].host + ":7000"},
-			Network: f.net.Host("10.0.1.2"), Released: released,
+			Network: f.net.Host("10.0.1.2"), RegisterAfter: released,
 		})
 		done := make(chan error, 1)
 		go func() { done <- held.Run(t.Context()) }()
