--- a/session/counters.go
+++ b/session/counters.go
@@ -2,20 +2,20 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// counters are the metrics of a session.
+// counters holds the metrics of a session.
 type counters struct {
-	fetches      *metrics.Counter // a message carried a newer version than is in force here
-	gaps         *metrics.Counter // an update didn't follow on the known version
-	older        *metrics.Counter // an update to a lower version was refused
-	behind       *metrics.Counter // the followed instance was left since another one had a newer directory
-	linksLost    *metrics.Counter
-	dialsRefused *metrics.Counter
-	dialsFailed  *metrics.Counter
-	unknown      *metrics.Counter // proposals whose outcome stayed unknown
-	notProposed  *metrics.Counter
-	ordersFenced *metrics.Counter // orders with an old fence number
-	ordersFull   *metrics.Counter
-	ordersCutOff *metrics.Counter
+	fetches         *metrics.Counter // messages that carried a newer version than the one in force here
+	gaps            *metrics.Counter // updates whose base is newer than the known version
+	staleUpdates    *metrics.Counter // configuration updates refused for a version lower than the known one
+	sourceBehind    *metrics.Counter // directory sources replaced because another instance had a newer directory
+	linksLost       *metrics.Counter
+	dialsRefused    *metrics.Counter
+	dialsFailed     *metrics.Counter
+	outcomesUnknown *metrics.Counter // proposals whose outcome stayed unknown
+	notProposed     *metrics.Counter
+	ordersFenced    *metrics.Counter // orders refused for an old fence number
+	ordersFull      *metrics.Counter
+	ordersCutOff    *metrics.Counter
 }
 
 func newCounters(set *metrics.Set, s *Session) counters {
@@ -29,25 +29,25 @@
 	})
 	c := func(name string) *metrics.Counter { return set.GetOrCreateCounter("carawaypitch_control_" + name) }
 	return counters{
-		fetches:      c(`fetches_total`),
-		gaps:         c(`updates_refused_total{reason="gap"}`),
-		older:        c(`updates_refused_total{reason="older"}`),
-		behind:       c(`followed_behind_total`),
-		linksLost:    c(`links_lost_total`),
-		dialsRefused: c(`dials_failed_total{reason="refused"}`),
-		dialsFailed:  c(`dials_failed_total{reason="other"}`),
-		unknown:      c(`proposals_failed_total{reason="unknown"}`),
-		notProposed:  c(`proposals_failed_total{reason="not_proposed"}`),
-		ordersFenced: c(`orders_refused_total{reason="fence"}`),
-		ordersFull:   c(`orders_refused_total{reason="full"}`),
-		ordersCutOff: c(`orders_refused_total{reason="cut_off"}`),
+		fetches:         c(`fetches_total`),
+		gaps:            c(`updates_refused_total{reason="gap"}`),
+		staleUpdates:    c(`updates_refused_total{reason="older"}`),
+		sourceBehind:    c(`followed_behind_total`),
+		linksLost:       c(`links_lost_total`),
+		dialsRefused:    c(`dials_failed_total{reason="refused"}`),
+		dialsFailed:     c(`dials_failed_total{reason="other"}`),
+		outcomesUnknown: c(`proposals_failed_total{reason="unknown"}`),
+		notProposed:     c(`proposals_failed_total{reason="not_proposed"}`),
+		ordersFenced:    c(`orders_refused_total{reason="fence"}`),
+		ordersFull:      c(`orders_refused_total{reason="full"}`),
+		ordersCutOff:    c(`orders_refused_total{reason="cut_off"}`),
 	}
 }
 
-// RequestCount returns how many polls and proposals were made.
+// RequestCount returns the number of polls and proposals made.
 func (s *Session) RequestCount() uint64 { return s.ids.Load() }
 
-// LinksLost returns how many links to control instances have ended after they were open.
+// LinksLost returns the number of links to control instances that ended after they were open.
 func (s *Session) LinksLost() uint64 {
 	return s.counters.linksLost.Get()
 }
--- a/session/doc.go
+++ b/session/doc.go
@@ -1,7 +1,7 @@
-// Package session is the side of entries and agents towards the control instances.
+// Package session connects entries and agents to the control instances.
 //
-// A Session keeps a link with every control instance, holds the newest configuration and directory, proposes
-// commands, and passes orders on. It also answers the two questions that decide whether a process may take work:
-// Ready says whether it has seen the state as confirmed by a quorum, and CutOff whether a newer configuration might be
-// in force without it, see Freshness.
+// A Session keeps links to control instances, holds the newest configuration and directory, proposes commands, and
+// delivers orders. It also answers the two questions that decide whether a process may take work: Ready reports whether
+// a quorum has confirmed the state that the process holds, and CutOff whether a newer configuration might be in force
+// without this process knowing it (see Freshness).
 package session
--- a/session/fake_test.go
+++ b/session/fake_control_test.go
@@ -15,41 +15,41 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// clientHost is the host of the session under test; control instance i has 10.0.0.i.
+// clientHost is the host of the session under test; control instance i has host 10.0.0.i.
 const clientHost = "10.0.1.1"
 
-// fakeControl is a control instance that answers as the test says.
+// fakeControl is a control instance with scripted answers.
 type fakeControl struct {
 	host string
 	stop context.CancelFunc
 
-	mu        sync.Mutex
-	name      string
-	leader    string
-	version   uint64
-	confirmed bool
-	isMute    bool // answers no polls
-	propose   func(*wire.Propose) *wire.ProposeReply
-	proposals []*wire.Command
-	results   []*wire.OrderResult
-	hellos    []*wire.ClientHello
-	send      func(*wire.ControlMessage)
+	mu           sync.Mutex
+	name         string
+	leader       string
+	version      uint64
+	confirmed    bool
+	ignoresPolls bool // does not answer polls
+	propose      func(*wire.Propose) *wire.ProposeReply
+	proposals    []*wire.Command
+	results      []*wire.OrderResult
+	hellos       []*wire.ClientHello
+	send         func(*wire.ControlMessage)
 }
 
-// fakes is a number of fake control instances and a session with them, to be used in a synctest bubble.
-type fakes struct {
+// fakeCluster is a group of fake control instances and a session connected to them. It is used in a synctest bubble.
+type fakeCluster struct {
 	t        *testing.T
-	net      *memory.Network
+	network  *memory.Network
 	controls []*fakeControl
 	session  *Session
 }
 
-func newFakes(t *testing.T, size int, role wire.Role, prepare ...func(*fakeControl)) *fakes {
-	f := &fakes{t: t, net: memory.New()}
+func newFakeCluster(t *testing.T, size int, role wire.Role, prepare ...func(*fakeControl)) *fakeCluster {
+	f := &fakeCluster{t: t, network: memory.New()}
 	var addresses []string
 	for i := 1; i <= size; i++ {
 		c := &fakeControl{host: fmt.Sprintf("10.0.0.%d", i), name: fmt.Sprintf("control-%d", i), confirmed: true}
-		c.propose = accept
+		c.propose = acceptProposal
 		for _, p := range prepare {
 			p(c)
 		}
@@ -58,7 +58,7 @@
 		f.start(c)
 	}
 	f.session = New(Config{
-		Instance: "me", Role: role, Incarnation: 7, Controls: addresses, Network: f.net.Host(clientHost),
+		Instance: "me", Role: role, Incarnation: 7, Controls: addresses, Network: f.network.Host(clientHost),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -76,12 +76,12 @@
 	return f
 }
 
-func accept(p *wire.Propose) *wire.ProposeReply {
+func acceptProposal(p *wire.Propose) *wire.ProposeReply {
 	return &wire.ProposeReply{Id: p.GetId(), Result: &wire.CommandResult{}}
 }
 
-func (f *fakes) start(c *fakeControl) {
-	listener, err := f.net.Host(c.host).Listen(":7000")
+func (f *fakeCluster) start(c *fakeControl) {
+	listener, err := f.network.Host(c.host).Listen(":7000")
 	require.NoError(f.t, err)
 	ctx, cancel := context.WithCancel(f.t.Context())
 	done := make(chan struct{})
@@ -130,7 +130,7 @@
 	case *wire.ClientMessage_OrderResult:
 		c.results = append(c.results, kind.OrderResult)
 	case *wire.ClientMessage_Poll:
-		if !c.isMute {
+		if !c.ignoresPolls {
 			return &wire.ControlMessage{Kind: &wire.ControlMessage_Fresh{Fresh: &wire.Fresh{
 				Sequence: kind.Poll.GetSequence(), Confirmed: c.confirmed, ConfigVersion: c.version, Leader: c.leader,
 			}}}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// set changes a fake under its lock.
-func (c *fakeControl) set(change func(*fakeControl)) {
+// update changes a fake under its lock.
+func (c *fakeControl) update(change func(*fakeControl)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c)
@@ -167,8 +167,8 @@
 	c.push(&wire.ControlMessage{Kind: &wire.ControlMessage_Order{Order: o}})
 }
 
-// count returns how many commands of the wanted kind were proposed.
-func (c *fakeControl) count(wanted func(*wire.Command) bool) int {
+// countProposals returns the number of proposed commands that satisfy wanted.
+func (c *fakeControl) countProposals(wanted func(*wire.Command) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -180,10 +180,10 @@
 	return n
 }
 
-func (f *fakes) eventually(what string, ok func() bool) {
+func (f *fakeCluster) eventually(what string, ok func() bool) {
 	require.Eventually(f.t, ok, time.Minute, 20*time.Millisecond, what)
 }
 
-func (f *fakes) ready() {
+func (f *fakeCluster) awaitReady() {
 	f.eventually("ready", func() bool { return f.session.Ready() == nil })
 }
--- a/session/freshness.go
+++ b/session/freshness.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Freshness decides whether a process may be cut off from control. It is pure: the times are the caller's.
+// Freshness decides whether a process may be cut off from control. It does no I/O, and callers pass in the times.
 //
 // The process polls every control instance. An instance is Answering if it answered a poll, Refusing if the connection
 // was refused (then no process listens there, so it accepts no change), and Silent if neither happened within the
-// bound. A change needs a majority. If a majority is silent, it may have accepted one that this process never hears
-// of. So the process is cut off when a majority is silent and no poll was confirmed by a quorum within the bound. Any
-// other set of answers is none: when control as a whole is down, nothing can change, and work goes on.
+// silence bound. A change of the configuration needs a majority of the instances. If a majority is silent, it may have
+// accepted a change that this process does not receive. So the process is cut off when a majority is silent and no poll
+// sent within the bound was confirmed by a quorum. In all other cases it is not: when control as a whole is down,
+// nothing can change, and work continues.
 //
-// Having been cut off, a process needs a confirmed poll to come back. Were it enough that the instances answer or
-// refuse again, it would take work with the configuration from before the cut.
+// Once cut off, a process recovers only through a confirmed poll. If answers or refusals from the instances were enough,
+// it would take work with the configuration from before the partition.
 type Freshness struct {
-	bound       time.Duration
-	heard       []contact
-	confirmed   time.Time // when the last confirmed poll was sent
-	isConfirmed bool      // ever
-	cutOff      bool
+	silenceBound time.Duration
+	lastSeen     []observation
+	confirmed    time.Time // when the last confirmed poll was sent
+	isConfirmed  bool      // whether any poll was ever confirmed
+	cutOff       bool
 }
 
-// Reachability is how a control instance is reached.
+// Reachability is how a control instance responds to polls.
 type Reachability uint8
 
-// The values of Contact.
+// Values of Reachability.
 const (
 	Silent Reachability = iota
 	Answering
 	Refusing
 )
 
-// String returns the name of the contact.
+// String returns the name used in reports and logs.
 func (c Reachability) String() string {
 	switch c {
 	case Answering:
@@ -42,99 +43,99 @@
 	}
 }
 
-type contact struct {
+type observation struct {
 	at   time.Time
 	kind Reachability
 }
 
-// NewFreshness returns the state of a process that starts now, with so many control instances. Each of them counts
-// as heard at the start.
+// NewFreshness returns the state of a process that starts now, with the given number of control instances. Each of them
+// counts as heard from at the start.
 func NewFreshness(instances int, bound time.Duration, now time.Time) *Freshness {
-	f := &Freshness{bound: bound, heard: make([]contact, instances)}
-	for i := range f.heard {
-		f.heard[i].at = now
+	f := &Freshness{silenceBound: bound, lastSeen: make([]observation, instances)}
+	for i := range f.lastSeen {
+		f.lastSeen[i].at = now
 	}
 	return f
 }
 
-// Add takes one more control instance up, which counts as heard now. Its number follows on those before it.
+// Add adds a control instance, which counts as heard from at now. Its index follows those of the existing instances.
 func (f *Freshness) Add(now time.Time) {
-	f.update(now)
-	f.heard = append(f.heard, contact{at: now})
+	f.updateCutOff(now)
+	f.lastSeen = append(f.lastSeen, observation{at: now})
 }
 
-// RecordAnswer notes that an instance answered a poll, which was sent at sent. Times count from the sending: how long the
-// answer took to come back says nothing of what happened meanwhile.
+// RecordAnswer records that an instance answered a poll that was sent at sent. The time of sending counts, since the
+// answer says nothing about changes between the sending and its arrival.
 func (f *Freshness) RecordAnswer(instance int, sent, now time.Time) {
-	f.update(now)
-	f.note(instance, contact{sent, Answering})
+	f.updateCutOff(now)
+	f.record(instance, observation{sent, Answering})
 }
 
-// RecordRefusal notes that an instance refused the connection.
+// RecordRefusal records that an instance refused the connection.
 func (f *Freshness) RecordRefusal(instance int, now time.Time) {
-	f.update(now)
-	f.note(instance, contact{now, Refusing})
+	f.updateCutOff(now)
+	f.record(instance, observation{now, Refusing})
 }
 
-func (f *Freshness) note(instance int, c contact) {
-	if !c.at.Before(f.heard[instance].at) {
-		f.heard[instance] = c
+func (f *Freshness) record(instance int, c observation) {
+	if !c.at.Before(f.lastSeen[instance].at) {
+		f.lastSeen[instance] = c
 	}
 }
 
-// RecordConfirmation notes that what a quorum confirmed for a poll sent at sent is in force here.
+// RecordConfirmation records that the state a quorum confirmed for a poll sent at sent is in force here.
 func (f *Freshness) RecordConfirmation(sent, now time.Time) {
-	f.update(now)
+	f.updateCutOff(now)
 	if sent.After(f.confirmed) {
 		f.confirmed = sent
 	}
 	f.isConfirmed = true
-	if now.Sub(f.confirmed) <= f.bound {
+	if now.Sub(f.confirmed) <= f.silenceBound {
 		f.cutOff = false
 	}
 }
 
-// IsConfirmed tells whether the state was ever confirmed.
+// IsConfirmed reports whether a quorum has ever confirmed the state.
 func (f *Freshness) IsConfirmed() bool {
 	return f.isConfirmed
 }
 
-// LastConfirmed returns when the last confirmed poll was sent.
+// LastConfirmed returns when the last confirmed poll was sent, or the zero time if there was none.
 func (f *Freshness) LastConfirmed() time.Time {
 	return f.confirmed
 }
 
-// CutOff tells whether the process may be cut off from control.
+// CutOff reports whether the process may be cut off from control.
 func (f *Freshness) CutOff(now time.Time) bool {
-	f.update(now)
+	f.updateCutOff(now)
 	return f.cutOff
 }
 
-// Reachability returns how an instance is reached.
+// Reachability returns how an instance responds at now.
 func (f *Freshness) Reachability(instance int, now time.Time) Reachability {
-	c := f.heard[instance]
-	if now.Sub(c.at) > f.bound {
+	c := f.lastSeen[instance]
+	if now.Sub(c.at) > f.silenceBound {
 		return Silent
 	}
 	return c.kind
 }
 
-// SilentInstances returns how many instances are silent.
+// SilentInstances returns the number of instances that are silent at now.
 func (f *Freshness) SilentInstances(now time.Time) int {
 	silent := 0
-	for i := range f.heard {
-		if now.Sub(f.heard[i].at) > f.bound {
+	for i := range f.lastSeen {
+		if now.Sub(f.lastSeen[i].at) > f.silenceBound {
 			silent++
 		}
 	}
 	return silent
 }
 
-// update notes a cut-off before an event changes what it is judged by. Without it, one that nobody asked about while
-// it lasted would be forgotten with the first answer after it.
-func (f *Freshness) update(now time.Time) {
-	majority := len(f.heard)/2 + 1
-	if f.SilentInstances(now) >= majority && now.Sub(f.confirmed) > f.bound {
+// updateCutOff records a cut-off before an event changes the state it is judged by. Without it, a cut-off during which
+// CutOff is not called would be lost with the first answer after it.
+func (f *Freshness) updateCutOff(now time.Time) {
+	majority := len(f.lastSeen)/2 + 1
+	if f.SilentInstances(now) >= majority && now.Sub(f.confirmed) > f.silenceBound {
 		f.cutOff = true
 	}
 }
--- a/session/selection_test.go
+++ b/session/link_selection_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// instances are so many control instances that have said hello.
-func instances(size int) []candidate {
+// namedCandidates returns size control instances whose names are known.
+func namedCandidates(size int) []candidate {
 	all := make([]candidate, size)
 	for i := range all {
 		all[i] = candidate{address: fmt.Sprint("10.0.0.", i), name: fmt.Sprint("control-", i)}
@@ -18,7 +18,7 @@
 	return all
 }
 
-func count(chosen []bool) int {
+func countTrue(chosen []bool) int {
 	n := 0
 	for _, one := range chosen {
 		if one {
@@ -28,26 +28,26 @@
 	return n
 }
 
-func TestFewInstancesAreAllLinked(t *testing.T) {
-	require.Equal(t, linkAllUpTo, count(chooseLinks("me", "control-1", true, instances(linkAllUpTo))))
+func TestLinksToAllOfFewInstances(t *testing.T) {
+	require.Equal(t, linkAllMaxInstances, countTrue(chooseLinks("me", "control-1", true, namedCandidates(linkAllMaxInstances))))
 }
 
-// Symptom: control and all processes spend their time on polls, and each change of the directory goes out 4,275 times. Sequence:
-// 285 processes and 15 control instances. Cause: a link from each process to each instance.
+// Guards against a link from each process to each instance: with 285 processes and 15 control instances, each change of the
+// directory would be sent 4,275 times, and all processes would be busy with polls.
 func TestLinksToManyInstancesAreBoundedAndSpread(t *testing.T) {
 	const processes, size = 285, 15
 	links := make([]int, size)
 	for i := range processes {
-		chosen := chooseLinks(fmt.Sprint("process-", i), "control-3", true, instances(size))
+		chosen := chooseLinks(fmt.Sprint("process-", i), "control-3", true, namedCandidates(size))
 		require.True(t, chosen[3], "the leader")
-		require.Equal(t, 1+linksBeside, count(chosen))
+		require.Equal(t, 1+additionalLinks, countTrue(chosen))
 		for j, one := range chosen {
 			if one {
 				links[j]++
 			}
 		}
 	}
-	mean := processes * linksBeside / (size - 1)
+	mean := processes * additionalLinks / (size - 1)
 	for j, n := range links {
 		if j != 3 {
 			require.Greater(t, n, mean/2)
@@ -56,67 +56,67 @@
 	}
 }
 
-func TestWithoutAConfirmationAllAreLinked(t *testing.T) {
-	require.Equal(t, 15, count(chooseLinks("me", "control-3", false, instances(15))))
+func TestLinksToAllInstancesWhileUnconfirmed(t *testing.T) {
+	require.Equal(t, 15, countTrue(chooseLinks("me", "control-3", false, namedCandidates(15))))
 }
 
-func TestALeaderWhoseAddressIsNotKnownIsLookedFor(t *testing.T) {
-	all := instances(15)
+func TestUnknownLeaderAddressLinksToUnnamedInstances(t *testing.T) {
+	all := namedCandidates(15)
 	for i := 3; i < 15; i++ {
 		all[i].name = ""
 	}
-	require.GreaterOrEqual(t, count(chooseLinks("me", "control-12", true, all)), 12)
+	require.GreaterOrEqual(t, countTrue(chooseLinks("me", "control-12", true, all)), 12)
 }
 
-func TestFailingInstancesArePassedOver(t *testing.T) {
-	all := instances(15)
+func TestRecentlyFailedInstancesAreSkipped(t *testing.T) {
+	all := namedCandidates(15)
 	before := chooseLinks("me", "control-3", true, all)
 	for i, chosen := range before {
 		all[i].failing = chosen && i != 3
 	}
 	after := chooseLinks("me", "control-3", true, all)
-	require.Equal(t, 1+linksBeside, count(after))
+	require.Equal(t, 1+additionalLinks, countTrue(after))
 	for i, chosen := range after {
 		require.False(t, chosen && all[i].failing)
 	}
 }
 
-// Symptom: a process hears of no change any more. Sequence: the few control instances that it has links to are cut off, or one
-// that leads is replaced by another. Cause: no look beyond the few.
-func TestLinksFollowTheLeaderAndACut(t *testing.T) {
+// Guards against a process that receives no more changes after the few control instances it has links to are cut off, or
+// after another instance becomes the leader. It must then link to other instances.
+func TestLinksFollowLeaderChangeAndPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 9
-		lead := func(f *fakes, name string) {
+		lead := func(f *fakeCluster, name string) {
 			for _, c := range f.controls {
-				c.set(func(c *fakeControl) { c.leader = name })
+				c.update(func(c *fakeControl) { c.leader = name })
 			}
 		}
-		f := newFakes(t, size, asEntry, func(c *fakeControl) { c.leader = "control-1" })
+		f := newFakeCluster(t, size, roleEntry, func(c *fakeControl) { c.leader = "control-1" })
 		up := func() (names []string) {
-			for _, p := range f.session.all() {
-				if p.isUp() {
+			for _, p := range f.session.knownPeers() {
+				if p.isConnected() {
 					names = append(names, p.name())
 				}
 			}
 			return names
 		}
-		f.ready()
-		f.eventually("few links", func() bool { return len(up()) == 1+linksBeside })
+		f.awaitReady()
+		f.eventually("few links", func() bool { return len(up()) == 1+additionalLinks })
 		require.Contains(t, up(), "control-1")
 		lead(f, "control-8")
 		f.eventually("a link to the new leader", func() bool {
 			names := up()
-			return len(names) == 1+linksBeside && containsAll(names, "control-8")
+			return len(names) == 1+additionalLinks && containsAll(names, "control-8")
 		})
 		linked := up()
 		for _, c := range f.controls {
 			if containsAll(linked, c.name) {
-				f.net.Cut(clientHost, c.host)
+				f.network.Cut(clientHost, c.host)
 			}
 		}
 		lead(f, "")
 		time.Sleep(5 * DefaultPollInterval)
-		require.NoError(t, f.session.CutOff(), "the others confirm")
+		require.NoError(t, f.session.CutOff(), "the other instances confirm")
 		require.NotEmpty(t, up())
 		require.False(t, containsAll(up(), linked...))
 	})
--- a/session/peer.go
+++ b/session/peer.go
@@ -19,50 +19,50 @@
 // peer is one control instance and the link to it.
 type peer struct {
 	session *Session
-	number  int
+	index   int
 	address string
 
-	mu       sync.Mutex
-	ring     *ring.Ring[*wire.ClientMessage] // nil while there is no link
-	instance string                          // as of its hello
-	zone     string                          // availability zone, as of its hello
-	sent     map[uint64]pollTime             // polls without an answer
-	waiting  map[uint64]chan *wire.ProposeReply
-	reports  reporter
-	wish     wish
-	failed   time.Time // when the last dial or link failed
-	soon     bool      // a poll before the next interval is due
+	mu              sync.Mutex
+	ring            *ring.Ring[*wire.ClientMessage] // nil while there is no link
+	instance        string                          // from its hello
+	zone            string                          // availability zone, from its hello
+	pendingPolls    map[uint64]pollTime             // unanswered polls by sequence
+	pendingReplies  map[uint64]chan *wire.ProposeReply
+	reporter        reporter
+	demand          linkDemand
+	failedAt        time.Time // when the last dial or link failed
+	isPollScheduled bool      // a poll ahead of the next interval is scheduled
 
-	isFollowed bool      // the directory is to come over this link
-	confirmed  time.Time // when the last poll that a quorum confirmed by this instance was sent
-	avoidUntil time.Time // until when the instance isn't followed
+	isFollowed  bool      // this instance is the directory source
+	confirmedAt time.Time // when the last poll that a quorum confirmed through this instance was sent
+	avoidUntil  time.Time // until when the instance is not used as the directory source
 }
 
-// pollTime is when a poll was sent.
+// pollTime is the time at which a poll was sent.
 type pollTime struct {
 	at        time.Time
 	sinceBoot time.Duration
 }
 
-func newPeer(s *Session, number int, address string) *peer {
-	return &peer{session: s, number: number, address: address, wish: wish{changed: make(chan struct{})}}
+func newPeer(s *Session, index int, address string) *peer {
+	return &peer{session: s, index: index, address: address, demand: linkDemand{changed: make(chan struct{})}}
 }
 
-// keep dials until ctx ends, with a growing wait between tries.
-func (p *peer) keep(ctx context.Context) {
-	timing := p.session.timing()
+// redialLoop dials until ctx ends, with exponential backoff.
+func (p *peer) redialLoop(ctx context.Context) {
+	timing := p.session.linkTiming()
 	wait := timing.RedialMin
 	for ctx.Err() == nil {
-		wasUp, err := p.once(ctx)
+		wasOpen, err := p.runLink(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if wasUp {
+		if wasOpen {
 			wait = timing.RedialMin
 			p.session.counters.linksLost.Inc()
 			p.session.cfg.Log.WithError(err).WithField("address", p.address).Warn("control_link_lost")
 		}
-		p.noteFailure()
+		p.recordFailure()
 		if !pause.For(ctx, wait) {
 			return
 		}
@@ -70,15 +70,15 @@
 	}
 }
 
-// once dials and serves one link until it ends.
-func (p *peer) once(ctx context.Context) (wasUp bool, err error) {
+// runLink dials and serves one link until it ends. It reports whether the link was open.
+func (p *peer) runLink(ctx context.Context) (wasOpen bool, err error) {
 	conn, err := link.Dial(ctx, p.session.cfg.Network, p.address, p.session.cfg.TLS)
 	if err != nil {
-		p.dialFailed(err)
+		p.recordDialError(err)
 		return false, err
 	}
 	defer conn.Close()
-	// The stream outlives ctx for a moment, so that the pump can send what it has.
+	// The stream outlives ctx so that the pump can send what is queued.
 	stream, err := wire.NewDRPCControlLinkClient(conn).Session(context.WithoutCancel(ctx))
 	if err != nil {
 		return false, err
@@ -86,10 +86,10 @@
 	if err := stream.Send(&wire.ClientBatch{Messages: []*wire.ClientMessage{p.hello()}}); err != nil {
 		return false, err
 	}
-	out := ring.New[*wire.ClientMessage]("control", outgoingRing)
+	out := ring.New[*wire.ClientMessage]("control", outgoingBufferSize)
 	p.open(out)
 	defer p.close()
-	p.session.followFirst(p)
+	p.session.followIfNone(p)
 	p.poll()
 	pump := &link.Pump[*wire.ClientMessage, *wire.ControlBatch]{
 		Send:         func(batch []*wire.ClientMessage) error { return stream.Send(&wire.ClientBatch{Messages: batch}) },
@@ -105,8 +105,8 @@
 	return true, pump.Run(ctx)
 }
 
-// dialFailed notes a refused connection as an answer: no process listens there.
-func (p *peer) dialFailed(err error) {
+// recordDialError records a refused connection as an answer: no process listens there.
+func (p *peer) recordDialError(err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		p.session.counters.dialsFailed.Inc()
 		return
@@ -114,7 +114,7 @@
 	p.session.counters.dialsRefused.Inc()
 	p.session.mu.Lock()
 	defer p.session.mu.Unlock()
-	p.session.freshness.RecordRefusal(p.number, time.Now())
+	p.session.freshness.RecordRefusal(p.index, time.Now())
 }
 
 func (p *peer) hello() *wire.ClientMessage {
@@ -132,54 +132,55 @@
 }
 
 func (p *peer) open(out *ring.Ring[*wire.ClientMessage]) {
-	links := p.session.links()
+	links := p.session.wantedLinks()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ring = out
-	p.sent = make(map[uint64]pollTime)
-	p.waiting = make(map[uint64]chan *wire.ProposeReply)
-	p.reports = reporter{source: p.session.cfg.Report, links: links}
+	p.pendingPolls = make(map[uint64]pollTime)
+	p.pendingReplies = make(map[uint64]chan *wire.ProposeReply)
+	p.reporter = reporter{source: p.session.cfg.Report, links: links}
 }
 
-// close ends the link. Who waits for a reply learns that none will come.
+// close ends the link. Callers that wait for a reply find their channel closed.
 func (p *peer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ring = nil
-	p.isFollowed, p.confirmed = false, time.Time{}
-	for _, reply := range p.waiting {
+	p.isFollowed, p.confirmedAt = false, time.Time{}
+	for _, reply := range p.pendingReplies {
 		close(reply)
 	}
-	p.waiting = nil
+	p.pendingReplies = nil
 }
 
-// send passes a message on, and returns false if there is no link or its ring is full.
+// send queues a message. It reports false if there is no link or its ring is full.
 func (p *peer) send(m *wire.ClientMessage) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ring != nil && p.ring.TryPush(m)
 }
 
-// poll asks at once, without waiting for the next interval.
+// poll polls at once, without waiting for the next interval.
 func (p *peer) poll() {
 	p.send(p.pollMessage())
 }
 
-// pollSoon asks again after startPoll, once for all answers that come until then. It follows the answer to the last poll only.
+// pollSoon polls again after startupPollDelay, once for all answers that arrive until then. It must follow only the answer
+// to the most recent poll.
 //
-// Each poll interval brings a poll of its own. Were each answer followed by another poll, there would be one chain of them more
-// with each second without a confirmation: after 15 s a process asked each instance 150 times a second, and the replicas had no time
-// left to elect the leader that all of them waited for.
+// Each poll interval adds a poll. If every answer were followed by another poll, each second without a confirmation would
+// start one more chain of polls: after 15 s a process polls each instance 150 times a second, which leaves the replicas no
+// time to elect the leader that all of them wait for.
 func (p *peer) pollSoon() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.soon {
+	if p.isPollScheduled {
 		return
 	}
-	p.soon = true
-	time.AfterFunc(startPoll, func() {
+	p.isPollScheduled = true
+	time.AfterFunc(startupPollDelay, func() {
 		p.mu.Lock()
-		p.soon = false
+		p.isPollScheduled = false
 		p.mu.Unlock()
 		p.poll()
 	})
@@ -191,14 +192,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, sinceBoot := time.Now(), clock.SinceBoot()
-	if p.sent != nil {
-		p.sent[id] = pollTime{now, sinceBoot}
+	if p.pendingPolls != nil {
+		p.pendingPolls[id] = pollTime{now, sinceBoot}
 	}
 	return &wire.ClientMessage{Kind: &wire.ClientMessage_Poll{Poll: &wire.Poll{
 		Sequence:         id,
 		ConfigVersion:    view.ConfigVersion,
 		DirectoryVersion: view.DirectoryVersion,
-		Report:           p.reports.next(now),
+		Report:           p.reporter.next(now),
 		Usage:            p.session.usage(),
 		UsageWindowMs:    uint32(p.session.cfg.UsageWindow.Milliseconds()),
 		SinceBootMs:      uint64(sinceBoot.Milliseconds()),
@@ -206,11 +207,12 @@
 	}}}
 }
 
-// receive takes one batch. A batch with the answer to a poll shows that the instance hears this side.
+// receive handles one batch. It reports whether the batch answers a poll, which proves that the instance receives messages
+// from this process.
 func (p *peer) receive(_ context.Context, batch *wire.ControlBatch) (bool, error) {
 	alive := false
 	for _, m := range batch.GetMessages() {
-		answered, err := p.message(m)
+		answered, err := p.handleMessage(m)
 		if err != nil {
 			return alive, err
 		}
@@ -219,41 +221,41 @@
 	return alive, nil
 }
 
-func (p *peer) message(m *wire.ControlMessage) (answered bool, err error) {
+func (p *peer) handleMessage(m *wire.ControlMessage) (answered bool, err error) {
 	s := p.session
 	switch kind := m.GetKind().(type) {
 	case *wire.ControlMessage_Hello:
 		p.mu.Lock()
 		p.instance, p.zone = kind.Hello.GetInstance(), kind.Hello.GetAvailabilityZone()
 		p.mu.Unlock()
-		s.choiceChanged()
+		s.triggerReselect()
 		s.setLeader(kind.Hello.GetLeader())
 	case *wire.ControlMessage_Config:
 		return false, s.applyConfig(kind.Config)
 	case *wire.ControlMessage_Directory:
 		return false, s.applyDirectory(kind.Directory)
 	case *wire.ControlMessage_Fresh:
-		return true, p.fresh(kind.Fresh)
+		return true, p.handleFresh(kind.Fresh)
 	case *wire.ControlMessage_Reply:
-		p.reply(kind.Reply)
+		p.handleReply(kind.Reply)
 	case *wire.ControlMessage_Order:
-		s.order(p, kind.Order)
+		s.handleOrder(p, kind.Order)
 	}
 	return false, nil
 }
 
-// fresh notes the answer to a poll. Only a confirmed one whose versions are in force here counts as confirmed.
-func (p *peer) fresh(f *wire.Fresh) error {
+// handleFresh handles the answer to a poll. Only a confirmed answer whose versions are in force here counts as confirmed.
+func (p *peer) handleFresh(f *wire.Fresh) error {
 	p.mu.Lock()
-	sent, known := p.sent[f.GetSequence()]
-	for sequence := range p.sent {
+	sent, known := p.pendingPolls[f.GetSequence()]
+	for sequence := range p.pendingPolls {
 		if sequence <= f.GetSequence() {
-			delete(p.sent, sequence)
+			delete(p.pendingPolls, sequence)
 		}
 	}
-	isLast := len(p.sent) == 0
+	isLast := len(p.pendingPolls) == 0
 	if known && f.GetConfirmed() {
-		p.confirmed = sent.at
+		p.confirmedAt = sent.at
 	}
 	p.mu.Unlock()
 	if !known {
@@ -262,31 +264,31 @@
 	s := p.session
 	s.setLeader(f.GetLeader())
 	s.mu.Lock()
-	s.freshness.RecordAnswer(p.number, sent.at, time.Now())
+	s.freshness.RecordAnswer(p.index, sent.at, time.Now())
 	s.mu.Unlock()
 	if f.GetConfirmed() {
 		s.AddControls(f.GetControls())
-		s.noteZones(f.GetControls(), f.GetZones())
-		s.confirm(awaited{p, f, sent})
-		s.followBest(time.Now())
+		s.updateZones(f.GetControls(), f.GetZones())
+		s.handleConfirmation(pendingConfirmation{p, f, sent})
+		s.selectSource(time.Now())
 	}
 	if isLast && !s.isConfirmed() {
-		// A process that starts serves nobody yet: it asks again soon, since an election may just be over.
+		// A starting process does not serve yet: it polls again soon, since an election may have just ended.
 		p.pollSoon()
 	}
-	s.registration.wake()
+	s.registration.notify()
 	return nil
 }
 
-// tellConfirmed passes on what only counts in an answer that a quorum confirmed.
-func (p *peer) tellConfirmed(f *wire.Fresh, sent pollTime) {
+// notifyConfirmed delivers the parts of an answer that are valid only if a quorum confirmed it.
+func (p *peer) notifyConfirmed(f *wire.Fresh, sent pollTime) {
 	cfg := p.session.cfg
-	if cfg.OnConfirmed != nil && p.session.listed() == cfg.Incarnation {
+	if cfg.OnConfirmed != nil && p.session.listedIncarnation() == cfg.Incarnation {
 		cfg.OnConfirmed(sent.sinceBoot)
 	}
-	// With few links only the leader hears all entries, so only it can tell of the others.
-	hearsAll := len(p.session.all()) <= linkAllUpTo || f.GetLeader() == p.name()
-	if cfg.OnCaps != nil && len(f.GetCaps()) > 0 && hearsAll {
+	// With few links only the leader receives the usage of all entries, so only its cap states are complete.
+	coversAllEntries := len(p.session.knownPeers()) <= linkAllMaxInstances || f.GetLeader() == p.name()
+	if cfg.OnCaps != nil && len(f.GetCaps()) > 0 && coversAllEntries {
 		cfg.OnCaps(f.GetCaps())
 	}
 }
@@ -306,20 +308,20 @@
 
 func (s *Session) applyConfig(u *wire.ConfigUpdate) error {
 	if u.GetVersion() < s.View().ConfigVersion {
-		s.counters.older.Inc()
+		s.counters.staleUpdates.Inc()
 	}
 	err := s.update(func(v *View) (*View, error) { return v.withConfig(u) })
-	s.confirmInForce()
+	s.resolvePendingConfirmations()
 	return s.countGap(err)
 }
 
 func (s *Session) applyDirectory(u *wire.DirectoryUpdate) error {
 	err := s.update(func(v *View) (*View, error) { return v.withDirectory(u) })
-	s.confirmInForce()
+	s.resolvePendingConfirmations()
 	return s.countGap(err)
 }
 
-// countGap ends the link by its error; the next hello says which version is known, and the update begins there.
+// countGap returns the error, which ends the link. The next hello gives the known version, and the next update starts there.
 func (s *Session) countGap(err error) error {
 	if err != nil {
 		s.counters.gaps.Inc()
--- a/session/propose.go
+++ b/session/propose.go
@@ -10,54 +10,54 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// retryPause is the wait after all control instances refused a proposal, such as during an election.
-const retryPause = 50 * time.Millisecond
+// retryDelay is the wait after no control instance accepted a proposal, such as during an election.
+const retryDelay = 50 * time.Millisecond
 
-// Propose has a command committed and returns its result, which may be a refusal by the state (its Code isn't 0). It
-// tries the leader first, and others until ctx ends. Errors have code
+// Propose has a command committed and returns its result, which may be a refusal by the state machine (Code is not 0). It
+// tries the leader first, then the other instances, until ctx ends. Errors have one of these codes:
 //
-//   - result.ProposalUnknown: the command may have been committed, or may yet be;
-//   - result.ControlUnavailable: it wasn't and won't be;
-//   - others, by which the leader refused it without proposing it.
+//   - result.ProposalUnknown: the command may have been committed, or may be committed later;
+//   - result.ControlUnavailable: the command was not and will not be committed;
+//   - any other: the leader refused the command without proposing it.
 //
-// A command is sent a second time after its outcome got lost only if a second commit changes nothing more.
+// A command whose outcome is unknown is sent again only if it is idempotent.
 func (s *Session) Propose(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
-	s.noteEnd(cmd)
-	lost := false
+	s.recordOwnRemoval(cmd)
+	outcomeLost := false
 	for ctx.Err() == nil {
-		reply := s.tryAll(ctx, cmd, &lost)
+		reply := s.proposeToEach(ctx, cmd, &outcomeLost)
 		switch {
 		case reply != nil && reply.GetCode() == 0:
 			return reply.GetResult(), nil
-		case reply != nil && !lost:
+		case reply != nil && !outcomeLost:
 			s.counters.notProposed.Inc()
 			return nil, result.New(result.Code(reply.GetCode()), "%s", reply.GetMessage())
-		case lost && !isIdempotent(cmd):
-			s.counters.unknown.Inc()
+		case outcomeLost && !isIdempotent(cmd):
+			s.counters.outcomesUnknown.Inc()
 			return nil, result.New(result.ProposalUnknown, "")
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
-	if lost {
-		s.counters.unknown.Inc()
+	if outcomeLost {
+		s.counters.outcomesUnknown.Inc()
 		return nil, result.Wrap(context.Cause(ctx), result.ProposalUnknown, "")
 	}
 	s.counters.notProposed.Inc()
 	return nil, result.Wrap(context.Cause(ctx), result.ControlUnavailable, "")
 }
 
-// tryAll tries each control instance once, the leader first, until one gives a reply that settles the matter. It sets
-// lost when an outcome got lost; a command that isn't idempotent goes nowhere else then.
-func (s *Session) tryAll(ctx context.Context, cmd *wire.Command, lost *bool) *wire.ProposeReply {
-	peers := s.all()
+// proposeToEach tries each control instance once, the leader first, until one gives a definite reply; nil means that none
+// did. It sets lost when an outcome is unknown; a command that is not idempotent is then not sent to another instance.
+func (s *Session) proposeToEach(ctx context.Context, cmd *wire.Command, outcomeLost *bool) *wire.ProposeReply {
+	peers := s.knownPeers()
 	tried := make([]bool, len(peers))
-	for p := s.next(peers, tried); p != nil && ctx.Err() == nil; p = s.next(peers, tried) {
-		tried[p.number] = true
-		reply, sent := p.try(ctx, cmd)
+	for p := s.nextUntried(peers, tried); p != nil && ctx.Err() == nil; p = s.nextUntried(peers, tried) {
+		tried[p.index] = true
+		reply, sent := p.proposeTo(ctx, cmd)
 		switch {
 		case !sent:
 		case reply == nil || result.Code(reply.GetCode()) == result.ProposalUnknown:
-			*lost = true
+			*outcomeLost = true
 			if !isIdempotent(cmd) {
 				return nil
 			}
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// next returns the untried peer that leads as far as known, else any untried one with a link, else nil.
-func (s *Session) next(peers []*peer, tried []bool) *peer {
+// nextUntried returns the known leader if it is untried and connected, else any untried connected peer, else nil.
+func (s *Session) nextUntried(peers []*peer, tried []bool) *peer {
 	leader := s.Leader()
-	untried := slices.DeleteFunc(slices.Clone(peers), func(p *peer) bool { return tried[p.number] || !p.isUp() })
+	untried := slices.DeleteFunc(slices.Clone(peers), func(p *peer) bool { return tried[p.index] || !p.isConnected() })
 	if len(untried) == 0 {
 		return nil
 	}
@@ -85,7 +85,7 @@
 	return untried[0]
 }
 
-func (p *peer) isUp() bool {
+func (p *peer) isConnected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ring != nil
@@ -97,15 +97,15 @@
 	return p.instance
 }
 
-// try proposes at one control instance. The reply is nil if its outcome got lost, and sent is false if the proposal
-// never left.
-func (p *peer) try(ctx context.Context, cmd *wire.Command) (reply *wire.ProposeReply, sent bool) {
+// proposeTo proposes at one control instance. The reply is nil if the outcome is unknown, and sent is false if the proposal
+// was not sent.
+func (p *peer) proposeTo(ctx context.Context, cmd *wire.Command) (reply *wire.ProposeReply, sent bool) {
 	id := p.session.ids.Add(1)
-	replies, ok := p.expect(id)
+	replies, ok := p.registerReply(id)
 	if !ok {
 		return nil, false
 	}
-	defer p.forget(id)
+	defer p.unregisterReply(id)
 	if !p.send(&wire.ClientMessage{Kind: &wire.ClientMessage_Propose{Propose: &wire.Propose{Id: id, Command: cmd}}}) {
 		return nil, false
 	}
@@ -120,37 +120,37 @@
 	return nil, true
 }
 
-// expect registers the wait for a reply. Its channel is closed if the link ends before.
-func (p *peer) expect(id uint64) (<-chan *wire.ProposeReply, bool) {
+// registerReply registers a wait for a reply. The channel is closed if the link ends first. It reports false without a link.
+func (p *peer) registerReply(id uint64) (<-chan *wire.ProposeReply, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.waiting == nil {
+	if p.pendingReplies == nil {
 		return nil, false
 	}
 	replies := make(chan *wire.ProposeReply, 1)
-	p.waiting[id] = replies
+	p.pendingReplies[id] = replies
 	return replies, true
 }
 
-func (p *peer) forget(id uint64) {
+func (p *peer) unregisterReply(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, id)
+	delete(p.pendingReplies, id)
 }
 
-// reply passes a reply to who waits for it; a second one for the same proposal is dropped.
-func (p *peer) reply(r *wire.ProposeReply) {
+// handleReply delivers a reply to the proposal that waits for it. A second reply to the same proposal is dropped.
+func (p *peer) handleReply(r *wire.ProposeReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if waiting, ok := p.waiting[r.GetId()]; ok {
-		delete(p.waiting, r.GetId())
+	if waiting, ok := p.pendingReplies[r.GetId()]; ok {
+		delete(p.pendingReplies, r.GetId())
 		waiting <- r
 	}
 }
 
-// isIdempotent tells whether a second commit of the command changes nothing more than the first, so that it may be
-// sent again after its outcome got lost. Each kind is so by construction: by incarnation, by request and epoch, by
-// sequence, by version, or by change or crash id. An order isn't: a second one would be another order.
+// isIdempotent reports whether a second commit of the command has no further effect, so that the command may be sent again
+// after its outcome was lost. Each of these kinds is idempotent by incarnation, by request and epoch, by sequence, by
+// version, or by change or crash id. An order is not: a second commit would create another order.
 func isIdempotent(cmd *wire.Command) bool {
 	switch kind := cmd.GetKind().(type) {
 	case *wire.Command_RegisterAgent, *wire.Command_RemoveAgent, *wire.Command_RegisterEntry, *wire.Command_EndEntry:
--- a/session/registration.go
+++ b/session/registration.go
@@ -12,50 +12,50 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// registrationTry bounds one proposal of the registration.
-const registrationTry = 5 * time.Second
+// registrationTimeout bounds one attempt to propose the registration.
+const registrationTimeout = 5 * time.Second
 
-// registration keeps this instance in the directory.
+// registration keeps this instance listed in the directory.
 type registration struct {
-	done   atomic.Bool // registered at least once
-	ended  atomic.Bool // this process proposed its own end
-	signal chan struct{}
+	isRegistered atomic.Bool // registered at least once
+	isRemoved    atomic.Bool // this process has proposed its own removal
+	signal       chan struct{}
 
-	mu       sync.Mutex
-	servers  []*wire.ServerRecord
-	wanted   uint64 // rises with each change of servers
-	accepted uint64 // value of wanted when the last accepted registration was made
-	at       time.Time
+	mu              sync.Mutex
+	servers         []*wire.ServerRecord
+	version         uint64 // incremented by each change of servers
+	acceptedVersion uint64 // version of the last registration that was accepted
+	acceptedAt      time.Time
 }
 
 func newRegistration(cfg Config) *registration {
-	r := &registration{signal: make(chan struct{}, 1), wanted: 1}
+	r := &registration{signal: make(chan struct{}, 1), version: 1}
 	if cfg.Role == wire.Role_ROLE_AGENT {
 		r.servers = []*wire.ServerRecord{}
 	}
 	return r
 }
 
-// wake lets register look again.
-func (r *registration) wake() {
+// notify makes register check at once whether a registration is needed.
+func (r *registration) notify() {
 	select {
 	case r.signal <- struct{}{}:
 	default:
 	}
 }
 
-// SetServers says which backend servers this agent has. The session registers them, again after each change, and when
-// the directory has lost them. The records must not be changed afterwards.
+// SetServers sets the backend servers of this agent. The session registers them, and registers again after each change
+// and when the directory does not list them. The records must not be changed afterwards.
 func (s *Session) SetServers(servers []*wire.ServerRecord) {
 	r := s.registration
 	r.mu.Lock()
 	r.servers = slices.Clone(servers)
-	r.wanted++
+	r.version++
 	r.mu.Unlock()
-	r.wake()
+	r.notify()
 }
 
-// register is the duty that proposes the registration.
+// register proposes the registration whenever it is needed, until ctx ends.
 func (s *Session) register(ctx context.Context) {
 	if s.cfg.RegisterAfter != nil {
 		select {
@@ -79,10 +79,10 @@
 	}
 }
 
-// needsRegistration compares what was accepted with what is wanted, and with a directory confirmed after that. An
-// instance that was silent too long is removed by the leader, and comes back by this.
+// needsRegistration reports whether the accepted registration is out of date, or missing from a directory that was
+// confirmed after it. The leader removes an instance that is silent for too long; this is how the instance returns.
 func (s *Session) needsRegistration() bool {
-	if s.registration.ended.Load() {
+	if s.registration.isRemoved.Load() {
 		return false
 	}
 	s.mu.Lock()
@@ -91,22 +91,22 @@
 	r := s.registration
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.accepted != r.wanted {
+	if r.acceptedVersion != r.version {
 		return true
 	}
-	return isConfirmed && confirmed.After(r.at) && s.listed() != s.cfg.Incarnation
+	return isConfirmed && confirmed.After(r.acceptedAt) && s.listedIncarnation() != s.cfg.Incarnation
 }
 
-// noteEnd ends the registration when this process proposes its own end, at its stop. Otherwise the session would see
-// itself missing and come back, and the directory would hold a process that is gone.
-func (s *Session) noteEnd(cmd *wire.Command) {
+// recordOwnRemoval stops the registration when this process proposes its own removal while stopping. Otherwise the session
+// would find itself missing and register again, and the directory would list a process that has stopped.
+func (s *Session) recordOwnRemoval(cmd *wire.Command) {
 	if cmd.GetEndEntry() != nil || cmd.GetRemoveAgent() != nil {
-		s.registration.ended.Store(true)
+		s.registration.isRemoved.Store(true)
 	}
 }
 
-// listed returns the incarnation of this instance in the directory, 0 if it isn't there.
-func (s *Session) listed() uint64 {
+// listedIncarnation returns the incarnation of this instance in the directory, or 0 if it is not listed.
+func (s *Session) listedIncarnation() uint64 {
 	if s.cfg.Role == wire.Role_ROLE_AGENT {
 		return s.View().Agents[s.cfg.Instance].GetIncarnation()
 	}
@@ -114,7 +114,7 @@
 }
 
 func (s *Session) registerOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, registrationTry)
+	ctx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
 	cmd, version := s.registrationCommand()
 	res, err := s.Propose(ctx, cmd)
@@ -127,15 +127,15 @@
 			s.supersede(ErrSuperseded)
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 		return
 	}
 	r := s.registration
 	r.mu.Lock()
-	r.accepted = version
-	r.at = time.Now()
+	r.acceptedVersion = version
+	r.acceptedAt = time.Now()
 	r.mu.Unlock()
-	r.done.Store(true)
+	r.isRegistered.Store(true)
 }
 
 func (s *Session) registrationCommand() (*wire.Command, uint64) {
@@ -148,7 +148,7 @@
 			Incarnation:      s.cfg.Incarnation,
 			AvailabilityZone: s.cfg.Zone,
 		}
-		return &wire.Command{Kind: &wire.Command_RegisterEntry{RegisterEntry: &wire.RegisterEntry{Entry: entry}}}, r.wanted
+		return &wire.Command{Kind: &wire.Command_RegisterEntry{RegisterEntry: &wire.RegisterEntry{Entry: entry}}}, r.version
 	}
 	agent := &wire.AgentRecord{
 		Agent:            s.cfg.Instance,
@@ -157,5 +157,5 @@
 		LinkAddress:      s.cfg.LinkAddress,
 		Servers:          r.servers,
 	}
-	return &wire.Command{Kind: &wire.Command_RegisterAgent{RegisterAgent: &wire.RegisterAgent{Agent: agent}}}, r.wanted
+	return &wire.Command{Kind: &wire.Command_RegisterAgent{RegisterAgent: &wire.RegisterAgent{Agent: agent}}}, r.version
 }
--- a/session/reporter.go
+++ b/session/reporter.go
@@ -8,23 +8,23 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of reports.
+// Limits of reports.
 const (
-	// reportInterval is the least time between two reports on one link.
+	// reportInterval is the minimum time between two reports on one link.
 	reportInterval = 2 * time.Second
-	// reportBudget is how many bytes a second the reports on all links may take together.
+	// reportBudget is the maximum rate of reports on all links together, in bytes per second.
 	reportBudget = 400
 )
 
-// reporter says which polls of one link carry a report. A large report goes less often: with many classes and targets
-// it would otherwise take the network that control may use, unnoticed but for the bytes sent.
+// reporter decides which polls of one link carry a report. A larger report is sent less often: with many classes and
+// targets, reports would otherwise exceed the network budget of control, visible only in the number of bytes sent.
 type reporter struct {
 	source func() *wire.EntryReport
 	links  int
 	due    time.Time
 }
 
-// next returns the report that goes with the poll sent now, nil for none.
+// next returns the report to send with a poll at now, or nil for none.
 func (r *reporter) next(now time.Time) *wire.EntryReport {
 	if r.source == nil || now.Before(r.due) {
 		return nil
--- a/session/reporter_test.go
+++ b/session/reporter_test.go
@@ -11,14 +11,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestReporterWithoutASource(t *testing.T) {
+func TestReporterWithoutSource(t *testing.T) {
 	r := reporter{links: 3}
-	require.Nil(t, r.next(at(0)))
+	require.Nil(t, r.next(atSecond(0)))
 }
 
-// Symptom: control takes more of the network than it may. Sequence: operators create many classes, and each poll of
-// each link carries all of them. Cause: an interval that doesn't look at the report's size.
-func TestReportsKeepToTheBudget(t *testing.T) {
+// Guards against reports that exceed the network budget of control when operators create many classes and each poll of each
+// link carries all of them. The interval must depend on the size of the report.
+func TestReportsStayWithinBudget(t *testing.T) {
 	for _, classes := range []int{1, 5, 200} {
 		report := &wire.EntryReport{}
 		for range classes {
@@ -28,7 +28,7 @@
 		r := reporter{source: func() *wire.EntryReport { return report }, links: links}
 		sent := 0
 		for second := range seconds {
-			sent += proto.Size(r.next(at(float64(second)))) * links
+			sent += proto.Size(r.next(atSecond(float64(second)))) * links
 		}
 		first := proto.Size(report) * links
 		require.NotZero(t, sent)
@@ -36,11 +36,11 @@
 	}
 }
 
-func TestReportGoesWithTheFirstPollAndThenByInterval(t *testing.T) {
+func TestReportSentWithFirstPollThenByInterval(t *testing.T) {
 	report := &wire.EntryReport{Classes: []*wire.ClassReport{{Name: "a"}}}
 	r := reporter{source: func() *wire.EntryReport { return report }, links: 1}
-	require.NotNil(t, r.next(at(0)))
-	require.Nil(t, r.next(at(1)))
-	require.NotNil(t, r.next(at(0).Add(reportInterval)))
-	require.Nil(t, r.next(at(0).Add(reportInterval+time.Second)))
+	require.NotNil(t, r.next(atSecond(0)))
+	require.Nil(t, r.next(atSecond(1)))
+	require.NotNil(t, r.next(atSecond(0).Add(reportInterval)))
+	require.Nil(t, r.next(atSecond(0).Add(reportInterval+time.Second)))
 }
--- a/session/session.go
+++ b/session/session.go
@@ -25,54 +25,58 @@
 	DefaultPollInterval   = time.Second
 	DefaultSilenceBound   = 3 * time.Second
 	DefaultProposeTimeout = 2 * time.Second
-	// startPoll is how soon a process asks again that no quorum has confirmed the state to yet.
-	startPoll = 50 * time.Millisecond
+	// startupPollDelay is the delay before another poll while no quorum has confirmed the state yet.
+	startupPollDelay = 50 * time.Millisecond
 )
 
-// Capacities of the rings.
+// Capacities of the outgoing ring and the channel of orders.
 const (
-	outgoingRing = 1024
-	orderRing    = 64
+	outgoingBufferSize = 1024
+	orderBufferSize    = 64
 )
 
 // Config configures a Session. Instance, Role, Incarnation, Controls and Network are required.
 type Config struct {
-	// Instance is this process's name.
+	// Instance is the name of this process.
 	Instance string
 	// Role is ROLE_ENTRY or ROLE_AGENT.
 	Role wire.Role
-	// Incarnation rises with each start of the process, such as nanoseconds since 1970 at the start. It isn't 0.
+	// Incarnation increases with each start of the process, such as the start time in Unix nanoseconds. It is not 0.
 	Incarnation uint64
-	// Zone is the availability zone.
+	// Zone is the availability zone of this process.
 	Zone string
-	// LinkAddress is where entries dial this agent; empty for an entry.
+	// LinkAddress is the address on which entries dial this agent; empty for an entry.
 	LinkAddress string
-	// ServerAddress is that of the backend server beside this agent, as it announces itself to control. Of all announcements the
-	// agent then gets those of this server. Empty for all.
+	// ServerAddress is the address of the backend server beside this agent, as the server announces it to control. The
+	// agent then receives only the announcements of this server. Empty means all announcements.
 	ServerAddress string
-	// Controls are the link addresses of all control instances.
+	// Controls holds the link addresses of all control instances.
 	Controls []string
 	// Network opens the connections.
 	Network network.Network
-	// TLS is the configuration of the connections, nil for none.
+	// TLS configures the connections; nil means plain TCP.
 	TLS *tls.Config
-	// PollInterval is how often each control instance is polled.
+	// PollInterval is the interval between polls of each control instance. Zero means DefaultPollInterval.
 	PollInterval time.Duration
-	// SilenceBound is how long a majority may be silent before the process counts as cut off.
+	// SilenceBound is how long a majority may be silent before the process counts as cut off. Zero means
+	// DefaultSilenceBound.
 	SilenceBound time.Duration
-	// ProposeTimeout is how long a proposal waits at one control instance before it goes to another.
+	// ProposeTimeout is how long a proposal waits for one control instance before it is sent to another. Zero means
+	// DefaultProposeTimeout.
 	ProposeTimeout time.Duration
-	// Report gives what goes to control with some of the polls, see reporter. It must not block. Nil for none.
+	// Report returns the report to send to control with some of the polls, see reporter. It must not block. Nil means
+	// no reports.
 	Report func() *wire.EntryReport
-	// Usage gives what goes to control with each poll, and Caps takes the answer. They must not block. Nil for none.
+	// Usage returns the usage to send with each poll, and OnCaps is called with the cap states of an answer. Neither may
+	// block. Either may be nil.
 	Usage  func() []*wire.Usage
 	OnCaps func(states []*wire.CapState)
-	// OnConfirmed hears of each answer that a quorum confirmed while the directory has this incarnation, by the time since boot
-	// at which it was asked for. It must not block. Nil for none.
-	OnConfirmed func(asked time.Duration)
-	// UsageWindow is the time over which Usage counts.
+	// OnConfirmed is called for each answer that a quorum confirmed while the directory lists this incarnation, with the
+	// time since boot at which the poll was sent. It must not block. Nil means no calls.
+	OnConfirmed func(sinceBoot time.Duration)
+	// UsageWindow is the period that Usage covers.
 	UsageWindow time.Duration
-	// RegisterAfter, if not nil, holds the registration back until it is closed.
+	// RegisterAfter, if not nil, delays the registration until it is closed.
 	RegisterAfter <-chan struct{}
 	// Log and Metrics may be nil.
 	Log     log.Interface
@@ -98,21 +102,22 @@
 	}
 }
 
-// Session keeps the links to control instances: to all of a few, and to the leader and some others of many. Its methods may be called from any goroutine, before Run too.
+// Session keeps the links to control instances: to all of a few, or to the leader and some others of many. Its methods
+// may be called by several goroutines at the same time, and before Run.
 type Session struct {
 	cfg  Config
 	view atomic.Pointer[View]
-	// peers only grows. A stored slice isn't changed; adding holds addMu.
-	peers atomic.Pointer[[]*peer]
-	addMu sync.Mutex
-	start func(*peer) // set while Run runs
-	ids   atomic.Uint64
-
-	mu        sync.Mutex
-	freshness *Freshness
-	leader    string
-	wanted    uint64 // highest configuration version seen on any message
-	awaited   map[*peer]awaited
+	// peers only grows. A stored slice is never changed; adding to it requires addMu.
+	peers     atomic.Pointer[[]*peer]
+	addMu     sync.Mutex
+	startPeer func(*peer) // nil unless Run is active
+	ids       atomic.Uint64
+
+	mu                   sync.Mutex
+	freshness            *Freshness
+	leader               string
+	highestSeenVersion   uint64 // highest configuration version seen on any message
+	pendingConfirmations map[*peer]pendingConfirmation
 
 	notifyMu    sync.Mutex
 	subscribers []func(*View)
@@ -120,18 +125,18 @@
 	registration *registration
 	orders       *orders
 	counters     counters
-	reselect     chan struct{}           // holds one note
+	reselect     chan struct{}           // capacity 1
 	supersede    context.CancelCauseFunc // set by Run
 }
 
-// New returns a session that Run starts.
+// New returns a session. Run starts it.
 func New(cfg Config) *Session {
 	cfg = cfg.withDefaults()
 	s := &Session{
-		cfg:       cfg,
-		freshness: NewFreshness(len(cfg.Controls), cfg.SilenceBound, time.Now()),
-		reselect:  make(chan struct{}, 1),
-		awaited:   make(map[*peer]awaited),
+		cfg:                  cfg,
+		freshness:            NewFreshness(len(cfg.Controls), cfg.SilenceBound, time.Now()),
+		reselect:             make(chan struct{}, 1),
+		pendingConfirmations: make(map[*peer]pendingConfirmation),
 	}
 	s.view.Store(newView())
 	peers := make([]*peer, 0, len(cfg.Controls))
@@ -145,18 +150,18 @@
 	return s
 }
 
-// ErrSuperseded ends a session whose incarnation control doesn't take back: it was ended, after a silence, or a newer
-// one of the same instance is registered. Only a new incarnation can go on.
+// ErrSuperseded ends a session whose incarnation control does not accept again: the incarnation was ended after a silence,
+// or a newer one of the same instance is registered. Only a new incarnation can continue.
 var ErrSuperseded = errors.New("session: this incarnation was ended or replaced")
 
-// Run keeps the links and the registration until ctx ends, and returns the cause, or ErrSuperseded.
+// Run maintains the links and the registration until ctx ends, and returns the cause, or ErrSuperseded.
 func (s *Session) Run(ctx context.Context) error {
 	ctx, s.supersede = context.WithCancelCause(ctx)
 	defer s.supersede(nil)
-	s.restart()
+	s.resetFreshness()
 	var wg sync.WaitGroup
 	s.startPeers(func(p *peer) { wg.Go(func() { p.run(ctx) }) })
-	wg.Go(func() { s.runSelection(ctx) })
+	wg.Go(func() { s.runLinkSelection(ctx) })
 	wg.Go(func() { s.register(ctx) })
 	<-ctx.Done()
 	s.startPeers(nil)
@@ -164,54 +169,54 @@
 	return context.Cause(ctx)
 }
 
-// startPeers begins all links, and those that are added later, with start; nil begins no more.
+// startPeers calls start for all peers, and for each peer that is added later. Nil starts no further peers.
 func (s *Session) startPeers(start func(*peer)) {
 	s.addMu.Lock()
 	defer s.addMu.Unlock()
-	s.start = start
+	s.startPeer = start
 	if start == nil {
 		return
 	}
-	for _, p := range s.all() {
+	for _, p := range s.knownPeers() {
 		start(p)
 	}
 }
 
-// all returns the control instances that are known.
-func (s *Session) all() []*peer { return *s.peers.Load() }
+// knownPeers returns the known control instances.
+func (s *Session) knownPeers() []*peer { return *s.peers.Load() }
 
-// maxControls bounds the control instances that a session keeps links to. A group has a handful of members at a time;
-// the rest are those that were replaced while this process ran.
+// maxControls bounds the number of control instances that a session knows. A group has a handful of members at a time; the
+// rest are members that were replaced while this process ran.
 const maxControls = 32
 
-// AddControls opens links to further control instances by their link addresses. Those that are known already, and what
-// goes beyond the bound, change nothing.
+// AddControls adds control instances by their link addresses, so that links to them may be opened. Known addresses and
+// those beyond maxControls are ignored.
 //
-// Instances are replaced at other addresses while a process runs, and its settings may be older than it. One that only
-// knew its first three would lose control with the third that is replaced.
+// Instances are replaced at other addresses while a process runs, so its settings may be out of date. A process that knew
+// only its first three instances would lose control once the third of them is replaced.
 func (s *Session) AddControls(addresses []string) {
 	s.addMu.Lock()
 	defer s.addMu.Unlock()
 	for _, address := range addresses {
-		known := s.all()
+		known := s.knownPeers()
 		if len(known) >= maxControls || slices.ContainsFunc(known, func(p *peer) bool { return p.address == address }) {
 			continue
 		}
-		s.add(known, address)
+		s.addPeer(known, address)
 	}
 }
 
-// Addresses returns the link addresses of the control instances that are known.
+// Addresses returns the link addresses of the known control instances.
 func (s *Session) Addresses() []string {
 	var addresses []string
-	for _, p := range s.all() {
+	for _, p := range s.knownPeers() {
 		addresses = append(addresses, p.address)
 	}
 	return addresses
 }
 
-// add is called with addMu held.
-func (s *Session) add(known []*peer, address string) {
+// addPeer adds a control instance. The caller holds addMu.
+func (s *Session) addPeer(known []*peer, address string) {
 	added := newPeer(s, len(known), address)
 	s.mu.Lock()
 	s.freshness.Add(time.Now())
@@ -219,16 +224,16 @@
 	s.peers.Store(&peers)
 	s.mu.Unlock()
 	s.cfg.Log.WithField("address", address).WithField("controls", len(peers)).Info("control_added")
-	if s.start != nil {
-		s.start(added)
+	if s.startPeer != nil {
+		s.startPeer(added)
 	}
 }
 
-// restart counts freshness from the start of Run.
-func (s *Session) restart() {
+// resetFreshness restarts the silence bound at the start of Run.
+func (s *Session) resetFreshness() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.freshness = NewFreshness(len(s.all()), s.cfg.SilenceBound, time.Now())
+	s.freshness = NewFreshness(len(s.knownPeers()), s.cfg.SilenceBound, time.Now())
 }
 
 // View returns the newest configuration and directory.
@@ -236,18 +241,18 @@
 	return s.view.Load()
 }
 
-// Config returns the version of the configuration, and its classes sorted by name.
+// Config returns the version of the configuration and its classes sorted by name.
 func (s *Session) Config() (uint64, []*wire.Class) {
 	v := s.View()
-	return v.ConfigVersion, sorted(v.Classes)
+	return v.ConfigVersion, sortedValues(v.Classes)
 }
 
 // Servers returns the agents with their backend servers, sorted by agent.
 func (s *Session) Servers() []*wire.AgentRecord {
-	return sorted(s.View().Agents)
+	return sortedValues(s.View().Agents)
 }
 
-func sorted[V any](m map[string]V) []V {
+func sortedValues[V any](m map[string]V) []V {
 	list := make([]V, 0, len(m))
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		list = append(list, m[name])
@@ -255,8 +260,8 @@
 	return list
 }
 
-// Subscribe calls fn with each new view, in order and one at a time, and first with the present one. It must not block,
-// and must not call Subscribe.
+// Subscribe calls fn with the current view, and then with each new view, in order and one call at a time. fn must not
+// block and must not call Subscribe.
 func (s *Session) Subscribe(fn func(*View)) {
 	s.notifyMu.Lock()
 	defer s.notifyMu.Unlock()
@@ -264,7 +269,7 @@
 	fn(s.View())
 }
 
-// update changes the view and tells the subscribers.
+// update changes the view and notifies the subscribers.
 func (s *Session) update(change func(*View) (*View, error)) error {
 	s.notifyMu.Lock()
 	defer s.notifyMu.Unlock()
@@ -280,12 +285,12 @@
 	return nil
 }
 
-// Ready returns nil when the process may take work: the state was confirmed by a quorum and is in force here, this
-// incarnation was registered, and the process isn't cut off. Errors have code result.Starting or
+// Ready returns nil when the process may take work: a quorum has confirmed the state that is in force here, this
+// incarnation was registered, and the process is not cut off. Errors have code result.Starting or
 // result.CutOffFromControl.
 //
-// A process that starts with nothing, or with what a control instance in a minority tells it, would serve by classes
-// that were replaced long ago.
+// A process that starts without state, or with the state of a control instance in a minority, would otherwise serve by
+// classes that have long been replaced.
 func (s *Session) Ready() error {
 	s.mu.Lock()
 	confirmed := s.freshness.IsConfirmed()
@@ -293,13 +298,13 @@
 	if !confirmed {
 		return result.New(result.Starting, "no quorum of control has confirmed the configuration yet")
 	}
-	if !s.registration.done.Load() {
+	if !s.registration.isRegistered.Load() {
 		return result.New(result.Starting, "this instance isn't registered yet")
 	}
 	return s.CutOff()
 }
 
-// CutOff returns nil, or an error with code result.CutOffFromControl while the process may be cut off, see Freshness.
+// CutOff returns nil, or an error with code result.CutOffFromControl if the process may be cut off, see Freshness.
 func (s *Session) CutOff() error {
 	now := time.Now()
 	s.mu.Lock()
@@ -308,31 +313,31 @@
 		return nil
 	}
 	return result.New(result.CutOffFromControl, "%d of %d control instances are silent, and none was confirmed by a quorum",
-		s.freshness.SilentInstances(now), len(s.all()))
+		s.freshness.SilentInstances(now), len(s.knownPeers()))
 }
 
-// Reachability returns how each control instance is reached, in the order of Config.Controls.
+// Reachability returns how each control instance responds, in the order of Config.Controls, then of AddControls.
 func (s *Session) Reachability() []Reachability {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Reachability, len(s.all()))
+	out := make([]Reachability, len(s.knownPeers()))
 	for i := range out {
 		out[i] = s.freshness.Reachability(i, now)
 	}
 	return out
 }
 
-// ObserveVersion notes a configuration version that came on a message of another process, and returns true if what
-// is in force here is at least as new. On false the session fetches; the caller must not act on the message before a
-// view of that version came (see Subscribe), or it would mix two configurations.
+// ObserveVersion records a configuration version carried by a message of another process, and reports whether the
+// configuration in force here is at least as new. On false the session polls for it; the caller must not act on the message
+// until a view of that version arrives (see Subscribe), or it would mix two configurations.
 func (s *Session) ObserveVersion(version uint64) bool {
 	if version <= s.View().ConfigVersion {
 		return true
 	}
 	s.mu.Lock()
-	isNew := version > s.wanted
-	s.wanted = max(s.wanted, version)
+	isNew := version > s.highestSeenVersion
+	s.highestSeenVersion = max(s.highestSeenVersion, version)
 	s.mu.Unlock()
 	if isNew {
 		s.counters.fetches.Inc()
@@ -341,14 +346,14 @@
 	return false
 }
 
-// Refresh polls all control instances without waiting for the next interval.
+// Refresh polls all linked control instances without waiting for the next interval.
 func (s *Session) Refresh() {
-	for _, p := range s.all() {
+	for _, p := range s.knownPeers() {
 		p.poll()
 	}
 }
 
-// Leader returns the instance that leads as far as known, or "".
+// Leader returns the name of the leader as far as known, or "".
 func (s *Session) Leader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -364,22 +369,23 @@
 	s.leader = instance
 	s.mu.Unlock()
 	if isNew {
-		s.choiceChanged()
+		s.triggerReselect()
 	}
 }
 
-// links is to how many control instances a link is wanted.
-func (s *Session) links() int {
+// wantedLinks returns the number of control instances to which a link is wanted.
+func (s *Session) wantedLinks() int {
 	n := 0
-	for _, p := range s.all() {
-		if p.wished().wanted {
+	for _, p := range s.knownPeers() {
+		if p.currentDemand().wanted {
 			n++
 		}
 	}
 	return n
 }
 
-// timing is that of the links: a silent one is dialled anew at the bound.
-func (s *Session) timing() link.Timing {
+// linkTiming returns the timing of the links, which bounds the backoff between dials. A link that is silent for the
+// silence bound ends and is dialled again.
+func (s *Session) linkTiming() link.Timing {
 	return link.Timing{}.WithDefaults()
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -13,83 +13,81 @@
 )
 
 const (
-	asEntry = wire.Role_ROLE_ENTRY
-	asAgent = wire.Role_ROLE_AGENT
+	roleEntry = wire.Role_ROLE_ENTRY
+	roleAgent = wire.Role_ROLE_AGENT
 )
 
-// Symptom: a process that has just started serves by classes that were replaced long ago.
-// Sequence: it reaches control instances that can't confirm, or that name a version which hasn't come yet.
-// Cause: taking any answer for a confirmed one.
-func TestNotReadyBeforeAConfirmedRead(t *testing.T) {
+// Guards against a process that, just started, serves by classes that have long been replaced. It happens if an answer
+// counts that no quorum confirmed, or that gives a version which has not arrived yet.
+func TestNotReadyBeforeConfirmedRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 3, asEntry, func(c *fakeControl) { c.confirmed = false })
+		f := newFakeCluster(t, 3, roleEntry, func(c *fakeControl) { c.confirmed = false })
 		time.Sleep(10 * time.Second)
 		require.True(t, result.Is(f.session.Ready(), result.Starting))
 		for _, c := range f.controls {
-			c.set(func(c *fakeControl) { c.confirmed, c.version = true, 8 })
+			c.update(func(c *fakeControl) { c.confirmed, c.version = true, 8 })
 		}
 		time.Sleep(10 * time.Second)
-		require.True(t, result.Is(f.session.Ready(), result.Starting), "version 8 isn't here")
-		f.controls[1].pushConfig(config(8, 0, true, "a"))
-		f.ready()
+		require.True(t, result.Is(f.session.Ready(), result.Starting), "version 8 has not arrived")
+		f.controls[1].pushConfig(configUpdate(8, 0, true, "a"))
+		f.awaitReady()
 		version, classes := f.session.Config()
 		require.Equal(t, uint64(8), version)
 		require.Len(t, classes, 1)
 	})
 }
 
-// Symptom: requests are admitted by an entry that control has long taken for dead.
-// Sequence: two of three control instances are cut off silently; then the third, too; then all come back.
-// Cause: a process that doesn't notice silence, or comes back before it has caught up.
-func TestCutOffAndBack(t *testing.T) {
+// Guards against an entry that admits requests after control has declared it dead, because it ignores silence or recovers
+// before it has the newest version. Two of three control instances are cut off, then the third cannot confirm, then all
+// return.
+func TestCutOffAndRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 3, asEntry)
-		f.ready()
-		f.net.Cut(clientHost, f.controls[0].host)
-		f.net.Cut(clientHost, f.controls[1].host)
+		f := newFakeCluster(t, 3, roleEntry)
+		f.awaitReady()
+		f.network.Cut(clientHost, f.controls[0].host)
+		f.network.Cut(clientHost, f.controls[1].host)
 		time.Sleep(time.Minute)
-		require.NoError(t, f.session.CutOff(), "the third confirms")
-		f.controls[2].set(func(c *fakeControl) { c.confirmed = false })
+		require.NoError(t, f.session.CutOff(), "the third instance confirms")
+		f.controls[2].update(func(c *fakeControl) { c.confirmed = false })
 		time.Sleep(DefaultSilenceBound + 2*DefaultPollInterval)
 		require.True(t, result.Is(f.session.CutOff(), result.CutOffFromControl))
 		require.True(t, result.Is(f.session.Ready(), result.CutOffFromControl))
 		for _, c := range f.controls {
-			c.set(func(c *fakeControl) { c.version = 9 })
-			f.net.Heal(clientHost, c.host)
+			c.update(func(c *fakeControl) { c.version = 9 })
+			f.network.Heal(clientHost, c.host)
 		}
 		time.Sleep(time.Minute)
-		require.Error(t, f.session.CutOff(), "version 9 isn't here")
-		f.controls[0].pushConfig(config(9, 0, true, "a"))
-		f.eventually("back", func() bool { return f.session.CutOff() == nil })
+		require.Error(t, f.session.CutOff(), "version 9 has not arrived")
+		f.controls[0].pushConfig(configUpdate(9, 0, true, "a"))
+		f.eventually("recovered from the cut-off", func() bool { return f.session.CutOff() == nil })
 	})
 }
 
-// Symptom: an entry admits for longer than the bound after it was cut off.
-// Sequence: answers take long to come back; then the link is cut.
-// Cause: silence that is counted from when the last answer came, not from when its poll was sent.
-func TestSlowAnswersCountFromTheirPoll(t *testing.T) {
+// Guards against an entry that admits requests for longer than the silence bound after a partition. With slow answers,
+// silence must be counted from when the last answered poll was sent, not from when the answer arrived.
+func TestSilenceCountsFromPollSendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 3, asEntry)
+		f := newFakeCluster(t, 3, roleEntry)
 		const slow = 1500 * time.Millisecond
 		for _, c := range f.controls {
-			f.net.Delay(c.host, clientHost, slow)
+			f.network.Delay(c.host, clientHost, slow)
 		}
-		f.ready()
+		f.awaitReady()
 		time.Sleep(20 * time.Second)
 		require.NoError(t, f.session.CutOff())
 		for _, c := range f.controls {
-			f.net.Cut(clientHost, c.host)
+			f.network.Cut(clientHost, c.host)
 		}
 		time.Sleep(DefaultSilenceBound - slow + 100*time.Millisecond)
 		require.Error(t, f.session.CutOff())
 	})
 }
 
-// A dead control as a whole changes nothing, so work goes on.
-func TestAllControlsDead(t *testing.T) {
+// When control as a whole is down nothing can change, so the process must not count as cut off.
+func TestNotCutOffWhenAllControlsRefuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 3, asEntry)
-		f.ready()
+		f := newFakeCluster(t, 3, roleEntry)
+		f.awaitReady()
 		for _, c := range f.controls {
 			c.stop()
 		}
@@ -102,37 +100,35 @@
 	})
 }
 
-// Symptom: an entry and an agent act on one request by different configurations.
-// Sequence: the agent has a newer version and stamps it on a message, before control's update reaches the entry.
-// Cause: acting on the message before fetching.
+// Guards against an entry and an agent that handle one request by different configurations. The agent stamps a newer
+// version on a message before the update reaches the entry, which must fetch that version first.
 func TestObserveVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 1, asEntry)
-		f.ready()
+		f := newFakeCluster(t, 1, roleEntry)
+		f.awaitReady()
 		var seen []uint64
 		f.session.Subscribe(func(v *View) { seen = append(seen, v.ConfigVersion) })
 		require.True(t, f.session.ObserveVersion(0))
 		polls := f.session.ids.Load()
 		require.False(t, f.session.ObserveVersion(5))
-		require.Greater(t, f.session.ids.Load(), polls, "it asks at once")
-		f.controls[0].pushConfig(config(4, 0, true, "a"))
-		f.controls[0].pushConfig(config(6, 4, false, "b"))
+		require.Greater(t, f.session.ids.Load(), polls, "must poll at once")
+		f.controls[0].pushConfig(configUpdate(4, 0, true, "a"))
+		f.controls[0].pushConfig(configUpdate(6, 4, false, "b"))
 		f.eventually("fetched", func() bool { return f.session.ObserveVersion(5) })
 		synctest.Wait()
 		require.Equal(t, []uint64{0, 4, 6}, seen)
 	})
 }
 
-// Symptom: an update is lost and never made up for.
-// Sequence: a delta comes whose base isn't known here.
-// Cause: going on with the link as if nothing was missing.
-func TestGapStartsTheLinkAgain(t *testing.T) {
+// Guards against an update that is lost for good: a delta with an unknown base must end the link, so that the next hello
+// requests what is missing.
+func TestGapRestartsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 1, asEntry)
-		f.controls[0].set(func(c *fakeControl) { c.version = 0 })
-		f.ready()
-		f.controls[0].pushConfig(config(6, 0, true, "a"))
-		f.controls[0].pushConfig(config(9, 8, false, "b"))
+		f := newFakeCluster(t, 1, roleEntry)
+		f.controls[0].update(func(c *fakeControl) { c.version = 0 })
+		f.awaitReady()
+		f.controls[0].pushConfig(configUpdate(6, 0, true, "a"))
+		f.controls[0].pushConfig(configUpdate(9, 8, false, "b"))
 		f.eventually("a second hello", func() bool {
 			c := f.controls[0]
 			c.mu.Lock()
@@ -142,8 +138,8 @@
 	})
 }
 
-func isBegin(cmd *wire.Command) bool { return cmd.GetBeginOperation() != nil }
-func isOrder(cmd *wire.Command) bool { return cmd.GetPutOrder() != nil }
+func isBeginOperation(cmd *wire.Command) bool { return cmd.GetBeginOperation() != nil }
+func isPutOrder(cmd *wire.Command) bool       { return cmd.GetPutOrder() != nil }
 
 func beginCommand() *wire.Command {
 	return &wire.Command{Kind: &wire.Command_BeginOperation{BeginOperation: &wire.BeginOperation{Request: "r"}}}
@@ -153,56 +149,56 @@
 	return &wire.Command{Kind: &wire.Command_PutOrder{PutOrder: &wire.PutOrder{}}}
 }
 
-func replyCode(code result.Code, leader string) func(*wire.Propose) *wire.ProposeReply {
+func replyWithCode(code result.Code, leader string) func(*wire.Propose) *wire.ProposeReply {
 	return func(p *wire.Propose) *wire.ProposeReply {
 		return &wire.ProposeReply{Id: p.GetId(), Code: uint32(code), Leader: leader}
 	}
 }
 
-// Symptom: a caller is told "not run" though the record says that it may have, or the other way round.
-// Sequence: the leader refuses, is another one, is silent after the proposal, or dies.
-// Cause: a lost outcome that is taken for a refusal, or a command sent twice that isn't idempotent.
+// Guards against telling a caller that a command was not run when it may have been, or the reverse. The leader refuses,
+// has changed, does not answer after the proposal, or fails; a lost outcome must not count as a refusal, and a command that
+// is not idempotent must not be sent twice.
 func TestProposals(t *testing.T) {
-	silent := func(*wire.Propose) *wire.ProposeReply { return nil }
+	noReply := func(*wire.Propose) *wire.ProposeReply { return nil }
 	cases := []struct {
-		name      string
-		replies   [2]func(*wire.Propose) *wire.ProposeReply // of control-1, which all take for the leader, and control-2
-		cmd       *wire.Command
-		code      result.Code
-		atSecond  bool // proposed at control-2
-		firstOnce bool // proposed once at control-1
+		name             string
+		replies          [2]func(*wire.Propose) *wire.ProposeReply // of control-1, which all instances name as the leader, and of control-2
+		cmd              *wire.Command
+		code             result.Code
+		reachesSecond    bool // proposed at control-2
+		reachesFirstOnce bool // proposed exactly once at control-1
 	}{
-		{"accepted", [2]func(*wire.Propose) *wire.ProposeReply{accept, accept}, beginCommand(), 0, false, true},
-		{"not the leader", [2]func(*wire.Propose) *wire.ProposeReply{replyCode(result.NotLeader, "control-2"), accept}, orderCommand(), 0, true, true},
-		{"nobody leads", [2]func(*wire.Propose) *wire.ProposeReply{replyCode(result.NotLeader, ""), replyCode(result.NotLeader, "")}, beginCommand(), result.ControlUnavailable, true, false},
-		{"queue full", [2]func(*wire.Propose) *wire.ProposeReply{replyCode(result.ProposalQueueFull, ""), accept}, beginCommand(), result.ProposalQueueFull, false, true},
-		{"lost, idempotent", [2]func(*wire.Propose) *wire.ProposeReply{silent, accept}, beginCommand(), 0, true, true},
-		{"unknown, idempotent", [2]func(*wire.Propose) *wire.ProposeReply{replyCode(result.ProposalUnknown, ""), accept}, beginCommand(), 0, true, true},
-		{"lost, not idempotent", [2]func(*wire.Propose) *wire.ProposeReply{silent, accept}, orderCommand(), result.ProposalUnknown, false, true},
-		{"unknown, not idempotent", [2]func(*wire.Propose) *wire.ProposeReply{replyCode(result.ProposalUnknown, ""), accept}, orderCommand(), result.ProposalUnknown, false, true},
-		{"lost, then refused", [2]func(*wire.Propose) *wire.ProposeReply{silent, replyCode(result.ProposalQueueFull, "")}, beginCommand(), result.ProposalUnknown, true, false},
-		{"lost everywhere", [2]func(*wire.Propose) *wire.ProposeReply{silent, silent}, beginCommand(), result.ProposalUnknown, true, false},
+		{"accepted", [2]func(*wire.Propose) *wire.ProposeReply{acceptProposal, acceptProposal}, beginCommand(), 0, false, true},
+		{"not the leader", [2]func(*wire.Propose) *wire.ProposeReply{replyWithCode(result.NotLeader, "control-2"), acceptProposal}, orderCommand(), 0, true, true},
+		{"no leader", [2]func(*wire.Propose) *wire.ProposeReply{replyWithCode(result.NotLeader, ""), replyWithCode(result.NotLeader, "")}, beginCommand(), result.ControlUnavailable, true, false},
+		{"queue full", [2]func(*wire.Propose) *wire.ProposeReply{replyWithCode(result.ProposalQueueFull, ""), acceptProposal}, beginCommand(), result.ProposalQueueFull, false, true},
+		{"lost, idempotent", [2]func(*wire.Propose) *wire.ProposeReply{noReply, acceptProposal}, beginCommand(), 0, true, true},
+		{"unknown, idempotent", [2]func(*wire.Propose) *wire.ProposeReply{replyWithCode(result.ProposalUnknown, ""), acceptProposal}, beginCommand(), 0, true, true},
+		{"lost, not idempotent", [2]func(*wire.Propose) *wire.ProposeReply{noReply, acceptProposal}, orderCommand(), result.ProposalUnknown, false, true},
+		{"unknown, not idempotent", [2]func(*wire.Propose) *wire.ProposeReply{replyWithCode(result.ProposalUnknown, ""), acceptProposal}, orderCommand(), result.ProposalUnknown, false, true},
+		{"lost, then refused", [2]func(*wire.Propose) *wire.ProposeReply{noReply, replyWithCode(result.ProposalQueueFull, "")}, beginCommand(), result.ProposalUnknown, true, false},
+		{"lost at both", [2]func(*wire.Propose) *wire.ProposeReply{noReply, noReply}, beginCommand(), result.ProposalUnknown, true, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFakes(t, 2, asEntry, func(c *fakeControl) { c.leader = "control-1" })
-				f.ready()
+				f := newFakeCluster(t, 2, roleEntry, func(c *fakeControl) { c.leader = "control-1" })
+				f.awaitReady()
 				for i, reply := range test.replies {
-					f.controls[i].set(func(c *fakeControl) { c.propose = reply })
+					f.controls[i].update(func(c *fakeControl) { c.propose = reply })
 				}
-				// The end falls between two tries, which are retryPause apart. A try that it cuts short has an
+				// The deadline falls between two rounds, which are retryDelay apart. A proposal that it interrupts has an
 				// unknown outcome, whatever the reply would have been.
-				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second+retryPause/2)
+				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second+retryDelay/2)
 				defer cancel()
 				_, err := f.session.Propose(ctx, test.cmd)
 				require.Equal(t, test.code, result.CodeOf(err), "%v", err)
-				wanted := isBegin
+				wanted := isBeginOperation
 				if test.cmd.GetPutOrder() != nil {
-					wanted = isOrder
+					wanted = isPutOrder
 				}
-				require.Equal(t, test.atSecond, f.controls[1].count(wanted) > 0)
-				require.Equal(t, test.firstOnce, f.controls[0].count(wanted) == 1)
+				require.Equal(t, test.reachesSecond, f.controls[1].countProposals(wanted) > 0)
+				require.Equal(t, test.reachesFirstOnce, f.controls[0].countProposals(wanted) == 1)
 			})
 		})
 	}
@@ -210,8 +206,8 @@
 
 func TestProposeWithoutLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 2, asEntry)
-		f.ready()
+		f := newFakeCluster(t, 2, roleEntry)
+		f.awaitReady()
 		f.controls[0].stop()
 		f.controls[1].stop()
 		time.Sleep(time.Second)
@@ -224,27 +220,26 @@
 	})
 }
 
-// Symptom: an agent is alive, and no request comes to its servers any more.
-// Sequence: the agent is cut off for a while; the leader removes it; the link comes back.
-// Cause: a registration that is made once only.
-func TestRegistrationIsKept(t *testing.T) {
+// Guards against an agent that is alive but gets no requests: after a partition during which the leader removed the agent,
+// it must register again.
+func TestRegistrationIsRenewed(t *testing.T) {
 	isRegistration := func(cmd *wire.Command) bool { return cmd.GetRegisterAgent() != nil }
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 1, asAgent)
+		f := newFakeCluster(t, 1, roleAgent)
 		c := f.controls[0]
-		f.ready()
+		f.awaitReady()
 		listed := &wire.DirectoryUpdate{Version: 3, Full: true, Agents: []*wire.AgentRecord{{Agent: "me", Incarnation: 7}}}
 		c.push(&wire.ControlMessage{Kind: &wire.ControlMessage_Directory{Directory: listed}})
 		time.Sleep(10 * time.Second)
-		before := c.count(isRegistration)
+		before := c.countProposals(isRegistration)
 		time.Sleep(10 * time.Second)
-		require.Equal(t, before, c.count(isRegistration), "listed, so nothing to do")
+		require.Equal(t, before, c.countProposals(isRegistration), "a listed agent must not register again")
 
 		f.session.SetServers([]*wire.ServerRecord{{Server: "s"}})
-		f.eventually("the new server is registered", func() bool { return c.count(isRegistration) == before+1 })
+		f.eventually("the new server is registered", func() bool { return c.countProposals(isRegistration) == before+1 })
 		gone := &wire.DirectoryUpdate{Version: 5, Full: true}
 		c.push(&wire.ControlMessage{Kind: &wire.ControlMessage_Directory{Directory: gone}})
-		f.eventually("registered again", func() bool { return c.count(isRegistration) > before+1 })
+		f.eventually("registered again", func() bool { return c.countProposals(isRegistration) > before+1 })
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		last := c.proposals[len(c.proposals)-1].GetRegisterAgent().GetAgent()
@@ -253,34 +248,32 @@
 	})
 }
 
-// Symptom: a stopped agent is in the directory until its silence is noticed.
-// Sequence: the agent proposes its own removal at its stop; its session sees it missing, and registers it again.
-// Cause: a registration that is kept against the process's own will.
-func TestOwnEndIsKept(t *testing.T) {
+// Guards against a stopped agent that stays in the directory until its silence is noticed: once the agent has proposed its
+// own removal, its session must not register it again.
+func TestRemovedAgentStaysUnregistered(t *testing.T) {
 	isRegistration := func(cmd *wire.Command) bool { return cmd.GetRegisterAgent() != nil }
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 1, asAgent)
-		f.ready()
+		f := newFakeCluster(t, 1, roleAgent)
+		f.awaitReady()
 		end := &wire.RemoveAgent{Agent: "me", Incarnation: 7}
 		_, err := f.session.Propose(t.Context(), &wire.Command{Kind: &wire.Command_RemoveAgent{RemoveAgent: end}})
 		require.NoError(t, err)
-		before := f.controls[0].count(isRegistration)
+		before := f.controls[0].countProposals(isRegistration)
 		time.Sleep(time.Minute)
-		require.Equal(t, before, f.controls[0].count(isRegistration))
+		require.Equal(t, before, f.controls[0].countProposals(isRegistration))
 	})
 }
 
-// Symptom: an engine obeys a leader that was replaced, or does one order twice.
-// Sequence: orders come again, from older leaders, after their result, and while the agent is cut off.
-// Cause: an agent that obeys whatever arrives.
+// Guards against an engine that follows a replaced leader or carries out one order twice. Orders arrive again from older
+// leaders, after their result, and while the agent is cut off.
 func TestOrders(t *testing.T) {
 	order := func(id, fence uint64) *wire.Order {
 		return &wire.Order{Id: id, Fence: fence, Server: "s", Committed: true}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(t, 1, asAgent)
+		f := newFakeCluster(t, 1, roleAgent)
 		c := f.controls[0]
-		f.ready()
+		f.awaitReady()
 		results := func(count int) []*wire.OrderResult {
 			synctest.Wait()
 			c.mu.Lock()
@@ -290,7 +283,7 @@
 		}
 		c.pushOrder(order(1, 10))
 		c.pushOrder(order(1, 10))
-		c.pushOrder(order(1, 20)) // again, by the next leader
+		c.pushOrder(order(1, 20)) // repeated by the next leader
 		synctest.Wait()
 		require.Len(t, f.session.Orders(), 1)
 		require.Equal(t, uint64(1), (<-f.session.Orders()).GetId())
@@ -309,13 +302,13 @@
 		raised := &wire.ConfigUpdate{Fence: 30}
 		c.pushConfig(raised)
 		c.pushOrder(order(4, 20))
-		require.Equal(t, uint32(result.FenceTooOld), results(5)[4].GetCode(), "the fence came with the configuration")
+		require.Equal(t, uint32(result.FenceTooOld), results(5)[4].GetCode(), "the fence number of the configuration applies to orders")
 		require.Empty(t, f.session.Orders())
 
-		c.set(func(c *fakeControl) { c.isMute = true })
+		c.update(func(c *fakeControl) { c.ignoresPolls = true })
 		time.Sleep(DefaultSilenceBound + DefaultPollInterval)
 		require.Error(t, f.session.CutOff())
-		f.eventually("a new link", func() bool { return f.session.all()[0].isUp() })
+		f.eventually("a new link", func() bool { return f.session.knownPeers()[0].isConnected() })
 		c.pushOrder(order(5, 30))
 		synctest.Wait()
 		require.Empty(t, f.session.Orders(), "no order while cut off")
--- a/session/view.go
+++ b/session/view.go
@@ -9,28 +9,28 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// View is the configuration and directory at one moment. It and its records are never changed.
+// View is a snapshot of the configuration and directory. A view and its records are never changed.
 type View struct {
 	// ConfigVersion and DirectoryVersion are log indexes; 0 before the first update.
 	ConfigVersion, DirectoryVersion uint64
 	// Fence is the highest committed fence number seen.
 	Fence uint64
-	// Classes, Agents and Entries are by name.
+	// Classes, Agents and Entries are keyed by name.
 	Classes map[string]*wire.Class
 	Agents  map[string]*wire.AgentRecord
 	Entries map[string]*wire.EntryRecord
-	// Announcements are what backend servers said of themselves to control, by run.
+	// Announcements are the announcements of backend servers to control, keyed by run.
 	Announcements map[string]*wire.Announcement
-	// Poison are the requests that are watched or quarantined, by the text of their keys, see package poison.
+	// Poison holds the watched and quarantined requests, keyed by the text of their poison.Key.
 	Poison map[string]*wire.PoisonRecord
-	// Advice is what backend servers ask of their senders, by server.
+	// Advice holds the rate limits and drain notices of backend servers, keyed by server.
 	Advice map[string]*wire.ServerAdvice
 	// Desired is the desired state in force, without its document; nil before the first.
 	Desired *wire.DesiredState
 }
 
-// errGap says that an update begins at a version that isn't known here.
-var errGap = errors.New("session: update doesn't follow on the known version")
+// errGap means that the base of an update is newer than the known version.
+var errGap = errors.New("session: base of the update is newer than the known version")
 
 func newView() *View {
 	return &View{
@@ -44,8 +44,8 @@
 	}
 }
 
-// withConfig returns the view after an update, or the view itself if the update brings nothing new. An update to a
-// lower version is refused: a control instance that was cut off may send what was in force an hour ago.
+// withConfig returns the view after an update, or v itself if the update has a lower version. Such an update is ignored: a
+// control instance that was cut off may send a configuration that was in force an hour ago.
 func (v *View) withConfig(u *wire.ConfigUpdate) (*View, error) {
 	if u.GetVersion() < v.ConfigVersion {
 		return v, nil
@@ -59,7 +59,7 @@
 		return v, errGap
 	}
 	next.ConfigVersion = u.GetVersion()
-	next.Classes = start(v.Classes, u.GetFull())
+	next.Classes = baseMap(v.Classes, u.GetFull())
 	for _, class := range u.GetClasses() {
 		next.Classes[class.GetName()] = class
 	}
@@ -72,7 +72,7 @@
 	return &next, nil
 }
 
-// withDirectory is withConfig for the directory.
+// withDirectory returns the view after a directory update, or v itself if the update is not newer.
 func (v *View) withDirectory(u *wire.DirectoryUpdate) (*View, error) {
 	if u.GetVersion() <= v.DirectoryVersion {
 		return v, nil
@@ -82,8 +82,8 @@
 	}
 	next := *v
 	next.DirectoryVersion = u.GetVersion()
-	next.Agents = start(v.Agents, u.GetFull())
-	next.Entries = start(v.Entries, u.GetFull())
+	next.Agents = baseMap(v.Agents, u.GetFull())
+	next.Entries = baseMap(v.Entries, u.GetFull())
 	for _, agent := range u.GetAgents() {
 		next.Agents[agent.GetAgent()] = agent
 	}
@@ -96,21 +96,21 @@
 	for _, name := range u.GetRemovedEntries() {
 		delete(next.Entries, name)
 	}
-	next.Announcements = start(v.Announcements, u.GetFull())
+	next.Announcements = baseMap(v.Announcements, u.GetFull())
 	for _, announcement := range u.GetAnnouncements() {
 		next.Announcements[announcement.Run().String()] = announcement
 	}
 	for _, run := range u.GetRemovedAnnouncements() {
 		delete(next.Announcements, run)
 	}
-	next.Poison = start(v.Poison, u.GetFull())
+	next.Poison = baseMap(v.Poison, u.GetFull())
 	for _, record := range u.GetPoison() {
 		next.Poison[poison.KeyOf(record).String()] = record
 	}
 	for _, key := range u.GetRemovedPoison() {
 		delete(next.Poison, key)
 	}
-	next.Advice = start(v.Advice, u.GetFull())
+	next.Advice = baseMap(v.Advice, u.GetFull())
 	for _, advice := range u.GetAdvice() {
 		next.Advice[advice.GetServer()] = advice
 	}
@@ -120,8 +120,8 @@
 	return &next, nil
 }
 
-// start returns the map that an update is put into: an empty one if it replaces everything.
-func start[V any](old map[string]V, full bool) map[string]V {
+// baseMap returns the map that an update is applied to: an empty one for a full update, else a copy of old.
+func baseMap[V any](old map[string]V, full bool) map[string]V {
 	if full {
 		return make(map[string]V)
 	}
--- a/session/view_test.go
+++ b/session/view_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func config(version, base uint64, full bool, names ...string) *wire.ConfigUpdate {
+func configUpdate(version, base uint64, full bool, names ...string) *wire.ConfigUpdate {
 	u := &wire.ConfigUpdate{Version: version, Base: base, Full: full}
 	for _, name := range names {
 		u.Classes = append(u.Classes, &wire.Class{Name: name, Version: version})
@@ -17,13 +17,12 @@
 	return u
 }
 
-// Symptom: a class is back as it was before an accepted change.
-// Sequence: a control instance that was cut off sends what was in force then, after a newer update came from another.
-// Cause: taking the last update that came for the newest.
-func TestConfigNeverGoesBack(t *testing.T) {
-	v, err := newView().withConfig(config(10, 0, true, "a"))
+// Guards against a class that reverts to its state before an accepted change. A control instance that was cut off sends an
+// old configuration after another instance has sent a newer one.
+func TestConfigVersionNeverDecreases(t *testing.T) {
+	v, err := newView().withConfig(configUpdate(10, 0, true, "a"))
 	require.NoError(t, err)
-	older, err := v.withConfig(config(9, 0, true, "b"))
+	older, err := v.withConfig(configUpdate(9, 0, true, "b"))
 	require.NoError(t, err)
 	require.Same(t, v, older)
 	same, err := v.withConfig(&wire.ConfigUpdate{Version: 10, Base: 10, Fence: 12})
@@ -35,20 +34,19 @@
 	require.Equal(t, uint64(12), lowerFence.Fence)
 }
 
-// Symptom: two processes at the same version hold different classes.
-// Sequence: an update is lost with a link; the next one begins after it.
-// Cause: a delta that is put on the wrong base.
+// Guards against two processes with different classes at the same version. An update is lost with its link, and the next
+// delta, whose base is newer, must not be applied.
 func TestDeltas(t *testing.T) {
-	v, _ := newView().withConfig(config(10, 0, true, "a", "b"))
-	_, err := v.withConfig(config(14, 12, false, "c"))
+	v, _ := newView().withConfig(configUpdate(10, 0, true, "a", "b"))
+	_, err := v.withConfig(configUpdate(14, 12, false, "c"))
 	require.ErrorIs(t, err, errGap)
-	removed := config(14, 8, false, "c")
+	removed := configUpdate(14, 8, false, "c")
 	removed.Removed = []string{"b"}
 	next, err := v.withConfig(removed)
 	require.NoError(t, err)
 	require.Len(t, next.Classes, 2)
 	require.Contains(t, next.Classes, "c")
-	require.Contains(t, v.Classes, "b", "views aren't changed")
+	require.Contains(t, v.Classes, "b", "an update must not change the old view")
 
 	d, err := newView().withDirectory(&wire.DirectoryUpdate{
 		Version: 5, Full: true,
@@ -72,7 +70,7 @@
 	require.Empty(t, full.Agents, "a full update replaces everything")
 }
 
-func TestPoisonFollowsTheDirectory(t *testing.T) {
+func TestPoisonFollowsDirectoryUpdates(t *testing.T) {
 	one := poison.Key{Organisation: "org", Fingerprint: 1}
 	two := poison.Key{Organisation: "org", Fingerprint: 2}
 	v, err := newView().withDirectory(&wire.DirectoryUpdate{
