--- a/agent/duties.go
+++ b/agent/duties.go
@@ -64,7 +64,7 @@
 	if !a.awaitRelease(ctx) {
 		return a.linkListener.Close()
 	}
-	if err := link.ServeAndTell(ctx, a.linkListener, a.linkTLS, a.links.Register, a.peerRefused); err != nil {
+	if err := link.ServeWithRefusalHook(ctx, a.linkListener, a.linkTLS, a.links.Register, a.peerRefused); err != nil {
 		return errors.Wrap(err, "agent: links")
 	}
 	return nil
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -20,7 +20,7 @@
 		Up:      a.entryUp,
 		Down:    a.entryDown,
 		Receive: a.receive,
-		Timing:  link.Timing{Heartbeat: a.settings.Timing.Heartbeat},
+		Timing:  link.Timing{HeartbeatInterval: a.settings.Timing.Heartbeat},
 	}
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -265,7 +265,7 @@
 		}
 		return wire.DRPCRegisterReplicaLink(mux, c.peers)
 	}
-	return link.ServeAndTell(ctx, c.linkListener, c.linkTLS, register, c.recordRefusedPeer)
+	return link.ServeWithRefusalHook(ctx, c.linkListener, c.linkTLS, register, c.recordRefusedPeer)
 }
 
 // recordRefusedPeer counts and logs a connection from a process without a certificate of this deployment.
--- a/control/peer_server.go
+++ b/control/peer_server.go
@@ -36,16 +36,16 @@
 	defer cancel()
 	replies := ring.New[*wire.ReplicaBatch]("read_replies", replyRing)
 	pump := &link.Pump[*wire.ReplicaBatch, *wire.ReplicaBatch]{
-		Send:         func(batch []*wire.ReplicaBatch) error { return sendEach(stream, batch) },
-		Recv:         stream.Recv,
-		Abort:        func() { link.Abort(stream.Context()) },
-		Ring:         replies,
-		Beat:         func() *wire.ReplicaBatch { return &wire.ReplicaBatch{Status: c.replicaStatus()} },
-		BeatInterval: statusInterval,
+		Send:              func(batch []*wire.ReplicaBatch) error { return sendEach(stream, batch) },
+		Recv:              stream.Recv,
+		Abort:             func() { link.Abort(stream.Context()) },
+		Ring:              replies,
+		Heartbeat:         func() *wire.ReplicaBatch { return &wire.ReplicaBatch{Status: c.replicaStatus()} },
+		HeartbeatInterval: statusInterval,
 		Receive: func(ctx context.Context, batch *wire.ReplicaBatch) (bool, error) {
 			return true, p.handleBatch(ctx, hello.GetInstance(), batch, replies)
 		},
-		Silence: peerSilence,
+		SilenceTimeout: peerSilence,
 	}
 	return pump.Run(ctx)
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -273,15 +273,15 @@
 	}
 	l.peers.recordHello(first.GetHello())
 	pump := &link.Pump[peerMessage, *wire.ReplicaBatch]{
-		Send:         func(batch []peerMessage) error { return sendPeer(stream, batch) },
-		Recv:         stream.Recv,
-		Abort:        func() { conn.Close() },
-		Ring:         l.ring,
-		Size:         peerMessageSize,
-		Beat:         func() peerMessage { return peerMessage{status: c.replicaStatus()} },
-		BeatInterval: statusInterval,
-		Receive:      l.receive,
-		Silence:      peerSilence,
+		Send:              func(batch []peerMessage) error { return sendPeer(stream, batch) },
+		Recv:              stream.Recv,
+		Abort:             func() { conn.Close() },
+		Ring:              l.ring,
+		Size:              peerMessageSize,
+		Heartbeat:         func() peerMessage { return peerMessage{status: c.replicaStatus()} },
+		HeartbeatInterval: statusInterval,
+		Receive:           l.receive,
+		SilenceTimeout:    peerSilence,
 	}
 	return true, pump.Run(ctx)
 }
--- a/control/session.go
+++ b/control/session.go
@@ -55,13 +55,13 @@
 	}}})
 	s.control.leader.wake() // an open order may be waiting for this agent
 	pump := &link.Pump[*wire.ControlMessage, *wire.ClientBatch]{
-		Send:    func(batch []*wire.ControlMessage) error { return stream.Send(&wire.ControlBatch{Messages: batch}) },
-		Recv:    stream.Recv,
-		Abort:   func() { link.Abort(stream.Context()) },
-		Ring:    s.out,
-		Size:    func(m *wire.ControlMessage) int { return proto.Size(m) },
-		Receive: s.receive,
-		Silence: sessionSilence,
+		Send:           func(batch []*wire.ControlMessage) error { return stream.Send(&wire.ControlBatch{Messages: batch}) },
+		Recv:           stream.Recv,
+		Abort:          func() { link.Abort(stream.Context()) },
+		Ring:           s.out,
+		Size:           func(m *wire.ControlMessage) int { return proto.Size(m) },
+		Receive:        s.receive,
+		SilenceTimeout: sessionSilence,
 	}
 	return pump.Run(ctx)
 }
--- a/entry/links.go
+++ b/entry/links.go
@@ -156,16 +156,16 @@
 	ctx, stop := context.WithCancel(ctx)
 	a := &agentLink{stop: stop}
 	a.dialer = &link.AgentDialer{
-		Network: l.network(name),
-		TLS:     l.tls,
-		Address: address,
-		Agent:   name,
-		Hello:   l.entry.hello,
-		Up:      func(ctx context.Context, hello *wire.AgentHello) { l.up(ctx, a, hello) },
-		Down:    func(hello *wire.AgentHello, cause error) { l.down(duties, a, hello, cause) },
-		Receive: l.receive,
-		Failed:  func(error) { l.failed(a) },
-		Timing:  link.Timing{Heartbeat: l.entry.settings.Timing.Heartbeat},
+		Network:     l.network(name),
+		TLS:         l.tls,
+		Address:     address,
+		Agent:       name,
+		Hello:       l.entry.hello,
+		Up:          func(ctx context.Context, hello *wire.AgentHello) { l.up(ctx, a, hello) },
+		Down:        func(hello *wire.AgentHello, cause error) { l.down(duties, a, hello, cause) },
+		Receive:     l.receive,
+		OnDialError: func(error) { l.failed(a) },
+		Timing:      link.Timing{HeartbeatInterval: l.entry.settings.Timing.Heartbeat},
 	}
 	l.wg.Go(func() {
 		defer stop()
--- a/link/agent_dialer.go
+++ b/link/agent_dialer.go
@@ -33,8 +33,8 @@
 	Down func(hello *wire.AgentHello, cause error)
 	// Receive takes a message of the agent, heartbeats included. An error ends the link.
 	Receive func(ctx context.Context, hello *wire.AgentHello, message *wire.AgentMessage) error
-	// Failed, if not nil, hears why a dial failed.
-	Failed func(error)
+	// OnDialError, if not nil, hears why a dial failed.
+	OnDialError func(error)
 	// Timing has defaults for zero values.
 	Timing Timing
 	// Jitter gives a number in [0, 1) to spread the waits; nil means math/rand.
@@ -58,8 +58,8 @@
 		}
 		if wasUp {
 			wait = d.Timing.RedialMin
-		} else if d.Failed != nil {
-			d.Failed(err)
+		} else if d.OnDialError != nil {
+			d.OnDialError(err)
 		}
 		if !pause.For(ctx, d.jittered(wait)) {
 			return context.Cause(ctx)
@@ -90,8 +90,8 @@
 	return true
 }
 
-// Refused returns how many messages Send couldn't pass on.
-func (d *AgentDialer) Refused() uint64 {
+// DroppedMessages returns how many messages Send couldn't pass on.
+func (d *AgentDialer) DroppedMessages() uint64 {
 	return d.refused.Load()
 }
 
@@ -115,7 +115,7 @@
 
 // dial opens both streams, Messages first, within Timing.Hello.
 func (d *AgentDialer) dial(ctx context.Context) (*agentLink, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.Timing.Hello)
+	ctx, cancel := context.WithTimeout(ctx, d.Timing.HandshakeTimeout)
 	defer cancel()
 	l := newAgentLink(d)
 	if err := l.open(ctx); err != nil {
--- a/link/agent_link.go
+++ b/link/agent_link.go
@@ -44,8 +44,8 @@
 	return &agentLink{
 		dialer:   d,
 		flushed:  make(chan struct{}),
-		messages: agentConn{ring: ring.New[*wire.EntryMessage]("link_messages", MessagesRing)},
-		long:     agentConn{ring: ring.New[*wire.EntryMessage]("link_bulk", BulkRing)},
+		messages: agentConn{ring: ring.New[*wire.EntryMessage]("link_messages", MessagesRingSize)},
+		long:     agentConn{ring: ring.New[*wire.EntryMessage]("link_bulk", BulkRingSize)},
 	}
 }
 
@@ -116,9 +116,9 @@
 func (l *agentLink) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := l.dialer.Timing.Silence()
+	silence := l.dialer.Timing.SilenceTimeout()
 	var wg sync.WaitGroup
-	interval := l.dialer.Timing.Heartbeat
+	interval := l.dialer.Timing.HeartbeatInterval
 	wg.Go(func() { cancel(l.pump(ctx, &l.messages, interval, silence)) })
 	wg.Go(func() { cancel(l.pump(ctx, &l.long, interval*bulkSilenceFactor, silence*bulkSilenceFactor)) })
 	wg.Wait()
@@ -135,19 +135,19 @@
 		send = l.sendLong
 	}
 	p := Pump[*wire.EntryMessage, *wire.AgentBatch]{
-		Send:         send,
-		Recv:         c.stream.Recv,
-		Abort:        func() { c.conn.Close() },
-		Ring:         c.ring,
-		Size:         func(message *wire.EntryMessage) int { return proto.Size(message) },
-		Beat:         l.beat,
-		BeatInterval: interval,
+		Send:              send,
+		Recv:              c.stream.Recv,
+		Abort:             func() { c.conn.Close() },
+		Ring:              c.ring,
+		Size:              func(message *wire.EntryMessage) int { return proto.Size(message) },
+		Heartbeat:         l.beat,
+		HeartbeatInterval: interval,
 		Receive: func(ctx context.Context, in *wire.AgentBatch) (bool, error) {
 			return l.receive(ctx, in, c == &l.long)
 		},
-		Silence: silence,
-		Flush:   l.dialer.Timing.Flush,
-		Flushed: l.waitForBothFlushes,
+		SilenceTimeout: silence,
+		FlushTimeout:   l.dialer.Timing.FlushTimeout,
+		Flushed:        l.waitForBothFlushes,
 	}
 	return p.Run(ctx)
 }
@@ -158,7 +158,7 @@
 	if l.flushes.Add(1) == 2 {
 		close(l.flushed)
 	}
-	timer := time.NewTimer(l.dialer.Timing.Flush)
+	timer := time.NewTimer(l.dialer.Timing.FlushTimeout)
 	defer timer.Stop()
 	select {
 	case <-l.flushed:
--- a/link/bodies.go
+++ b/link/bodies.go
@@ -7,11 +7,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bodies puts the bodies of dispatches together from their chunks. It serves one link and one goroutine at a time.
+// BodyAssembler puts the bodies of dispatches together from their chunks. It serves one link and one goroutine at a time.
 //
 // Every Dispatch that goes in comes out exactly once, whole or with an error, unless it is cancelled. It holds at
 // most MaxPendingBodies bytes.
-type Bodies struct {
+type BodyAssembler struct {
 	pending map[attemptKey]*pendingBody
 	bytes   uint64 // announced sizes of all pending bodies
 }
@@ -21,20 +21,20 @@
 	body     []byte
 }
 
-// NewBodies returns a Bodies that holds nothing.
-func NewBodies() *Bodies {
-	return &Bodies{pending: make(map[attemptKey]*pendingBody)}
+// NewBodyAssembler returns a Bodies that holds nothing.
+func NewBodyAssembler() *BodyAssembler {
+	return &BodyAssembler{pending: make(map[attemptKey]*pendingBody)}
 }
 
 // Pending returns how many dispatches wait for chunks.
-func (b *Bodies) Pending() int {
+func (b *BodyAssembler) Pending() int {
 	return len(b.pending)
 }
 
-// Dispatch takes a Dispatch. It returns it if it is whole, and nil if chunks have to follow. The error is a
+// AddDispatch takes a AddDispatch. It returns it if it is whole, and nil if chunks have to follow. The error is a
 // *FailedDispatch with the code BodyTooLarge, RingFull (too many bodies are pending) or BadMessage (a digest or size
 // that doesn't hold); the dispatch must then never start.
-func (b *Bodies) Dispatch(d *wire.Dispatch) (*wire.Dispatch, error) {
+func (b *BodyAssembler) AddDispatch(d *wire.Dispatch) (*wire.Dispatch, error) {
 	have := uint64(len(d.GetBody()))
 	switch {
 	case have == d.GetBodySize():
@@ -55,10 +55,10 @@
 	return nil, nil
 }
 
-// Chunk takes a part of a body. It returns the Dispatch when this completes it, else nil. A chunk of an attempt that
+// AddChunk takes a part of a body. It returns the Dispatch when this completes it, else nil. A chunk of an attempt that
 // isn't pending, such as one that was cancelled, is dropped. A chunk that doesn't continue its body fails the
 // dispatch with a *FailedDispatch.
-func (b *Bodies) Chunk(c *wire.BodyChunk) (*wire.Dispatch, error) {
+func (b *BodyAssembler) AddChunk(c *wire.BodyChunk) (*wire.Dispatch, error) {
 	key := keyOf(c.GetAttempt())
 	p := b.pending[key]
 	if p == nil {
@@ -84,7 +84,7 @@
 }
 
 // Cancel forgets the attempts of the request up to and including the number.
-func (b *Bodies) Cancel(id *wire.AttemptID) {
+func (b *BodyAssembler) Cancel(id *wire.AttemptID) {
 	for key := range b.pending {
 		if key.request == id.GetRequest() && key.number <= id.GetNumber() {
 			b.forget(key)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (b *Bodies) forget(key attemptKey) {
+func (b *BodyAssembler) forget(key attemptKey) {
 	b.bytes -= b.pending[key].dispatch.GetBodySize()
 	delete(b.pending, key)
 }
@@ -108,31 +108,31 @@
 	return d, nil
 }
 
-// FailedDispatch is the error of a Dispatch that never became whole.
-type FailedDispatch struct {
+// DispatchError is the error of a Dispatch that never became whole.
+type DispatchError struct {
 	Attempt *wire.AttemptID
 	Server  string
 	Err     *result.Error
 }
 
 // Error implements error.
-func (f *FailedDispatch) Error() string {
+func (f *DispatchError) Error() string {
 	return "link: dispatch of " + f.Attempt.GetRequest() + ": " + f.Err.Error()
 }
 
 // Unwrap returns the result.
-func (f *FailedDispatch) Unwrap() error {
+func (f *DispatchError) Unwrap() error {
 	return f.Err
 }
 
 func failed(d *wire.Dispatch, err *result.Error) error {
-	return &FailedDispatch{Attempt: d.GetAttempt(), Server: d.GetServer(), Err: err}
+	return &DispatchError{Attempt: d.GetAttempt(), Server: d.GetServer(), Err: err}
 }
 
 // asCancel turns a dispatch that can't become whole into a Cancel of its attempt. The gate, which has not seen the
 // dispatch, answers it as never started and keeps it so; the entry hears that and may try again.
 func asCancel(err error) (*wire.EntryMessage, bool) {
-	var f *FailedDispatch
+	var f *DispatchError
 	if !errors.As(err, &f) {
 		return nil, false
 	}
--- a/link/bodies_test.go
+++ b/link/bodies_test.go
@@ -22,17 +22,17 @@
 	return all
 }
 
-func feed(b *Bodies, m *wire.EntryMessage) (*wire.Dispatch, error) {
+func feed(b *BodyAssembler, m *wire.EntryMessage) (*wire.Dispatch, error) {
 	if d := m.GetDispatch(); d != nil {
-		return b.Dispatch(d)
+		return b.AddDispatch(d)
 	}
-	return b.Chunk(m.GetBody())
+	return b.AddChunk(m.GetBody())
 }
 
 func TestBodiesOfSeveralRequestsInterleave(t *testing.T) {
 	first, second := dispatch("r1", 100_000), dispatch("r2", 50_000)
 	p1, p2 := parts(t, first), parts(t, second)
-	b := NewBodies()
+	b := NewBodyAssembler()
 	whole := map[string]*wire.Dispatch{}
 	for i := range max(len(p1), len(p2)) {
 		for _, p := range [][]*wire.EntryMessage{p1, p2} {
@@ -73,7 +73,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := NewBodies()
+			b := NewBodyAssembler()
 			p := parts(t, dispatch("r1", 100_000))
 			c.change(p)
 			var failure error
@@ -94,11 +94,11 @@
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	b := NewBodies()
+	b := NewBodyAssembler()
 	refused := 0
 	for i := range 2 * MaxPendingBodies / MaxBody {
 		d := &wire.Dispatch{Attempt: &wire.AttemptID{Request: "r", Number: uint64(i)}, BodySize: MaxBody}
-		if _, err := b.Dispatch(d); err != nil {
+		if _, err := b.AddDispatch(d); err != nil {
 			require.Equal(t, result.RingFull, result.CodeOf(err))
 			refused++
 		}
@@ -115,7 +115,7 @@
 	f.Add([]byte{1, 0, 255, 1, 2}, uint32(40_000), uint32(33))
 	f.Fuzz(func(t *testing.T, order []byte, size, cut uint32) {
 		size %= 200_000
-		b := NewBodies()
+		b := NewBodyAssembler()
 		sent := dispatch("r1", int(size))
 		all := parts(t, sent)
 		for _, at := range order {
--- a/link/doc.go
+++ b/link/doc.go
@@ -21,24 +21,24 @@
 
 // Bounds of what is sent at once.
 const (
-	// ShortBound is the size in bytes from which on a message goes on the Bulk stream.
-	ShortBound = 8 << 10
-	// ChunkBytes is the size of a BodyChunk's data.
-	ChunkBytes = 32 << 10
-	// BatchBytes and BatchMessages bound a batch. A single larger message makes a batch of its own.
-	BatchBytes    = 64 << 10
-	BatchMessages = 256
+	// MaxShortMessage is the size in bytes from which on a message goes on the Bulk stream.
+	MaxShortMessage = 8 << 10
+	// MaxChunkBytes is the size of a BodyChunk's data.
+	MaxChunkBytes = 32 << 10
+	// MaxBatchBytes and BatchMessages bound a batch. A single larger message makes a batch of its own.
+	MaxBatchBytes    = 64 << 10
+	MaxBatchMessages = 256
 	// MaxMessage bounds one message in bytes. A larger one is refused by the sender.
 	MaxMessage = 3 << 20
 	// maxPacket bounds what the receiver takes for one batch.
-	maxPacket = MaxMessage + BatchBytes + 64<<10
+	maxPacket = MaxMessage + MaxBatchBytes + 64<<10
 )
 
 // Bounds of what is held in memory for one link.
 const (
-	// MessagesRing and BulkRing are the capacities of the outgoing rings.
-	MessagesRing = 4096
-	BulkRing     = 256
+	// MessagesRingSize and BulkRing are the capacities of the outgoing rings.
+	MessagesRingSize = 4096
+	BulkRingSize     = 256
 	// MaxBody bounds one dispatched body in bytes, MaxPendingBodies all that are incomplete.
 	MaxBody          = 16 << 20
 	MaxPendingBodies = 64 << 20
@@ -46,27 +46,27 @@
 
 // Timing holds the durations of a link. Zero values mean the defaults.
 type Timing struct {
-	// Heartbeat is the interval between heartbeats.
-	Heartbeat time.Duration
-	// SilentIntervals is after how many intervals without a heartbeat a link is down.
-	SilentIntervals int
-	// Hello bounds the time from dialling until both streams are open.
-	Hello time.Duration
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
+	// MaxMissedHeartbeats is after how many intervals without a heartbeat a link is down.
+	MaxMissedHeartbeats int
+	// HandshakeTimeout bounds the time from dialling until both streams are open.
+	HandshakeTimeout time.Duration
 	// RedialMin and RedialMax bound the wait before another dial.
 	RedialMin time.Duration
 	RedialMax time.Duration
-	// Flush bounds the sending of what is left when a link ends by order.
-	Flush time.Duration
+	// FlushTimeout bounds the sending of what is left when a link ends by order.
+	FlushTimeout time.Duration
 }
 
 // Defaults of Timing.
 const (
-	DefaultHeartbeat       = 250 * time.Millisecond
-	DefaultSilentIntervals = 4
-	DefaultHello           = 2 * time.Second
-	DefaultRedialMin       = 50 * time.Millisecond
-	DefaultRedialMax       = time.Second
-	DefaultFlush           = 500 * time.Millisecond
+	DefaultHeartbeatInterval   = 250 * time.Millisecond
+	DefaultMaxMissedHeartbeats = 4
+	DefaultHandshakeTimeout    = 2 * time.Second
+	DefaultRedialMin           = 50 * time.Millisecond
+	DefaultRedialMax           = time.Second
+	DefaultFlushTimeout        = 500 * time.Millisecond
 )
 
 // bulkSilenceFactor lengthens the silence bound of the Bulk stream, where a heartbeat may wait behind a body, and with it the
@@ -75,18 +75,18 @@
 
 // WithDefaults returns t with the defaults in place of zero values.
 func (t Timing) WithDefaults() Timing {
-	setDefault(&t.Heartbeat, DefaultHeartbeat)
-	setDefault(&t.SilentIntervals, DefaultSilentIntervals)
-	setDefault(&t.Hello, DefaultHello)
+	setDefault(&t.HeartbeatInterval, DefaultHeartbeatInterval)
+	setDefault(&t.MaxMissedHeartbeats, DefaultMaxMissedHeartbeats)
+	setDefault(&t.HandshakeTimeout, DefaultHandshakeTimeout)
 	setDefault(&t.RedialMin, DefaultRedialMin)
 	setDefault(&t.RedialMax, DefaultRedialMax)
-	setDefault(&t.Flush, DefaultFlush)
+	setDefault(&t.FlushTimeout, DefaultFlushTimeout)
 	return t
 }
 
-// Silence is how long a link may be silent before it is down.
-func (t Timing) Silence() time.Duration {
-	return t.Heartbeat * time.Duration(t.SilentIntervals)
+// SilenceTimeout is how long a link may be silent before it is down.
+func (t Timing) SilenceTimeout() time.Duration {
+	return t.HeartbeatInterval * time.Duration(t.MaxMissedHeartbeats)
 }
 
 func setDefault[T int | time.Duration](value *T, fallback T) {
--- a/link/entry_link.go
+++ b/link/entry_link.go
@@ -39,7 +39,7 @@
 	lanes    agentLanes
 
 	bodyMu sync.Mutex
-	bodies *Bodies
+	bodies *BodyAssembler
 }
 
 type agentRings struct {
@@ -65,10 +65,10 @@
 		bulk:     make(chan struct{}),
 		up:       make(chan struct{}),
 		gone:     make(chan struct{}),
-		messages: newAgentRings("link_messages", MessagesRing),
-		long:     newAgentRings("link_bulk", BulkRing),
+		messages: newAgentRings("link_messages", MessagesRingSize),
+		long:     newAgentRings("link_bulk", BulkRingSize),
 		lanes:    make(agentLanes),
-		bodies:   NewBodies(),
+		bodies:   NewBodyAssembler(),
 	}
 }
 
@@ -90,7 +90,7 @@
 	close(l.up)
 
 	timing := l.server.Timing
-	err := l.pump(stream, l.messages, timing.Silence(), l.receiveShort)
+	err := l.pump(stream, l.messages, timing.SilenceTimeout(), l.receiveShort)
 	l.ended(err)
 	l.duties.Wait()
 	err = context.Cause(l.ctx)
@@ -99,7 +99,7 @@
 }
 
 func (l *entryLink) waitForBulk() bool {
-	timer := time.NewTimer(l.server.Timing.Hello)
+	timer := time.NewTimer(l.server.Timing.HandshakeTimeout)
 	defer timer.Stop()
 	select {
 	case <-l.bulk:
@@ -125,7 +125,7 @@
 		l.fail(err)
 		return err
 	}
-	err := l.pump(stream, l.long, l.server.Timing.Silence()*bulkSilenceFactor, l.receiveLong)
+	err := l.pump(stream, l.long, l.server.Timing.SilenceTimeout()*bulkSilenceFactor, l.receiveLong)
 	l.ended(err)
 	return err
 }
@@ -138,7 +138,7 @@
 		l.fail(err)
 	}
 	if !errors.Is(err, ErrSilent) {
-		pause.For(l.ctx, l.server.Timing.Flush)
+		pause.For(l.ctx, l.server.Timing.FlushTimeout)
 	}
 	l.fail(err)
 }
@@ -170,8 +170,8 @@
 		Receive: func(ctx context.Context, in *wire.EntryBatch) (bool, error) {
 			return l.receive(ctx, in, rings, receive)
 		},
-		Silence: silence,
-		Flush:   l.server.Timing.Flush,
+		SilenceTimeout: silence,
+		FlushTimeout:   l.server.Timing.FlushTimeout,
 	}
 	return p.Run(ctx)
 }
@@ -221,7 +221,7 @@
 		return l.dispatch(ctx, message)
 	case *wire.EntryMessage_Body:
 		l.bodyMu.Lock()
-		d, err := l.bodies.Chunk(kind.Body)
+		d, err := l.bodies.AddChunk(kind.Body)
 		l.bodyMu.Unlock()
 		return l.passOn(ctx, d, err)
 	case *wire.EntryMessage_Heartbeat:
@@ -234,7 +234,7 @@
 
 func (l *entryLink) dispatch(ctx context.Context, message *wire.EntryMessage) error {
 	l.bodyMu.Lock()
-	d, err := l.bodies.Dispatch(message.GetDispatch())
+	d, err := l.bodies.AddDispatch(message.GetDispatch())
 	l.bodyMu.Unlock()
 	return l.passOn(ctx, d, err)
 }
--- a/link/entry_server.go
+++ b/link/entry_server.go
@@ -88,8 +88,8 @@
 	return ids
 }
 
-// Refused returns how many messages Send couldn't pass on.
-func (s *EntryServer) Refused() uint64 {
+// DroppedMessages returns how many messages Send couldn't pass on.
+func (s *EntryServer) DroppedMessages() uint64 {
 	return s.refused.Load()
 }
 
@@ -187,7 +187,7 @@
 // hello reads the entry's hello. A peer that connects and says nothing is aborted after Timing.Hello.
 func (s *EntryServer) hello(stream entryStream) (*wire.EntryHello, error) {
 	ctx := stream.Context()
-	timer := time.AfterFunc(s.Timing.Hello, func() { Abort(ctx) })
+	timer := time.AfterFunc(s.Timing.HandshakeTimeout, func() { Abort(ctx) })
 	defer timer.Stop()
 	batch, err := stream.Recv()
 	if err != nil {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -158,7 +158,7 @@
 }
 
 func TestDispatchesArriveWhole(t *testing.T) {
-	for _, size := range []int{0, 1, ShortBound, ShortBound + 1, ChunkBytes, ChunkBytes + 1, 5<<20 + 3} {
+	for _, size := range []int{0, 1, MaxShortMessage, MaxShortMessage + 1, MaxChunkBytes, MaxChunkBytes + 1, 5<<20 + 3} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t)
@@ -205,7 +205,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		id := EntryID{Name: "entry-1", Incarnation: 1}
-		sizes := []int{ShortBound + 1, 10, 100_000, 10, 10}
+		sizes := []int{MaxShortMessage + 1, 10, 100_000, 10, 10}
 		for i, size := range sizes {
 			require.True(t, r.server.Send(id, frame("r1", uint64(i), size)))
 		}
@@ -234,15 +234,15 @@
 				start := time.Now()
 				cut(r.net)
 				// The entry gives up after a silence, then the agent at the latest after its own.
-				time.Sleep(r.dialer.Timing.Silence()*3 + r.dialer.Timing.Heartbeat)
+				time.Sleep(r.dialer.Timing.SilenceTimeout()*3 + r.dialer.Timing.HeartbeatInterval)
 				require.Contains(t, r.log(), "entry: down")
-				require.LessOrEqual(t, r.downs[0].Sub(start), r.dialer.Timing.Silence())
+				require.LessOrEqual(t, r.downs[0].Sub(start), r.dialer.Timing.SilenceTimeout())
 				if name != "entry to agent" {
 					// There the agent may notice at the same moment, and its closing still reaches the entry.
 					require.ErrorIs(t, r.causes[0], ErrSilent)
 				}
 				require.False(t, r.dialer.Send(agentIncarnation, cancelOf("r1")))
-				require.EqualValues(t, 1, r.dialer.Refused())
+				require.EqualValues(t, 1, r.dialer.DroppedMessages())
 				if name != "agent to entry" {
 					require.Contains(t, r.log(), "agent: down 1")
 				}
@@ -281,7 +281,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		var failures atomic.Int32
-		r.dialer.Failed = func(error) { failures.Add(1) }
+		r.dialer.OnDialError = func(error) { failures.Add(1) }
 		r.net.Refuse(agentHost, true)
 		r.net.Reset(agentHost)
 		time.Sleep(10 * time.Second)
@@ -298,12 +298,12 @@
 		r := newRig(t)
 		var failure error
 		other := &AgentDialer{
-			Network: r.net.Host(entryHost),
-			Address: r.dialer.Address,
-			Agent:   "agent-2",
-			Hello:   func() *wire.EntryHello { return &wire.EntryHello{Entry: "entry-2"} },
-			Up:      func(context.Context, *wire.AgentHello) { t.Error("up") },
-			Failed:  func(err error) { failure = err },
+			Network:     r.net.Host(entryHost),
+			Address:     r.dialer.Address,
+			Agent:       "agent-2",
+			Hello:       func() *wire.EntryHello { return &wire.EntryHello{Entry: "entry-2"} },
+			Up:          func(context.Context, *wire.AgentHello) { t.Error("up") },
+			OnDialError: func(err error) { failure = err },
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
@@ -320,13 +320,13 @@
 		r.net.Cut(entryHost, agentHost)
 		refused := 0
 		// The sender takes at most what fits into the network.
-		for range 2*MessagesRing + 20_000 {
+		for range 2*MessagesRingSize + 20_000 {
 			if !r.dialer.Send(agentIncarnation, cancelOf("r1")) {
 				refused++
 			}
 		}
 		require.Positive(t, refused)
-		require.EqualValues(t, refused, r.dialer.Refused())
+		require.EqualValues(t, refused, r.dialer.DroppedMessages())
 		require.False(t, r.dialer.Send(agentIncarnation, dispatch("r1", MaxBody+1)), "over the bound")
 	})
 }
@@ -338,14 +338,14 @@
 		r := newRig(t)
 		inner := r.server.Receive
 		r.server.Receive = func(ctx context.Context, id EntryID, m *wire.EntryMessage) error {
-			time.Sleep(DefaultFlush / 2000)
+			time.Sleep(DefaultFlushTimeout / 2000)
 			return inner(ctx, id, m)
 		}
 		for range 1000 {
 			require.True(t, r.dialer.Send(agentIncarnation, cancelOf("r1")))
 		}
 		r.stopDialer()
-		time.Sleep(DefaultFlush)
+		time.Sleep(DefaultFlushTimeout)
 		synctest.Wait()
 		require.Equal(t, 1000, len(r.toAgent))
 		require.Contains(t, r.log(), "agent: down 1")
--- a/link/message.go
+++ b/link/message.go
@@ -23,7 +23,7 @@
 
 // entryLane chooses the stream by size. Only a Dispatch has a body that can be long.
 func entryLane(message *wire.EntryMessage) lane {
-	if len(message.GetDispatch().GetBody()) > ShortBound {
+	if len(message.GetDispatch().GetBody()) > MaxShortMessage {
 		return laneBulk
 	}
 	return laneMessages
@@ -31,7 +31,7 @@
 
 // tooLarge tells whether a message can't be sent, since the peer would drop the connection on it.
 func tooLarge(message *wire.EntryMessage) bool {
-	if body := message.GetDispatch().GetBody(); len(body) > ShortBound {
+	if body := message.GetDispatch().GetBody(); len(body) > MaxShortMessage {
 		return len(body) > MaxBody
 	}
 	return proto.Size(message) > MaxMessage
@@ -55,15 +55,15 @@
 // Other messages are passed on as they are.
 func splitDispatch(message *wire.EntryMessage, send func(*wire.EntryMessage) error) error {
 	d := message.GetDispatch()
-	if len(d.GetBody()) <= ShortBound {
+	if len(d.GetBody()) <= MaxShortMessage {
 		return send(message)
 	}
 	header := &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: withoutBody(d)}}
 	if err := send(header); err != nil {
 		return err
 	}
-	for offset := 0; offset < len(d.GetBody()); offset += ChunkBytes {
-		end := min(offset+ChunkBytes, len(d.GetBody()))
+	for offset := 0; offset < len(d.GetBody()); offset += MaxChunkBytes {
+		end := min(offset+MaxChunkBytes, len(d.GetBody()))
 		chunk := &wire.BodyChunk{
 			Attempt: d.GetAttempt(),
 			Server:  d.GetServer(),
@@ -115,7 +115,7 @@
 		return chosen
 	}
 	chosen := laneMessages
-	if size > ShortBound {
+	if size > MaxShortMessage {
 		chosen = laneBulk
 	}
 	l[key] = chosen
--- a/link/pump.go
+++ b/link/pump.go
@@ -29,21 +29,21 @@
 	// Size gives an item's size in bytes, for the bound of a batch. Nil means that only the number is bounded.
 	Size func(Out) int
 
-	// Beat makes a heartbeat, sent every BeatInterval whether Ring is full or empty. Nil means none.
-	Beat         func() Out
-	BeatInterval time.Duration
+	// Heartbeat makes a heartbeat, sent every BeatInterval whether Ring is full or empty. Nil means none.
+	Heartbeat         func() Out
+	HeartbeatInterval time.Duration
 
 	// Receive takes a batch, from one goroutine. It may block, which holds the peer back, until its context ends.
 	// It tells whether the batch shows that the peer hears this side. An error from it ends the pump.
 	Receive func(ctx context.Context, batch In) (alive bool, err error)
-	// Silence ends the pump with ErrSilent if no batch showed life for that long. Zero means never.
+	// SilenceTimeout ends the pump with ErrSilent if no batch showed life for that long. Zero means never.
 	//
 	// Without it a silently cut connection would look healthy for minutes, until TCP gives up, and work would be
 	// sent into it; one would notice it as requests that end only at their deadline.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 
-	// Flush bounds the sending of what Ring holds when ctx ends; zero means DefaultFlush.
-	Flush time.Duration
+	// FlushTimeout bounds the sending of what Ring holds when ctx ends; zero means DefaultFlush.
+	FlushTimeout time.Duration
 	// Flushed, if not nil, is called when that is sent. The connection is closed when it returns.
 	Flushed func()
 
@@ -56,8 +56,8 @@
 // Run moves items until ctx ends or something fails, and returns the cause. At the end of ctx it sends what Ring
 // holds, at most for Flush, unless ctx ended with a cause of its own, which is taken for a failure. It has closed the connection, and calls no callback, once it returns.
 func (p *Pump[Out, In]) Run(ctx context.Context) error {
-	if p.Flush <= 0 {
-		p.Flush = DefaultFlush
+	if p.FlushTimeout <= 0 {
+		p.FlushTimeout = DefaultFlushTimeout
 	}
 	p.start = time.Now()
 	p.parent = ctx
@@ -97,12 +97,12 @@
 // watch ends the pump when it is silent. After the end of ctx it bounds the flush: a Send that is blocked on a cut
 // connection doesn't see the end of ctx, and only Abort lets it return.
 func (p *Pump[Out, In]) watch(ctx context.Context, cancel context.CancelCauseFunc) {
-	if p.Silence > 0 {
+	if p.SilenceTimeout > 0 {
 		p.watchSilence(ctx, cancel)
 	}
 	<-ctx.Done()
 	if p.ordered() {
-		timer := time.NewTimer(p.Flush)
+		timer := time.NewTimer(p.FlushTimeout)
 		defer timer.Stop()
 		select {
 		case <-p.sent:
@@ -115,11 +115,11 @@
 func (p *Pump[Out, In]) watchSilence(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
 		quiet := time.Since(p.start) - time.Duration(p.alive.Load())
-		if quiet >= p.Silence {
+		if quiet >= p.SilenceTimeout {
 			cancel(ErrSilent)
 			return
 		}
-		if !pause.For(ctx, p.Silence-quiet) {
+		if !pause.For(ctx, p.SilenceTimeout-quiet) {
 			return
 		}
 	}
@@ -127,8 +127,8 @@
 
 func (p *Pump[Out, In]) sendLoop(ctx context.Context) error {
 	var beats <-chan time.Time
-	if p.Beat != nil {
-		ticker := time.NewTicker(p.BeatInterval)
+	if p.Heartbeat != nil {
+		ticker := time.NewTicker(p.HeartbeatInterval)
 		defer ticker.Stop()
 		beats = ticker.C
 	}
@@ -136,7 +136,7 @@
 	if p.Urgent != nil {
 		urgent = p.Urgent.C()
 	}
-	batch := make([]Out, 0, BatchMessages)
+	batch := make([]Out, 0, MaxBatchMessages)
 	for {
 		batch = batch[:0]
 		select {
@@ -145,7 +145,7 @@
 		case item := <-urgent:
 			batch = append(batch, item)
 		case <-beats:
-			batch = append(batch, p.Beat())
+			batch = append(batch, p.Heartbeat())
 		case item := <-p.Ring.C():
 			batch = append(batch, item)
 		}
@@ -158,7 +158,7 @@
 // sendBatch adds what else waits to the batch, up to the bounds, and sends it.
 func (p *Pump[Out, In]) sendBatch(urgent <-chan Out, batch []Out) error {
 	size := p.size(batch[0])
-	for len(batch) < BatchMessages && size < BatchBytes {
+	for len(batch) < MaxBatchMessages && size < MaxBatchBytes {
 		item, ok := next(urgent, p.Ring.C())
 		if !ok {
 			break
@@ -180,7 +180,7 @@
 	if !p.ordered() {
 		return cause
 	}
-	deadline := time.Now().Add(p.Flush)
+	deadline := time.Now().Add(p.FlushTimeout)
 	for time.Now().Before(deadline) {
 		item, ok := next(nil, p.Ring.C())
 		if !ok {
--- a/link/serve.go
+++ b/link/serve.go
@@ -41,15 +41,15 @@
 	}
 }
 
-// Refused is told of a peer whose TLS handshake failed, with its address. It may be called by several goroutines.
-type Refused func(peer net.Addr, err error)
+// RefusalHook is told of a peer whose TLS handshake failed, with its address. It may be called by several goroutines.
+type RefusalHook func(peer net.Addr, err error)
 
 // Serve is ServeAndTell for a server that tells nobody of the strangers it refuses.
 func Serve(ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error) error {
-	return ServeAndTell(ctx, listener, config, register, func(net.Addr, error) {})
+	return ServeWithRefusalHook(ctx, listener, config, register, func(net.Addr, error) {})
 }
 
-// ServeAndTell accepts connections on listener and serves what register adds to the mux, until ctx ends or listener fails.
+// ServeWithRefusalHook accepts connections on listener and serves what register adds to the mux, until ctx ends or listener fails.
 // At the end of ctx it closes the listener, tells the handlers (see Stopping), and closes after DefaultFlush the
 // connections that are left. It returns nil then.
 //
@@ -57,8 +57,8 @@
 // told: a process with a wrong or expired certificate would otherwise be missing with nobody knowing why. It fails with
 // ErrNoClientAuth if the configuration doesn't require and check one: who can reach the port could otherwise run work as
 // any entry.
-func ServeAndTell(
-	ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error, refused Refused,
+func ServeWithRefusalHook(
+	ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error, refused RefusalHook,
 ) error {
 	if config != nil && !refusesStrangers(config) {
 		return ErrNoClientAuth
@@ -90,7 +90,7 @@
 
 type server struct {
 	tls     *tls.Config
-	refused Refused
+	refused RefusalHook
 	drpc    *drpcserver.Server
 	wg      sync.WaitGroup
 }
@@ -131,7 +131,7 @@
 		s.wg.Wait()
 		close(done)
 	}()
-	timer := time.NewTimer(DefaultFlush)
+	timer := time.NewTimer(DefaultFlushTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
--- a/session/peer.go
+++ b/session/peer.go
@@ -92,15 +92,15 @@
 	p.session.followIfNone(p)
 	p.poll()
 	pump := &link.Pump[*wire.ClientMessage, *wire.ControlBatch]{
-		Send:         func(batch []*wire.ClientMessage) error { return stream.Send(&wire.ClientBatch{Messages: batch}) },
-		Recv:         stream.Recv,
-		Abort:        func() { conn.Close() },
-		Ring:         out,
-		Size:         func(m *wire.ClientMessage) int { return proto.Size(m) },
-		Beat:         p.pollMessage,
-		BeatInterval: p.session.cfg.PollInterval,
-		Receive:      p.receive,
-		Silence:      min(p.session.cfg.SilenceBound, DefaultSilenceBound),
+		Send:              func(batch []*wire.ClientMessage) error { return stream.Send(&wire.ClientBatch{Messages: batch}) },
+		Recv:              stream.Recv,
+		Abort:             func() { conn.Close() },
+		Ring:              out,
+		Size:              func(m *wire.ClientMessage) int { return proto.Size(m) },
+		Heartbeat:         p.pollMessage,
+		HeartbeatInterval: p.session.cfg.PollInterval,
+		Receive:           p.receive,
+		SilenceTimeout:    min(p.session.cfg.SilenceBound, DefaultSilenceBound),
 	}
 	return true, pump.Run(ctx)
 }
