--- a/link/agent_dialer.go
+++ b/link/agent_dialer.go
@@ -14,34 +14,35 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// AgentDialer is an entry's side of the link to one agent. It dials again after each loss, with a growing and jittered
-// wait. Network, Address, Hello, Up, Down and Receive are required.
+// AgentDialer is the entry's side of the link to one agent. It dials again after each loss, with exponential backoff and
+// jitter. Network, Address, Hello, Up, Down and Receive are required.
 //
-// For one link the calls come in this order: Up, any number of Receive, Down. Receive may be called for Messages and
-// Bulk at the same time; it may block, which holds the agent back, until its context ends.
+// For each link the calls come in this order: Up, any number of Receive, Down. Receive may be called for Messages and
+// Bulk at the same time. It may block until its context ends, which applies backpressure to the agent.
 type AgentDialer struct {
 	Network network.Network
 	TLS     *tls.Config
-	// Address is where the agent listens, an IP number and port.
+	// Address is the address of the agent, an IP number and port.
 	Address string
-	// Agent is the wanted instance; empty takes any. Another one at the address is left at once.
+	// Agent is the expected instance; empty accepts any. A link to any other instance is closed at once.
 	Agent string
-	// Hello makes the entry's own hello, also before each heartbeat, for the configuration version.
+	// Hello returns the entry's hello. It is called for the handshake and, for the configuration version, before each
+	// heartbeat.
 	Hello func() *wire.EntryHello
-	// Up and Down say that the link is open or lost.
+	// Up is called when the link is open, and Down when it is lost.
 	Up   func(ctx context.Context, hello *wire.AgentHello)
 	Down func(hello *wire.AgentHello, cause error)
-	// Receive takes a message of the agent, heartbeats included. An error ends the link.
+	// Receive handles a message of the agent, heartbeats included. An error ends the link.
 	Receive func(ctx context.Context, hello *wire.AgentHello, message *wire.AgentMessage) error
-	// OnDialError, if not nil, hears why a dial failed.
+	// OnDialError, if not nil, is called with the error of each failed dial.
 	OnDialError func(error)
-	// Timing has defaults for zero values.
+	// Timing gives the durations of the link; zero values mean the defaults.
 	Timing Timing
-	// Jitter gives a number in [0, 1) to spread the waits; nil means math/rand.
+	// Jitter returns a number in [0, 1) that spreads the backoff; nil means math/rand.
 	Jitter func() float64
 
 	current atomic.Pointer[agentLink]
-	refused atomic.Uint64
+	dropped atomic.Uint64
 }
 
 // Run keeps the link open until ctx ends, and returns the cause. It may be called once.
@@ -52,11 +53,11 @@
 	}
 	wait := d.Timing.RedialMin
 	for {
-		wasUp, err := d.once(ctx)
+		wasOpen, err := d.runLink(ctx)
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		if wasUp {
+		if wasOpen {
 			wait = d.Timing.RedialMin
 		} else if d.OnDialError != nil {
 			d.OnDialError(err)
@@ -70,33 +71,33 @@
 
 // jittered returns a time between half of wait and wait.
 //
-// Entries that lost an agent at the same moment would else dial it at the same moments for ever.
+// Without jitter, entries that lost an agent at the same moment would always dial it again at the same moments.
 func (d *AgentDialer) jittered(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(d.Jitter()*float64(wait/2))
 }
 
-// Send passes a message to an incarnation of the agent. It returns false, and counts it, if there is no open link to
-// that incarnation, its ring is full, or the message is over MaxMessage (MaxBody for a dispatched body). The message
-// must not be changed afterwards. It never blocks.
+// Send queues a message for an incarnation of the agent. It reports false, and counts the message as dropped, if there is
+// no open link to that incarnation, its ring is full, or the message is larger than MaxMessage (MaxBody for a dispatched
+// body). The message must not be changed afterwards. Send never blocks.
 //
-// A newer incarnation is taken as proof that what was sent to the older one is over. Without the check a dispatch meant
-// for the old one could reach the new one just after that, and run beside the next attempt.
+// A newer incarnation proves that everything sent to the older one is over. Without the check, a dispatch for the older
+// incarnation could reach the newer one just after that, and run beside the next attempt.
 func (d *AgentDialer) Send(incarnation uint64, message *wire.EntryMessage) bool {
 	l := d.current.Load()
 	if l == nil || l.hello.GetIncarnation() != incarnation || !l.send(message) {
-		d.refused.Add(1)
+		d.dropped.Add(1)
 		return false
 	}
 	return true
 }
 
-// DroppedMessages returns how many messages Send couldn't pass on.
+// DroppedMessages returns the number of messages that Send could not queue.
 func (d *AgentDialer) DroppedMessages() uint64 {
-	return d.refused.Load()
+	return d.dropped.Load()
 }
 
-// once dials and serves one link until it ends.
-func (d *AgentDialer) once(ctx context.Context) (wasUp bool, err error) {
+// runLink dials and serves one link until it ends. It reports whether the link was open.
+func (d *AgentDialer) runLink(ctx context.Context) (wasOpen bool, err error) {
 	l, err := d.dial(ctx)
 	if err != nil {
 		return false, err
@@ -113,7 +114,7 @@
 	return true, err
 }
 
-// dial opens both streams, Messages first, within Timing.Hello.
+// dial opens both streams, Messages first, within Timing.HandshakeTimeout.
 func (d *AgentDialer) dial(ctx context.Context) (*agentLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timing.HandshakeTimeout)
 	defer cancel()
--- a/link/agent_link.go
+++ b/link/agent_link.go
@@ -14,27 +14,27 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// agentLink is an entry's side of one link.
+// agentLink is the entry's side of one link.
 type agentLink struct {
 	dialer   *AgentDialer
 	hello    *wire.AgentHello
 	sequence atomic.Uint64
 
 	messages agentConn
-	long     agentConn
+	bulk     agentConn
 
-	flushes atomic.Int32
-	flushed chan struct{} // closed when both streams have sent what they held
+	flushedStreams atomic.Int32
+	flushed        chan struct{} // closed when both streams have sent their queued messages
 }
 
-// agentConn is one of the two streams.
+// agentConn is the connection, stream and outgoing ring of one of the two streams.
 type agentConn struct {
 	conn   *drpcconn.Conn
 	stream agentStream
 	ring   *ring.Ring[*wire.EntryMessage]
 }
 
-// agentStream is what both generated client types have.
+// agentStream is the common interface of the generated client streams.
 type agentStream interface {
 	Send(*wire.EntryBatch) error
 	Recv() (*wire.AgentBatch, error)
@@ -45,11 +45,11 @@
 		dialer:   d,
 		flushed:  make(chan struct{}),
 		messages: agentConn{ring: ring.New[*wire.EntryMessage]("link_messages", MessagesRingSize)},
-		long:     agentConn{ring: ring.New[*wire.EntryMessage]("link_bulk", BulkRingSize)},
+		bulk:     agentConn{ring: ring.New[*wire.EntryMessage]("link_bulk", BulkRingSize)},
 	}
 }
 
-// open dials both connections and exchanges hellos. The agent joins the two by the entry's hello.
+// open dials both connections and exchanges hellos. The agent matches the two streams by the entry's hello.
 func (l *agentLink) open(ctx context.Context) error {
 	hello, err := l.openStream(ctx, &l.messages, func(ctx context.Context, c wire.DRPCAgentLinkClient) (agentStream, error) {
 		return c.Messages(ctx)
@@ -58,27 +58,27 @@
 		return err
 	}
 	l.hello = hello
-	hello, err = l.openStream(ctx, &l.long, func(ctx context.Context, c wire.DRPCAgentLinkClient) (agentStream, error) {
+	hello, err = l.openStream(ctx, &l.bulk, func(ctx context.Context, c wire.DRPCAgentLinkClient) (agentStream, error) {
 		return c.Bulk(ctx)
 	})
 	if err != nil {
 		return err
 	}
 	if hello.GetAgent() != l.hello.GetAgent() || hello.GetIncarnation() != l.hello.GetIncarnation() {
-		return errors.Wrap(ErrProtocol, "the streams of a pair lead to different agents")
+		return errors.Wrap(ErrProtocol, "the two streams of the link lead to different agents")
 	}
 	return nil
 }
 
-type openCall func(context.Context, wire.DRPCAgentLinkClient) (agentStream, error)
+type openFunc func(context.Context, wire.DRPCAgentLinkClient) (agentStream, error)
 
-func (l *agentLink) openStream(ctx context.Context, c *agentConn, call openCall) (*wire.AgentHello, error) {
+func (l *agentLink) openStream(ctx context.Context, c *agentConn, call openFunc) (*wire.AgentHello, error) {
 	conn, err := Dial(ctx, l.dialer.Network, l.dialer.Address, l.dialer.TLS)
 	if err != nil {
 		return nil, err
 	}
 	c.conn = conn
-	// The hello is bounded by closing the connection, since the stream outlives ctx.
+	// The stream outlives ctx, so the timeout of the handshake closes the connection.
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	c.stream, err = call(context.WithoutCancel(ctx), wire.NewDRPCAgentLinkClient(conn))
@@ -105,7 +105,7 @@
 }
 
 func (l *agentLink) close() {
-	for _, c := range []*agentConn{&l.messages, &l.long} {
+	for _, c := range []*agentConn{&l.messages, &l.bulk} {
 		if c.conn != nil {
 			c.conn.Close()
 		}
@@ -120,7 +120,7 @@
 	var wg sync.WaitGroup
 	interval := l.dialer.Timing.HeartbeatInterval
 	wg.Go(func() { cancel(l.pump(ctx, &l.messages, interval, silence)) })
-	wg.Go(func() { cancel(l.pump(ctx, &l.long, interval*bulkSilenceFactor, silence*bulkSilenceFactor)) })
+	wg.Go(func() { cancel(l.pump(ctx, &l.bulk, interval*bulkSilenceFactor, silence*bulkSilenceFactor)) })
 	wg.Wait()
 	return context.Cause(ctx)
 }
@@ -131,8 +131,8 @@
 		batch.Messages = messages
 		return c.stream.Send(&batch)
 	}
-	if c == &l.long {
-		send = l.sendLong
+	if c == &l.bulk {
+		send = l.sendSplit
 	}
 	p := Pump[*wire.EntryMessage, *wire.AgentBatch]{
 		Send:              send,
@@ -140,10 +140,10 @@
 		Abort:             func() { c.conn.Close() },
 		Ring:              c.ring,
 		Size:              func(message *wire.EntryMessage) int { return proto.Size(message) },
-		Heartbeat:         l.beat,
+		Heartbeat:         l.heartbeat,
 		HeartbeatInterval: interval,
 		Receive: func(ctx context.Context, in *wire.AgentBatch) (bool, error) {
-			return l.receive(ctx, in, c == &l.long)
+			return l.receive(ctx, in, c == &l.bulk)
 		},
 		SilenceTimeout: silence,
 		FlushTimeout:   l.dialer.Timing.FlushTimeout,
@@ -152,10 +152,10 @@
 	return p.Run(ctx)
 }
 
-// waitForBothFlushes keeps a stream open until the other one is done as well, for Timing.Flush at most. The agent
-// gives a link up when it loses one of the streams, and would not read the rest of the other.
+// waitForBothFlushes keeps a stream open until the other one has sent its messages too, for Timing.FlushTimeout at most.
+// The agent ends a link when it loses one of the streams, and would then not read the rest of the other.
 func (l *agentLink) waitForBothFlushes() {
-	if l.flushes.Add(1) == 2 {
+	if l.flushedStreams.Add(1) == 2 {
 		close(l.flushed)
 	}
 	timer := time.NewTimer(l.dialer.Timing.FlushTimeout)
@@ -166,15 +166,15 @@
 	}
 }
 
-// sendLong sends each message of a batch in parts.
-func (l *agentLink) sendLong(messages []*wire.EntryMessage) error {
+// sendSplit sends each message of a batch, a long Dispatch in parts.
+func (l *agentLink) sendSplit(messages []*wire.EntryMessage) error {
 	var batch wire.EntryBatch
 	one := make([]*wire.EntryMessage, 1)
 	for _, message := range messages {
 		err := splitDispatch(message, func(part *wire.EntryMessage) error {
 			one[0] = part
 			batch.Messages = one
-			return l.long.stream.Send(&batch)
+			return l.bulk.stream.Send(&batch)
 		})
 		if err != nil {
 			return err
@@ -183,22 +183,23 @@
 	return nil
 }
 
-func (l *agentLink) beat() *wire.EntryMessage {
-	beat := &wire.EntryHeartbeat{
+func (l *agentLink) heartbeat() *wire.EntryMessage {
+	heartbeat := &wire.EntryHeartbeat{
 		Sequence:      l.sequence.Add(1),
 		ConfigVersion: l.dialer.Hello().GetConfigVersion(),
 	}
-	return &wire.EntryMessage{Kind: &wire.EntryMessage_Heartbeat{Heartbeat: beat}}
+	return &wire.EntryMessage{Kind: &wire.EntryMessage_Heartbeat{Heartbeat: heartbeat}}
 }
 
-// receive hands the messages of a batch on. Only an answered heartbeat counts as life: an agent that still sends, but
-// no longer hears this entry, will let its leases expire.
-func (l *agentLink) receive(ctx context.Context, in *wire.AgentBatch, long bool) (bool, error) {
+// receive delivers the messages of a batch. It reports whether the batch holds the answer to a heartbeat; no other message
+// proves that the agent is alive, since an agent that sends but does not receive from this entry lets the leases of the
+// entry expire.
+func (l *agentLink) receive(ctx context.Context, in *wire.AgentBatch, isBulk bool) (bool, error) {
 	alive := false
 	for _, message := range in.GetMessages() {
 		if message.GetHeartbeat() != nil {
 			alive = true
-			if long {
+			if isBulk {
 				continue
 			}
 		}
@@ -216,8 +217,8 @@
 	if tooLarge(message) {
 		return false
 	}
-	if entryLane(message) == laneBulk {
-		return l.long.ring.TryPush(message)
+	if entryMessageStream(message) == bulkStream {
+		return l.bulk.ring.TryPush(message)
 	}
 	return l.messages.ring.TryPush(message)
 }
--- a/link/bench_test.go
+++ b/link/bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// BenchmarkLink sends over TCP on loopback, from an entry to an agent.
+// BenchmarkLink measures sending over TCP on loopback, from an entry to an agent.
 func BenchmarkLink(b *testing.B) {
-	b.Run("short", func(b *testing.B) { benchmarkLink(b, cancelOf("r1")) })
-	b.Run("dispatch 1 KiB", func(b *testing.B) { benchmarkLink(b, dispatch("r1", 1<<10)) })
-	b.Run("dispatch 64 KiB", func(b *testing.B) { benchmarkLink(b, dispatch("r1", 64<<10)) })
+	b.Run("short", func(b *testing.B) { benchmarkLink(b, newCancel("r1")) })
+	b.Run("dispatch 1 KiB", func(b *testing.B) { benchmarkLink(b, newDispatch("r1", 1<<10)) })
+	b.Run("dispatch 64 KiB", func(b *testing.B) { benchmarkLink(b, newDispatch("r1", 64<<10)) })
 }
 
 func benchmarkLink(b *testing.B, message *wire.EntryMessage) {
@@ -43,16 +43,16 @@
 		Down:    func(*wire.AgentHello, error) {},
 		Receive: func(context.Context, *wire.AgentHello, *wire.AgentMessage) error { return nil },
 	}
-	stopServer := background(func(ctx context.Context) { _ = Serve(ctx, listener, nil, server.Register) })
-	stopDialer := background(func(ctx context.Context) { _ = dialer.Run(ctx) })
+	stopServer := runInBackground(func(ctx context.Context) { _ = Serve(ctx, listener, nil, server.Register) })
+	stopDialer := runInBackground(func(ctx context.Context) { _ = dialer.Run(ctx) })
 	defer stopServer()
 	defer stopDialer()
 	<-up
 
 	l := dialer.current.Load()
 	target := l.messages.ring
-	if entryLane(message) == laneBulk {
-		target = l.long.ring
+	if entryMessageStream(message) == bulkStream {
+		target = l.bulk.ring
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/link/bodies_test.go
+++ b/link/body_assembler_test.go
@@ -10,8 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// parts splits a dispatch as a link does.
-func parts(t testing.TB, m *wire.EntryMessage) []*wire.EntryMessage {
+// splitParts splits a dispatch as a link does.
+func splitParts(t testing.TB, m *wire.EntryMessage) []*wire.EntryMessage {
 	t.Helper()
 	var all []*wire.EntryMessage
 	err := splitDispatch(m, func(part *wire.EntryMessage) error {
@@ -22,39 +22,39 @@
 	return all
 }
 
-func feed(b *BodyAssembler, m *wire.EntryMessage) (*wire.Dispatch, error) {
+func addPart(b *BodyAssembler, m *wire.EntryMessage) (*wire.Dispatch, error) {
 	if d := m.GetDispatch(); d != nil {
 		return b.AddDispatch(d)
 	}
 	return b.AddChunk(m.GetBody())
 }
 
-func TestBodiesOfSeveralRequestsInterleave(t *testing.T) {
-	first, second := dispatch("r1", 100_000), dispatch("r2", 50_000)
-	p1, p2 := parts(t, first), parts(t, second)
+func TestInterleavedBodiesAreAssembled(t *testing.T) {
+	first, second := newDispatch("r1", 100_000), newDispatch("r2", 50_000)
+	p1, p2 := splitParts(t, first), splitParts(t, second)
 	b := NewBodyAssembler()
-	whole := map[string]*wire.Dispatch{}
+	complete := map[string]*wire.Dispatch{}
 	for i := range max(len(p1), len(p2)) {
 		for _, p := range [][]*wire.EntryMessage{p1, p2} {
 			if i >= len(p) {
 				continue
 			}
-			d, err := feed(b, p[i])
+			d, err := addPart(b, p[i])
 			require.NoError(t, err)
 			if d != nil {
-				whole[d.GetAttempt().GetRequest()] = d
+				complete[d.GetAttempt().GetRequest()] = d
 			}
 		}
 	}
-	require.Equal(t, first.GetDispatch().GetBody(), whole["r1"].GetBody())
-	require.Equal(t, second.GetDispatch().GetBody(), whole["r2"].GetBody())
+	require.Equal(t, first.GetDispatch().GetBody(), complete["r1"].GetBody())
+	require.Equal(t, second.GetDispatch().GetBody(), complete["r2"].GetBody())
 	require.Zero(t, b.Pending())
 	require.Zero(t, b.bytes)
 }
 
-// Symptom: a body that is damaged, or larger than what memory holds, gets to an engine or stops the agent. Sequence:
-// as each row. Cause: a part is taken without a look at what came before it.
-func TestBodiesRefuseWhatDoesNotFit(t *testing.T) {
+// Guards against a damaged body that reaches an engine, and against a body larger than the memory limit that stops the
+// agent. Each case is a part that does not fit the parts before it.
+func TestBodyAssemblerRefusesInvalidParts(t *testing.T) {
 	chunk := func(m *wire.EntryMessage, change func(*wire.BodyChunk)) { change(m.GetBody()) }
 	cases := map[string]struct {
 		change func(p []*wire.EntryMessage)
@@ -74,11 +74,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := NewBodyAssembler()
-			p := parts(t, dispatch("r1", 100_000))
+			p := splitParts(t, newDispatch("r1", 100_000))
 			c.change(p)
 			var failure error
 			for _, m := range p {
-				d, err := feed(b, m)
+				d, err := addPart(b, m)
 				require.Nil(t, d)
 				if err != nil {
 					failure = err
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBodiesAreBounded(t *testing.T) {
+func TestPendingBodiesAreBounded(t *testing.T) {
 	b := NewBodyAssembler()
 	refused := 0
 	for i := range 2 * MaxPendingBodies / MaxBody {
@@ -108,7 +108,7 @@
 	require.Equal(t, MaxPendingBodies/MaxBody-2, b.Pending())
 }
 
-// FuzzBodies feeds parts in any order, with any sizes, and wants what comes out to be what went in.
+// FuzzBodies adds parts in any order and size, and requires that a complete body equals the body that was sent.
 func FuzzBodies(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, uint32(90_000), uint32(0))
 	f.Add([]byte{0, 0, 1, 1, 3, 2}, uint32(70_000), uint32(1))
@@ -116,8 +116,8 @@
 	f.Fuzz(func(t *testing.T, order []byte, size, cut uint32) {
 		size %= 200_000
 		b := NewBodyAssembler()
-		sent := dispatch("r1", int(size))
-		all := parts(t, sent)
+		sent := newDispatch("r1", int(size))
+		all := splitParts(t, sent)
 		for _, at := range order {
 			m := all[int(at)%len(all)]
 			if c := m.GetBody(); c != nil && cut > 0 && at > 200 {
@@ -131,7 +131,7 @@
 			if d := m.GetDispatch(); d != nil {
 				m = &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: withBody(d)}}
 			}
-			d, err := feed(b, m)
+			d, err := addPart(b, m)
 			require.False(t, d != nil && err != nil)
 			if d != nil {
 				require.True(t, bytes.Equal(sent.GetDispatch().GetBody(), d.GetBody()))
@@ -143,7 +143,7 @@
 	})
 }
 
-// withBody returns a copy, since Bodies fills the body of what it is given.
+// withBody returns a copy, since BodyAssembler sets the body of the Dispatch it is given.
 func withBody(d *wire.Dispatch) *wire.Dispatch {
 	c := withoutBody(d)
 	c.Body = d.GetBody()
--- a/link/dial.go
+++ b/link/dial.go
@@ -14,18 +14,19 @@
 	"github.com/carawaypitch/carawaypitch/network"
 )
 
-// dialTimeout bounds the opening of a connection between two processes of the deployment, and allows for several round
+// dialTimeout bounds the opening of a connection between two processes of the deployment. It allows for several round
 // trips between regions.
 //
-// An instance that is just starting drops the opening packet, which TCP repeats only after a second: a process that
-// waited for that would be cut off for as long. A second dial gets through at once.
+// A starting instance drops the SYN packet, and TCP retransmits it only after a second. A process that waited for the
+// retransmission would be cut off for that long; a second dial succeeds at once.
 const dialTimeout = 400 * time.Millisecond
 
-// Dial opens a drpc connection to addr, an IP number and port. With a TLS configuration the handshake is part of
-// it; an empty ServerName means the host of addr. The context and dialTimeout bound the dialling only.
+// Dial opens a drpc connection to addr, an IP number and port. With a TLS configuration it includes the handshake, and an
+// empty ServerName means the host of addr. dialTimeout bounds the opening of the connection, network.DialTimeout the
+// handshake, and ctx both. The connection outlives ctx.
 //
-// With TLS 1.3 a server that refuses this side's certificate says so after the handshake: then Dial succeeds and
-// the first call fails.
+// With TLS 1.3 a server that refuses the certificate of this side reports it after the handshake: Dial then succeeds,
+// and the first call fails.
 func Dial(ctx context.Context, n network.Network, addr string, config *tls.Config) (*drpcconn.Conn, error) {
 	opening, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -42,7 +43,7 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// clientHandshake closes conn when it fails.
+// clientHandshake returns the TLS connection over conn. It closes conn if the handshake fails.
 func clientHandshake(ctx context.Context, conn net.Conn, addr string, config *tls.Config) (net.Conn, error) {
 	config = config.Clone()
 	if config.ServerName == "" {
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,45 +1,46 @@
-// Package link connects two processes of carawaypitch with drpc.
+// Package link connects processes of carawaypitch over drpc.
 //
-// Between an entry and an agent runs a link: two connections, one stream each. Messages carries what is short, Bulk
-// what is longer than ShortBound. With one stream a gate check would wait behind a long application packet
-// (head-of-line blocking); one would notice it as gate checks that are late only while long bodies are under way.
+// An entry and an agent are connected by a link: two connections with one stream each. The Messages stream carries
+// short messages, and the Bulk stream carries messages longer than MaxShortMessage. On a single stream, a gate check
+// would wait behind a long application packet (head-of-line blocking), and gate checks would be late only while long
+// bodies are being sent.
 //
-// The two streams may overtake each other, so the order within a link is:
+// Messages of one stream may overtake those of the other, so the order within a link is:
 //
-//   - A Dispatch with a short body goes on Messages. One with a long body goes on Bulk as a whole: the Dispatch
-//     without its body, then its BodyChunks. The receiver passes it on only when the body is whole and its digest
-//     holds (see Bodies). A Cancel goes on Messages and may overtake it; the gate's tombstone then refuses it.
-//   - All frames of one attempt, and the Over after them, go on the stream that the first of them chose by its
-//     size. So they arrive in order, and an Over never comes before the last frame of its attempt.
-//   - Everything else is short and has no order towards Bulk.
+//   - A Dispatch with a short body goes on Messages. One with a long body goes on Bulk in parts: the Dispatch without
+//     its body, then its BodyChunks. The receiver delivers it only when the body is complete and its digest matches
+//     (see BodyAssembler). A Cancel goes on Messages and may overtake it; the tombstone of the gate then refuses it.
+//   - All frames of one attempt, and the Over after them, go on the stream chosen by the size of the first frame.
+//     They therefore arrive in order, and an Over never arrives before the last frame of its attempt.
+//   - All other messages are short and have no order relative to Bulk.
 //
-// A message that can't be sent is dropped and counted, never waited for. Protocols above repeat what matters, or
-// cover it by a lease.
+// A message that cannot be sent is dropped and counted; senders never wait. The protocols above repeat what matters,
+// or cover its loss by a lease.
 package link
 
 import "time"
 
-// Bounds of what is sent at once.
+// Limits of messages and batches.
 const (
-	// MaxShortMessage is the size in bytes from which on a message goes on the Bulk stream.
+	// MaxShortMessage is the largest size in bytes of a body or frame that goes on the Messages stream.
 	MaxShortMessage = 8 << 10
-	// MaxChunkBytes is the size of a BodyChunk's data.
+	// MaxChunkBytes is the maximum size of the data of a BodyChunk.
 	MaxChunkBytes = 32 << 10
-	// MaxBatchBytes and BatchMessages bound a batch. A single larger message makes a batch of its own.
+	// MaxBatchBytes and MaxBatchMessages bound a batch. A larger message makes up a batch of its own.
 	MaxBatchBytes    = 64 << 10
 	MaxBatchMessages = 256
-	// MaxMessage bounds one message in bytes. A larger one is refused by the sender.
+	// MaxMessage is the maximum size of a message in bytes. The sender refuses a larger one.
 	MaxMessage = 3 << 20
-	// maxPacket bounds what the receiver takes for one batch.
+	// maxPacket bounds the buffer of the receiver for one batch.
 	maxPacket = MaxMessage + MaxBatchBytes + 64<<10
 )
 
-// Bounds of what is held in memory for one link.
+// Limits of the memory held for one link.
 const (
-	// MessagesRingSize and BulkRing are the capacities of the outgoing rings.
+	// MessagesRingSize and BulkRingSize are the capacities of the outgoing rings.
 	MessagesRingSize = 4096
 	BulkRingSize     = 256
-	// MaxBody bounds one dispatched body in bytes, MaxPendingBodies all that are incomplete.
+	// MaxBody is the maximum size of a dispatched body in bytes, and MaxPendingBodies of all incomplete bodies together.
 	MaxBody          = 16 << 20
 	MaxPendingBodies = 64 << 20
 )
@@ -48,14 +49,14 @@
 type Timing struct {
 	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
-	// MaxMissedHeartbeats is after how many intervals without a heartbeat a link is down.
+	// MaxMissedHeartbeats is the number of intervals without a heartbeat after which a link is down.
 	MaxMissedHeartbeats int
 	// HandshakeTimeout bounds the time from dialling until both streams are open.
 	HandshakeTimeout time.Duration
-	// RedialMin and RedialMax bound the wait before another dial.
+	// RedialMin and RedialMax bound the backoff between dials.
 	RedialMin time.Duration
 	RedialMax time.Duration
-	// FlushTimeout bounds the sending of what is left when a link ends by order.
+	// FlushTimeout bounds the sending of queued messages when a link is stopped.
 	FlushTimeout time.Duration
 }
 
@@ -69,11 +70,11 @@
 	DefaultFlushTimeout        = 500 * time.Millisecond
 )
 
-// bulkSilenceFactor lengthens the silence bound of the Bulk stream, where a heartbeat may wait behind a body, and with it the
-// interval of its heartbeats.
+// bulkSilenceFactor multiplies the heartbeat interval and the silence timeout of the Bulk stream, on which a heartbeat may
+// wait behind a body.
 const bulkSilenceFactor = 4
 
-// WithDefaults returns t with the defaults in place of zero values.
+// WithDefaults returns t with the defaults in place of zero and negative values.
 func (t Timing) WithDefaults() Timing {
 	setDefault(&t.HeartbeatInterval, DefaultHeartbeatInterval)
 	setDefault(&t.MaxMissedHeartbeats, DefaultMaxMissedHeartbeats)
@@ -84,7 +85,7 @@
 	return t
 }
 
-// SilenceTimeout is how long a link may be silent before it is down.
+// SilenceTimeout returns how long a link may go without a heartbeat before it is down.
 func (t Timing) SilenceTimeout() time.Duration {
 	return t.HeartbeatInterval * time.Duration(t.MaxMissedHeartbeats)
 }
--- a/link/entry_link.go
+++ b/link/entry_link.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// urgentRing is the capacity of the ring for answers to heartbeats.
+// urgentRing is the capacity of the ring for heartbeat answers.
 const urgentRing = 4
 
 // entryLink is the agent's side of one link.
@@ -22,21 +22,21 @@
 	id     EntryID
 	hello  *wire.EntryHello
 
-	ctx    context.Context // of the Messages stream, ends with the link
-	cancel context.CancelCauseFunc
-	joined bool          // guarded by server.mu
-	bulk   chan struct{} // closed when the Bulk stream has joined
-	up     chan struct{} // closed when Up was called
-	gone   chan struct{} // closed when Down was called and the name is free
-	isUp   atomic.Bool
-	duties sync.WaitGroup
+	ctx          context.Context // of the Messages stream, ends with the link
+	cancel       context.CancelCauseFunc
+	hasBulk      bool          // Bulk stream assigned; guarded by server.mu
+	bulkJoined   chan struct{} // closed when the Bulk stream has joined
+	up           chan struct{} // closed after the call of Up
+	closed       chan struct{} // closed after the call of Down, when the name is free
+	isUp         atomic.Bool
+	bulkHandlers sync.WaitGroup
 
-	streamsEnded atomic.Int32
+	endedStreams atomic.Int32
 
 	messages agentRings
-	long     agentRings
+	bulk     agentRings
 	sendMu   sync.Mutex
-	lanes    agentLanes
+	streams  streamChoices
 
 	bodyMu sync.Mutex
 	bodies *BodyAssembler
@@ -57,18 +57,18 @@
 func newEntryLink(ctx context.Context, s *EntryServer, hello *wire.EntryHello) *entryLink {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &entryLink{
-		server:   s,
-		id:       EntryID{Name: hello.GetEntry(), Incarnation: hello.GetIncarnation()},
-		hello:    hello,
-		ctx:      ctx,
-		cancel:   cancel,
-		bulk:     make(chan struct{}),
-		up:       make(chan struct{}),
-		gone:     make(chan struct{}),
-		messages: newAgentRings("link_messages", MessagesRingSize),
-		long:     newAgentRings("link_bulk", BulkRingSize),
-		lanes:    make(agentLanes),
-		bodies:   NewBodyAssembler(),
+		server:     s,
+		id:         EntryID{Name: hello.GetEntry(), Incarnation: hello.GetIncarnation()},
+		hello:      hello,
+		ctx:        ctx,
+		cancel:     cancel,
+		bulkJoined: make(chan struct{}),
+		up:         make(chan struct{}),
+		closed:     make(chan struct{}),
+		messages:   newAgentRings("link_messages", MessagesRingSize),
+		bulk:       newAgentRings("link_bulk", BulkRingSize),
+		streams:    make(streamChoices),
+		bodies:     NewBodyAssembler(),
 	}
 }
 
@@ -90,9 +90,9 @@
 	close(l.up)
 
 	timing := l.server.Timing
-	err := l.pump(stream, l.messages, timing.SilenceTimeout(), l.receiveShort)
-	l.ended(err)
-	l.duties.Wait()
+	err := l.pump(stream, l.messages, timing.SilenceTimeout(), l.receiveMessages)
+	l.streamEnded(err)
+	l.bulkHandlers.Wait()
 	err = context.Cause(l.ctx)
 	l.server.Down(l.id, err)
 	return err
@@ -102,7 +102,7 @@
 	timer := time.NewTimer(l.server.Timing.HandshakeTimeout)
 	defer timer.Stop()
 	select {
-	case <-l.bulk:
+	case <-l.bulkJoined:
 		return true
 	case <-timer.C:
 		return false
@@ -111,11 +111,11 @@
 	}
 }
 
-// runBulk serves the Bulk stream. It returns only after the link's end.
+// runBulk serves the Bulk stream. It returns only after the end of the link.
 func (l *entryLink) runBulk(stream entryStream) error {
-	l.duties.Add(1)
-	defer l.duties.Done()
-	close(l.bulk)
+	l.bulkHandlers.Add(1)
+	defer l.bulkHandlers.Done()
+	close(l.bulkJoined)
 	select {
 	case <-l.up:
 	case <-l.ctx.Done():
@@ -125,16 +125,16 @@
 		l.fail(err)
 		return err
 	}
-	err := l.pump(stream, l.long, l.server.Timing.SilenceTimeout()*bulkSilenceFactor, l.receiveLong)
-	l.ended(err)
+	err := l.pump(stream, l.bulk, l.server.Timing.SilenceTimeout()*bulkSilenceFactor, l.receiveBulk)
+	l.streamEnded(err)
 	return err
 }
 
-// ended fails the link when one of its streams has ended. It first lets the other one read what the entry sent before
-// it closed both, for Timing.Flush at most; else the last messages of an entry that stops would be lost at random.
-func (l *entryLink) ended(err error) {
+// streamEnded fails the link after one of its streams has ended. It first lets the other stream read what the entry sent
+// before it closed both, for Timing.FlushTimeout at most; otherwise a stopping entry could lose its last messages.
+func (l *entryLink) streamEnded(err error) {
 	l.isUp.Store(false)
-	if l.streamsEnded.Add(1) == 2 {
+	if l.endedStreams.Add(1) == 2 {
 		l.fail(err)
 	}
 	if !errors.Is(err, ErrSilent) {
@@ -143,9 +143,9 @@
 	l.fail(err)
 }
 
-type entryReceive func(ctx context.Context, message *wire.EntryMessage) error
+type receiveFunc func(ctx context.Context, message *wire.EntryMessage) error
 
-func (l *entryLink) pump(stream entryStream, rings agentRings, silence time.Duration, receive entryReceive) error {
+func (l *entryLink) pump(stream entryStream, rings agentRings, silence time.Duration, receive receiveFunc) error {
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	defer cancel(nil)
 	stop := Stopping(stream.Context())
@@ -176,13 +176,14 @@
 	return p.Run(ctx)
 }
 
-// receive answers heartbeats and hands the messages of a batch on. Only a heartbeat counts as life.
-func (l *entryLink) receive(ctx context.Context, in *wire.EntryBatch, rings agentRings, next entryReceive) (bool, error) {
+// receive answers heartbeats and delivers the messages of a batch. It reports whether the batch holds a heartbeat; no
+// other message proves that the entry is alive.
+func (l *entryLink) receive(ctx context.Context, in *wire.EntryBatch, rings agentRings, next receiveFunc) (bool, error) {
 	alive := false
 	for _, message := range in.GetMessages() {
-		if beat := message.GetHeartbeat(); beat != nil {
+		if heartbeat := message.GetHeartbeat(); heartbeat != nil {
 			alive = true
-			rings.urgent.TryPush(l.answerBeat(beat))
+			rings.urgent.TryPush(l.answerHeartbeat(heartbeat))
 		}
 		if err := next(ctx, message); err != nil {
 			return alive, err
@@ -191,16 +192,16 @@
 	return alive, nil
 }
 
-func (l *entryLink) answerBeat(beat *wire.EntryHeartbeat) *wire.AgentMessage {
+func (l *entryLink) answerHeartbeat(heartbeat *wire.EntryHeartbeat) *wire.AgentMessage {
 	answer := &wire.AgentHeartbeat{
-		Sequence:      beat.GetSequence(),
+		Sequence:      heartbeat.GetSequence(),
 		ConfigVersion: l.server.Hello().GetConfigVersion(),
 	}
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Heartbeat{Heartbeat: answer}}
 }
 
-// receiveShort takes a message of the Messages stream.
-func (l *entryLink) receiveShort(ctx context.Context, message *wire.EntryMessage) error {
+// receiveMessages handles a message of the Messages stream.
+func (l *entryLink) receiveMessages(ctx context.Context, message *wire.EntryMessage) error {
 	switch kind := message.GetKind().(type) {
 	case *wire.EntryMessage_Dispatch:
 		return l.dispatch(ctx, message)
@@ -214,8 +215,8 @@
 	return l.server.Receive(ctx, l.id, message)
 }
 
-// receiveLong takes a message of the Bulk stream.
-func (l *entryLink) receiveLong(ctx context.Context, message *wire.EntryMessage) error {
+// receiveBulk handles a message of the Bulk stream.
+func (l *entryLink) receiveBulk(ctx context.Context, message *wire.EntryMessage) error {
 	switch kind := message.GetKind().(type) {
 	case *wire.EntryMessage_Dispatch:
 		return l.dispatch(ctx, message)
@@ -223,9 +224,9 @@
 		l.bodyMu.Lock()
 		d, err := l.bodies.AddChunk(kind.Body)
 		l.bodyMu.Unlock()
-		return l.passOn(ctx, d, err)
+		return l.deliver(ctx, d, err)
 	case *wire.EntryMessage_Heartbeat:
-		// The one on Messages renews the leases.
+		// The heartbeat on Messages renews the leases.
 		return nil
 	default:
 		return ErrProtocol
@@ -236,11 +237,11 @@
 	l.bodyMu.Lock()
 	d, err := l.bodies.AddDispatch(message.GetDispatch())
 	l.bodyMu.Unlock()
-	return l.passOn(ctx, d, err)
+	return l.deliver(ctx, d, err)
 }
 
-// passOn hands a whole dispatch on, or the cancel of one that can't become whole.
-func (l *entryLink) passOn(ctx context.Context, d *wire.Dispatch, err error) error {
+// deliver passes on a complete dispatch, or the cancel of a refused one. It does nothing if both d and err are nil.
+func (l *entryLink) deliver(ctx context.Context, d *wire.Dispatch, err error) error {
 	if err != nil {
 		cancel, ok := asCancel(err)
 		if !ok {
@@ -254,7 +255,7 @@
 	return l.server.Receive(ctx, l.id, &wire.EntryMessage{Kind: &wire.EntryMessage_Dispatch{Dispatch: d}})
 }
 
-// send chooses the stream and pushes the message.
+// send queues a message on its stream. It reports false if the message is too large or the ring is full.
 func (l *entryLink) send(message *wire.AgentMessage) bool {
 	size := agentMessageSize(message)
 	if size > MaxMessage {
@@ -262,8 +263,8 @@
 	}
 	l.sendMu.Lock()
 	defer l.sendMu.Unlock()
-	if l.lanes.choose(message, size) == laneBulk {
-		return l.long.normal.TryPush(message)
+	if l.streams.choose(message, size) == bulkStream {
+		return l.bulk.normal.TryPush(message)
 	}
 	return l.messages.normal.TryPush(message)
 }
--- a/link/entry_server.go
+++ b/link/entry_server.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// EntryID names one run of an entry process. A restarted entry is another one.
+// EntryID identifies one run of an entry process. A restarted entry has another incarnation.
 type EntryID struct {
 	Name        string
 	Incarnation uint64
@@ -21,30 +21,30 @@
 
 // EntryServer is the agent's side of the links to all entries. Hello, Up, Down and Receive are required.
 //
-// For one link the calls come in this order: Up, any number of Receive, Down. If an entry opens a new link, Down of the
-// old one comes before Up of the new one. Receive may be called for Messages and Bulk at the same time, and by
-// several links; it may block, which holds that entry back, until its context ends.
+// For each link the calls come in this order: Up, any number of Receive, Down. If an entry opens a new link, Down of the
+// old one comes before Up of the new one. Receive may be called for Messages and Bulk at the same time, and for several
+// links. It may block until its context ends, which applies backpressure to that entry.
 type EntryServer struct {
-	// Hello makes the agent's own hello.
+	// Hello returns the agent's hello.
 	Hello func() *wire.AgentHello
-	// Admit refuses an entry by an error; nil admits all. It is asked for each stream, and may be called at any time.
+	// Admit refuses an entry by an error; nil admits all. It is called for each stream, possibly at the same time.
 	Admit func(hello *wire.EntryHello) error
-	// Up and Down say that an entry's link is open or lost.
+	// Up is called when the link of an entry is open, and Down when it is lost.
 	Up   func(ctx context.Context, hello *wire.EntryHello)
 	Down func(id EntryID, cause error)
-	// Receive takes a message of an entry, heartbeats included; the link has answered those. A Dispatch is whole and
-	// its digest holds. There are no BodyChunks. An error ends the link.
+	// Receive handles a message of an entry, heartbeats included; the link has answered those. A Dispatch is complete
+	// and its digest verified. BodyChunks are not passed on. An error ends the link.
 	Receive func(ctx context.Context, id EntryID, message *wire.EntryMessage) error
-	// Timing has defaults for zero values.
+	// Timing gives the durations of the links; zero values mean the defaults.
 	Timing Timing
 
 	mu      sync.Mutex
 	links   map[string]*entryLink // by entry name
-	refused atomic.Uint64
+	dropped atomic.Uint64
 }
 
-// Register adds the server to a mux; see Serve. Send, Broadcast and Entries may be called before and meanwhile: an
-// agent's gates have something to say before its links are served.
+// Register adds the server to a mux; see Serve. Send, Broadcast and Entries may be called before and at the same time,
+// since the gates of an agent send messages before its links are served.
 func (s *EntryServer) Register(mux *drpcmux.Mux) error {
 	s.Timing = s.Timing.WithDefaults()
 	s.mu.Lock()
@@ -53,18 +53,19 @@
 	return wire.DRPCRegisterAgentLink(mux, entryService{s})
 }
 
-// Send passes a message to an entry. It returns false, and counts it, if that incarnation has no open link, its ring
-// is full, or the message is over MaxMessage. The message must not be changed afterwards. It never blocks.
+// Send queues a message for an entry. It reports false, and counts the message as dropped, if that incarnation has no open
+// link, its ring is full, or the message is larger than MaxMessage. The message must not be changed afterwards. Send never
+// blocks.
 func (s *EntryServer) Send(id EntryID, message *wire.AgentMessage) bool {
-	l := s.open(id)
+	l := s.openLink(id)
 	if l == nil || !l.send(message) {
-		s.refused.Add(1)
+		s.dropped.Add(1)
 		return false
 	}
 	return true
 }
 
-// Broadcast passes a message to all entries with an open link. It returns how many took it.
+// Broadcast queues a message for all entries with an open link. It returns the number of links that accepted it.
 func (s *EntryServer) Broadcast(message *wire.AgentMessage) int {
 	sent := 0
 	for _, id := range s.Entries() {
@@ -75,7 +76,7 @@
 	return sent
 }
 
-// Entries returns the entries with an open link, in no order.
+// Entries returns the entries with an open link, in no particular order.
 func (s *EntryServer) Entries() []EntryID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,12 +89,12 @@
 	return ids
 }
 
-// DroppedMessages returns how many messages Send couldn't pass on.
+// DroppedMessages returns the number of messages that Send could not queue.
 func (s *EntryServer) DroppedMessages() uint64 {
-	return s.refused.Load()
+	return s.dropped.Load()
 }
 
-func (s *EntryServer) open(id EntryID) *entryLink {
+func (s *EntryServer) openLink(id EntryID) *entryLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.links[id.Name]
@@ -103,9 +104,9 @@
 	return l
 }
 
-// begin makes the link of a new Messages stream. An older link of the same entry ends first: the entry dials anew
-// only when it has given the old one up, which this side may not have noticed yet.
-func (s *EntryServer) begin(ctx context.Context, hello *wire.EntryHello) (*entryLink, error) {
+// addLink adds the link of a new Messages stream. It first ends an older link of the same entry: the entry dials again only
+// after it has given up the old link, which this side may not have detected yet.
+func (s *EntryServer) addLink(ctx context.Context, hello *wire.EntryHello) (*entryLink, error) {
 	l := newEntryLink(ctx, s, hello)
 	for {
 		s.mu.Lock()
@@ -121,71 +122,71 @@
 		}
 		old.fail(ErrReplaced)
 		select {
-		case <-old.gone:
+		case <-old.closed:
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
 	}
 }
 
-// join finds the link that waits for its Bulk stream.
-func (s *EntryServer) join(hello *wire.EntryHello) (*entryLink, error) {
+// claimBulk returns the link that waits for this Bulk stream, and an error if there is none.
+func (s *EntryServer) claimBulk(hello *wire.EntryHello) (*entryLink, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.links[hello.GetEntry()]
-	if l == nil || l.id.Incarnation != hello.GetIncarnation() || l.joined {
+	if l == nil || l.id.Incarnation != hello.GetIncarnation() || l.hasBulk {
 		return nil, errors.Wrap(ErrProtocol, "no link waits for this bulk stream")
 	}
-	l.joined = true
+	l.hasBulk = true
 	return l, nil
 }
 
-func (s *EntryServer) end(l *entryLink) {
+func (s *EntryServer) removeLink(l *entryLink) {
 	s.mu.Lock()
 	delete(s.links, l.id.Name)
 	s.mu.Unlock()
-	close(l.gone)
+	close(l.closed)
 }
 
-// entryService implements the generated interface.
+// entryService implements the generated server interface.
 type entryService struct{ s *EntryServer }
 
-// entryStream is what both generated stream types have.
+// entryStream is the common interface of the generated server streams.
 type entryStream interface {
 	Context() context.Context
 	Send(*wire.AgentBatch) error
 	Recv() (*wire.EntryBatch, error)
 }
 
-// Messages serves the first stream of a link, and owns the link.
+// Messages serves the first stream of a link, for the lifetime of the link.
 func (e entryService) Messages(stream wire.DRPCAgentLink_MessagesStream) error {
-	hello, err := e.s.hello(stream)
+	hello, err := e.s.readHello(stream)
 	if err != nil {
 		return err
 	}
-	l, err := e.s.begin(stream.Context(), hello)
+	l, err := e.s.addLink(stream.Context(), hello)
 	if err != nil {
 		return err
 	}
-	defer e.s.end(l)
+	defer e.s.removeLink(l)
 	return l.run(stream)
 }
 
 // Bulk serves the second stream of a link.
 func (e entryService) Bulk(stream wire.DRPCAgentLink_BulkStream) error {
-	hello, err := e.s.hello(stream)
+	hello, err := e.s.readHello(stream)
 	if err != nil {
 		return err
 	}
-	l, err := e.s.join(hello)
+	l, err := e.s.claimBulk(hello)
 	if err != nil {
 		return err
 	}
 	return l.runBulk(stream)
 }
 
-// hello reads the entry's hello. A peer that connects and says nothing is aborted after Timing.Hello.
-func (s *EntryServer) hello(stream entryStream) (*wire.EntryHello, error) {
+// readHello reads and admits the entry's hello. It aborts a peer that sends none within Timing.HandshakeTimeout.
+func (s *EntryServer) readHello(stream entryStream) (*wire.EntryHello, error) {
 	ctx := stream.Context()
 	timer := time.AfterFunc(s.Timing.HandshakeTimeout, func() { Abort(ctx) })
 	defer timer.Stop()
--- a/link/errors.go
+++ b/link/errors.go
@@ -2,16 +2,16 @@
 
 import "github.com/go-faster/errors"
 
-// Errors that end a link, to be matched with errors.Is.
+// Errors that end a link, for use with errors.Is.
 var (
-	// ErrSilent: no heartbeat came for Timing.Silence.
+	// ErrSilent means that no heartbeat arrived within the silence timeout.
 	ErrSilent = errors.New("link: no heartbeat")
-	// ErrProtocol: the peer sent what the protocol doesn't allow at that point.
+	// ErrProtocol means that the peer sent a message that the protocol does not allow at that point.
 	ErrProtocol = errors.New("link: protocol error")
-	// ErrReplaced: the same entry opened a newer link.
+	// ErrReplaced means that the same entry opened a newer link.
 	ErrReplaced = errors.New("link: replaced by a newer link")
-	// ErrOtherInstance: another instance than the wanted one answered at the address.
+	// ErrOtherInstance means that another instance than the expected one answered at the address.
 	ErrOtherInstance = errors.New("link: another instance answers at this address")
-	// ErrNoClientAuth: the TLS configuration of a server would let strangers in.
+	// ErrNoClientAuth means that the TLS configuration of a server would accept untrusted clients.
 	ErrNoClientAuth = errors.New("link: TLS without required client certificates")
 )
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -22,42 +22,42 @@
 	agentIncarnation = 7
 )
 
-// rig is one entry and one agent on a memory network.
-type rig struct {
-	net    *memory.Network
-	dialer *AgentDialer
-	server *EntryServer
+// testLink is one entry and one agent on a memory network.
+type testLink struct {
+	network *memory.Network
+	dialer  *AgentDialer
+	server  *EntryServer
 
 	mu      sync.Mutex
 	events  []string // of both sides, in order
 	toAgent []*wire.EntryMessage
 	toEntry []*wire.AgentMessage
-	causes  []error     // of the dialer's Down
-	downs   []time.Time // of the dialer's Down
+	causes  []error     // passed to the dialer's Down
+	downs   []time.Time // times of the calls of the dialer's Down
 
 	stopDialer func()
 }
 
-func (r *rig) note(format string, args ...any) {
+func (r *testLink) recordEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, fmt.Sprintf(format, args...))
 }
 
-func (r *rig) log() []string {
+func (r *testLink) eventLog() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.events...)
 }
 
-// newRig starts both sides; they are linked when it returns. It has to be called in a bubble.
-func newRig(t *testing.T) *rig {
+// newTestLink starts both sides and returns when they are linked. It must be called in a synctest bubble.
+func newTestLink(t *testing.T) *testLink {
 	t.Helper()
-	r := &rig{net: memory.New()}
+	r := &testLink{network: memory.New()}
 	r.server = &EntryServer{
 		Hello: func() *wire.AgentHello { return &wire.AgentHello{Agent: "agent-1", Incarnation: agentIncarnation} },
-		Up:    func(_ context.Context, h *wire.EntryHello) { r.note("agent: up %d", h.GetIncarnation()) },
-		Down:  func(id EntryID, _ error) { r.note("agent: down %d", id.Incarnation) },
+		Up:    func(_ context.Context, h *wire.EntryHello) { r.recordEvent("agent: up %d", h.GetIncarnation()) },
+		Down:  func(id EntryID, _ error) { r.recordEvent("agent: down %d", id.Incarnation) },
 		Receive: func(_ context.Context, _ EntryID, m *wire.EntryMessage) error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -68,12 +68,12 @@
 		},
 	}
 	r.dialer = &AgentDialer{
-		Network: r.net.Host(entryHost),
+		Network: r.network.Host(entryHost),
 		Agent:   "agent-1",
 		Hello:   func() *wire.EntryHello { return &wire.EntryHello{Entry: "entry-1", Incarnation: 1} },
-		Up:      func(_ context.Context, h *wire.AgentHello) { r.note("entry: up %d", h.GetIncarnation()) },
+		Up:      func(_ context.Context, h *wire.AgentHello) { r.recordEvent("entry: up %d", h.GetIncarnation()) },
 		Down: func(_ *wire.AgentHello, cause error) {
-			r.note("entry: down")
+			r.recordEvent("entry: down")
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.causes = append(r.causes, cause)
@@ -91,36 +91,36 @@
 	}
 	r.start(t)
 	synctest.Wait()
-	require.Equal(t, []string{"agent: up 1", "entry: up 7"}, r.log())
+	require.Equal(t, []string{"agent: up 1", "entry: up 7"}, r.eventLog())
 	return r
 }
 
-func (r *rig) start(t *testing.T) {
-	listener, err := r.net.Host(agentHost).Listen(agentHost + ":0")
+func (r *testLink) start(t *testing.T) {
+	listener, err := r.network.Host(agentHost).Listen(agentHost + ":0")
 	require.NoError(t, err)
 	r.dialer.Address = listener.Addr().String()
-	stopServer := background(func(ctx context.Context) {
+	stopServer := runInBackground(func(ctx context.Context) {
 		if err := Serve(ctx, listener, nil, r.server.Register); err != nil {
-			r.note("serve: %v", err)
+			r.recordEvent("serve: %v", err)
 		}
 	})
 	t.Cleanup(stopServer)
-	r.stopDialer = background(func(ctx context.Context) { _ = r.dialer.Run(ctx) })
+	r.stopDialer = runInBackground(func(ctx context.Context) { _ = r.dialer.Run(ctx) })
 	t.Cleanup(r.stopDialer)
 }
 
-// background runs a duty. The function that it returns stops the duty and waits for its end.
-func background(duty func(context.Context)) func() {
+// runInBackground starts run in a goroutine. The returned function cancels it and waits for its end.
+func runInBackground(run func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { duty(ctx) })
+	wg.Go(func() { run(ctx) })
 	return func() {
 		cancel()
 		wg.Wait()
 	}
 }
 
-func dispatch(request string, size int) *wire.EntryMessage {
+func newDispatch(request string, size int) *wire.EntryMessage {
 	body := make([]byte, size)
 	for i := range body {
 		body[i] = byte(i * 7)
@@ -135,14 +135,14 @@
 	}}}
 }
 
-func cancelOf(request string) *wire.EntryMessage {
+func newCancel(request string) *wire.EntryMessage {
 	return &wire.EntryMessage{Kind: &wire.EntryMessage_Cancel{Cancel: &wire.Cancel{
 		Attempt: &wire.AttemptID{Request: request, Number: 1},
 		Server:  "server-1",
 	}}}
 }
 
-func frame(request string, offset uint64, size int) *wire.AgentMessage {
+func newFrame(request string, offset uint64, size int) *wire.AgentMessage {
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Frame{Frame: &wire.Frame{
 		Attempt: &wire.AttemptID{Request: request, Number: 1},
 		Offset:  offset,
@@ -150,19 +150,19 @@
 	}}}
 }
 
-func over(request string) *wire.AgentMessage {
+func newOver(request string) *wire.AgentMessage {
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: &wire.Over{
 		Attempt: &wire.AttemptID{Request: request, Number: 1},
 		Proof:   wire.Proof_PROOF_COMPLETED,
 	}}}
 }
 
-func TestDispatchesArriveWhole(t *testing.T) {
+func TestDispatchesArriveComplete(t *testing.T) {
 	for _, size := range []int{0, 1, MaxShortMessage, MaxShortMessage + 1, MaxChunkBytes, MaxChunkBytes + 1, 5<<20 + 3} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
-				sent := dispatch("r1", size)
+				r := newTestLink(t)
+				sent := newDispatch("r1", size)
 				require.True(t, r.dialer.Send(agentIncarnation, sent))
 				synctest.Wait()
 				require.Len(t, r.toAgent, 1)
@@ -173,12 +173,12 @@
 	}
 }
 
-// Symptom: a gate check is late while an application packet is sent. Sequence: the packet's body is on its way, the
-// connection is full; a reservation is sent. Cause: both on one stream.
-func TestShortMessagePassesLongBody(t *testing.T) {
+// Guards against gate checks that are late while an application packet is sent. The body of the packet fills the connection,
+// so a short message on the same stream would wait behind it.
+func TestShortMessageOvertakesLongBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		// The memory network holds less than this body, and the agent doesn't read on while it holds the first one.
+		r := newTestLink(t)
+		// The memory network holds less than this body, and the agent reads nothing more while it handles the first one.
 		release := make(chan struct{})
 		inner := r.server.Receive
 		r.server.Receive = func(ctx context.Context, id EntryID, m *wire.EntryMessage) error {
@@ -187,9 +187,9 @@
 			}
 			return inner(ctx, id, m)
 		}
-		require.True(t, r.dialer.Send(agentIncarnation, dispatch("first", 1<<20)))
-		require.True(t, r.dialer.Send(agentIncarnation, dispatch("packet", 4<<20)))
-		require.True(t, r.dialer.Send(agentIncarnation, dispatch("gate-check", 100)))
+		require.True(t, r.dialer.Send(agentIncarnation, newDispatch("first", 1<<20)))
+		require.True(t, r.dialer.Send(agentIncarnation, newDispatch("packet", 4<<20)))
+		require.True(t, r.dialer.Send(agentIncarnation, newDispatch("gate-check", 100)))
 		synctest.Wait()
 		require.Len(t, r.toAgent, 1)
 		require.Equal(t, "gate-check", r.toAgent[0].GetDispatch().GetAttempt().GetRequest())
@@ -199,17 +199,17 @@
 	})
 }
 
-// Symptom: an answer seems incomplete, or its events are swapped. Sequence: long and short frames of one attempt, then
-// its Over. Cause: each took the stream that its own size asks for.
-func TestFramesOfAnAttemptKeepTheirOrder(t *testing.T) {
+// Guards against an answer that looks incomplete or has its events swapped. It happens if each of the long and short frames
+// of an attempt, and its Over, takes the stream for its own size.
+func TestFramesOfAttemptArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newTestLink(t)
 		id := EntryID{Name: "entry-1", Incarnation: 1}
 		sizes := []int{MaxShortMessage + 1, 10, 100_000, 10, 10}
 		for i, size := range sizes {
-			require.True(t, r.server.Send(id, frame("r1", uint64(i), size)))
+			require.True(t, r.server.Send(id, newFrame("r1", uint64(i), size)))
 		}
-		require.True(t, r.server.Send(id, over("r1")))
+		require.True(t, r.server.Send(id, newOver("r1")))
 		synctest.Wait()
 		require.Len(t, r.toEntry, len(sizes)+1)
 		for i := range sizes {
@@ -219,9 +219,9 @@
 	})
 }
 
-// Symptom: requests end only at their deadline after a partition. Sequence: the network between entry and agent is cut
-// without an error; later it heals. Cause: nobody noticed the silence.
-func TestSilentCutIsNoticedByBothSides(t *testing.T) {
+// Guards against requests that end only at their deadline after a partition. The network between entry and agent drops
+// packets without an error, so only the silence timeout can detect it; the link must open again when the network heals.
+func TestSilentPartitionEndsLinkOnBothSides(t *testing.T) {
 	cuts := map[string]func(*memory.Network){
 		"both ways":      func(n *memory.Network) { n.Cut(entryHost, agentHost) },
 		"entry to agent": func(n *memory.Network) { n.CutOneWay(entryHost, agentHost) },
@@ -230,28 +230,28 @@
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
+				r := newTestLink(t)
 				start := time.Now()
-				cut(r.net)
-				// The entry gives up after a silence, then the agent at the latest after its own.
+				cut(r.network)
+				// The entry closes after its silence timeout, and the agent after its own at the latest.
 				time.Sleep(r.dialer.Timing.SilenceTimeout()*3 + r.dialer.Timing.HeartbeatInterval)
-				require.Contains(t, r.log(), "entry: down")
+				require.Contains(t, r.eventLog(), "entry: down")
 				require.LessOrEqual(t, r.downs[0].Sub(start), r.dialer.Timing.SilenceTimeout())
 				if name != "entry to agent" {
-					// There the agent may notice at the same moment, and its closing still reaches the entry.
+					// In this case the agent may time out at the same moment, and its closing still reaches the entry.
 					require.ErrorIs(t, r.causes[0], ErrSilent)
 				}
-				require.False(t, r.dialer.Send(agentIncarnation, cancelOf("r1")))
+				require.False(t, r.dialer.Send(agentIncarnation, newCancel("r1")))
 				require.EqualValues(t, 1, r.dialer.DroppedMessages())
 				if name != "agent to entry" {
-					require.Contains(t, r.log(), "agent: down 1")
+					require.Contains(t, r.eventLog(), "agent: down 1")
 				}
 
-				r.net.Heal(entryHost, agentHost)
+				r.network.Heal(entryHost, agentHost)
 				time.Sleep(10 * time.Second)
-				events := r.log()
+				events := r.eventLog()
 				require.Equal(t, "entry: up 7", events[len(events)-1])
-				require.True(t, r.dialer.Send(agentIncarnation, cancelOf("r2")))
+				require.True(t, r.dialer.Send(agentIncarnation, newCancel("r2")))
 				synctest.Wait()
 				require.Len(t, r.toAgent, 1)
 			})
@@ -259,16 +259,16 @@
 	}
 }
 
-// Symptom: an agent calls Down after the Up of the same entry's next link, and so forgets a living link. Sequence: the
-// entry's connections are lost without a word to the agent, the entry dials anew at once. Cause: the old link's
-// handler ends later than the new one begins.
-func TestNewLinkComesAfterOldOnesEnd(t *testing.T) {
+// Guards against an agent that calls Down for an old link after Up for the same entry's next one, and so drops a live link.
+// The entry loses its connections without the agent noticing and dials again at once, so the handler of the old link may
+// end after the new one has begun.
+func TestNewLinkOpensAfterOldLinkIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.net.Reset(entryHost)
+		r := newTestLink(t)
+		r.network.Reset(entryHost)
 		time.Sleep(time.Second)
 		agent := []string{}
-		for _, e := range r.log() {
+		for _, e := range r.eventLog() {
 			if e[0] == 'a' {
 				agent = append(agent, e)
 			}
@@ -277,28 +277,28 @@
 	})
 }
 
-func TestRefusedAgentIsDialledAgain(t *testing.T) {
+func TestRefusedDialIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newTestLink(t)
 		var failures atomic.Int32
 		r.dialer.OnDialError = func(error) { failures.Add(1) }
-		r.net.Refuse(agentHost, true)
-		r.net.Reset(agentHost)
+		r.network.Refuse(agentHost, true)
+		r.network.Reset(agentHost)
 		time.Sleep(10 * time.Second)
-		// Waits of at most RedialMax, with the fixed jitter three quarters of it.
+		// The waits are at most RedialMax, and the fixed jitter makes them three quarters of that.
 		require.InDelta(t, 15, failures.Load(), 5)
-		r.net.Refuse(agentHost, false)
+		r.network.Refuse(agentHost, false)
 		time.Sleep(r.dialer.Timing.RedialMax)
-		require.True(t, r.dialer.Send(agentIncarnation, cancelOf("r1")))
+		require.True(t, r.dialer.Send(agentIncarnation, newCancel("r1")))
 	})
 }
 
-func TestOtherAgentIsLeft(t *testing.T) {
+func TestOtherAgentIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newTestLink(t)
 		var failure error
 		other := &AgentDialer{
-			Network:     r.net.Host(entryHost),
+			Network:     r.network.Host(entryHost),
 			Address:     r.dialer.Address,
 			Agent:       "agent-2",
 			Hello:       func() *wire.EntryHello { return &wire.EntryHello{Entry: "entry-2"} },
@@ -312,54 +312,54 @@
 	})
 }
 
-// Symptom: a scheduler stops for as long as an agent doesn't read. Sequence: the agent's connection is cut; more
-// messages are sent than the ring holds. Cause: a push that waits.
-func TestFullRingIsACountedRefusal(t *testing.T) {
+// Guards against a scheduler that blocks while an agent does not read: the connection is cut and more messages are sent than
+// the ring holds. Send must not wait.
+func TestFullRingDropsAndCountsMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.net.Cut(entryHost, agentHost)
+		r := newTestLink(t)
+		r.network.Cut(entryHost, agentHost)
 		refused := 0
 		// The sender takes at most what fits into the network.
 		for range 2*MessagesRingSize + 20_000 {
-			if !r.dialer.Send(agentIncarnation, cancelOf("r1")) {
+			if !r.dialer.Send(agentIncarnation, newCancel("r1")) {
 				refused++
 			}
 		}
 		require.Positive(t, refused)
 		require.EqualValues(t, refused, r.dialer.DroppedMessages())
-		require.False(t, r.dialer.Send(agentIncarnation, dispatch("r1", MaxBody+1)), "over the bound")
+		require.False(t, r.dialer.Send(agentIncarnation, newDispatch("r1", MaxBody+1)), "larger than MaxBody")
 	})
 }
 
-// Symptom: the last messages of an entry that stops are lost at random. Sequence: it sends, then closes both streams; the
-// agent sees the end of the idle one while it still reads the other. Cause: the agent ends the link with the first.
-func TestWhatWasSentBeforeTheStopArrives(t *testing.T) {
+// Guards against losing the last messages of an entry that stops. It sends and then closes both streams, and the agent sees
+// the end of the idle stream while it still reads the other; that must not end the link.
+func TestMessagesSentBeforeStopArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newTestLink(t)
 		inner := r.server.Receive
 		r.server.Receive = func(ctx context.Context, id EntryID, m *wire.EntryMessage) error {
 			time.Sleep(DefaultFlushTimeout / 2000)
 			return inner(ctx, id, m)
 		}
 		for range 1000 {
-			require.True(t, r.dialer.Send(agentIncarnation, cancelOf("r1")))
+			require.True(t, r.dialer.Send(agentIncarnation, newCancel("r1")))
 		}
 		r.stopDialer()
 		time.Sleep(DefaultFlushTimeout)
 		synctest.Wait()
 		require.Equal(t, 1000, len(r.toAgent))
-		require.Contains(t, r.log(), "agent: down 1")
-		require.Contains(t, r.log(), "entry: down")
+		require.Contains(t, r.eventLog(), "agent: down 1")
+		require.Contains(t, r.eventLog(), "entry: down")
 	})
 }
 
-// Symptom: a body that was damaged runs as somebody's request. Sequence: a long body arrives with another digest than
-// announced. Cause: the digest isn't checked. The gate hears a cancel instead, so that the attempt never starts.
-func TestDamagedBodyBecomesACancel(t *testing.T) {
+// Guards against running a damaged body: a body arrives whose digest does not match the announced one. The gate must
+// receive a cancel instead, so that the attempt never starts.
+func TestDamagedBodyBecomesCancel(t *testing.T) {
 	for _, size := range []int{10, 100_000} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t)
-			d := dispatch("r1", size)
+			r := newTestLink(t)
+			d := newDispatch("r1", size)
 			d.GetDispatch().BodyDigest++
 			require.True(t, r.dialer.Send(agentIncarnation, d))
 			synctest.Wait()
@@ -369,13 +369,12 @@
 	}
 }
 
-// Symptom: a request runs on two engines. Sequence: the entry decides to dispatch; the agent restarts and the link
-// opens again; the entry takes the new incarnation as proof; the dispatch is sent only now. Cause: the message isn't
-// bound to an incarnation.
-func TestMessageForAnotherIncarnationIsRefused(t *testing.T) {
+// Guards against a request that runs on two engines. The entry decides to dispatch, the agent restarts, and the entry takes
+// the new incarnation as proof that the old attempt is over; a dispatch sent only then must not reach the new incarnation.
+func TestMessageForOtherIncarnationIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		require.False(t, r.dialer.Send(agentIncarnation-1, dispatch("r1", 10)))
+		r := newTestLink(t)
+		require.False(t, r.dialer.Send(agentIncarnation-1, newDispatch("r1", 10)))
 		synctest.Wait()
 		require.Empty(t, r.toAgent)
 	})
--- a/link/message.go
+++ b/link/message.go
@@ -8,28 +8,28 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// lane says which of the two streams carries a message.
-type lane uint8
+// streamKind identifies one of the two streams of a link.
+type streamKind uint8
 
 const (
-	laneMessages lane = iota
-	laneBulk
+	messagesStream streamKind = iota
+	bulkStream
 )
 
-// BodyDigest is the digest of a dispatched body, xxhash64.
+// BodyDigest returns the digest of a dispatched body, an xxhash64.
 func BodyDigest(body []byte) uint64 {
 	return xxhash.Sum64(body)
 }
 
-// entryLane chooses the stream by size. Only a Dispatch has a body that can be long.
-func entryLane(message *wire.EntryMessage) lane {
+// entryMessageStream returns the stream for a message by its size. Only a Dispatch has a body that can be long.
+func entryMessageStream(message *wire.EntryMessage) streamKind {
 	if len(message.GetDispatch().GetBody()) > MaxShortMessage {
-		return laneBulk
+		return bulkStream
 	}
-	return laneMessages
+	return messagesStream
 }
 
-// tooLarge tells whether a message can't be sent, since the peer would drop the connection on it.
+// tooLarge reports whether a message cannot be sent, since the peer would close the connection on it.
 func tooLarge(message *wire.EntryMessage) bool {
 	if body := message.GetDispatch().GetBody(); len(body) > MaxShortMessage {
 		return len(body) > MaxBody
@@ -37,7 +37,7 @@
 	return proto.Size(message) > MaxMessage
 }
 
-// withoutBody returns a copy of d that shares all fields but the body, which is empty.
+// withoutBody returns a copy of d that shares all fields except the body, which is empty.
 func withoutBody(d *wire.Dispatch) *wire.Dispatch {
 	header := new(wire.Dispatch)
 	into := header.ProtoReflect()
@@ -52,7 +52,7 @@
 }
 
 // splitDispatch calls send with the parts of a long Dispatch: first the Dispatch without its body, then the chunks.
-// Other messages are passed on as they are.
+// It passes other messages to send unchanged.
 func splitDispatch(message *wire.EntryMessage, send func(*wire.EntryMessage) error) error {
 	d := message.GetDispatch()
 	if len(d.GetBody()) <= MaxShortMessage {
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// agentLanes remembers which stream the frames of each attempt go on, until the attempt's Over. It isn't safe for
-// use by several goroutines.
-type agentLanes map[attemptKey]lane
+// streamChoices holds the stream of the frames of each attempt, until the attempt's Over. It is not safe for concurrent
+// use.
+type streamChoices map[attemptKey]streamKind
 
 type attemptKey struct {
 	request string
@@ -92,12 +92,12 @@
 
 // choose returns the stream for a message.
 //
-// Without the memory, a long frame and the short one after it would take different streams and could swap places,
-// and an Over could come before the last frame of its attempt. The answer would then look incomplete.
-func (l agentLanes) choose(message *wire.AgentMessage, size int) lane {
+// Without the stored choice, a long frame and a short one after it would take different streams and could be swapped, and
+// an Over could arrive before the last frame of its attempt. The answer would then look incomplete.
+func (l streamChoices) choose(message *wire.AgentMessage, size int) streamKind {
 	switch kind := message.GetKind().(type) {
 	case *wire.AgentMessage_Frame:
-		return l.frame(keyOf(kind.Frame.GetAttempt()), size)
+		return l.chooseForFrame(keyOf(kind.Frame.GetAttempt()), size)
 	case *wire.AgentMessage_Over:
 		key := keyOf(kind.Over.GetAttempt())
 		chosen := l[key]
@@ -106,17 +106,17 @@
 		}
 		return chosen
 	default:
-		return laneMessages
+		return messagesStream
 	}
 }
 
-func (l agentLanes) frame(key attemptKey, size int) lane {
+func (l streamChoices) chooseForFrame(key attemptKey, size int) streamKind {
 	if chosen, ok := l[key]; ok {
 		return chosen
 	}
-	chosen := laneMessages
+	chosen := messagesStream
 	if size > MaxShortMessage {
-		chosen = laneBulk
+		chosen = bulkStream
 	}
 	l[key] = chosen
 	return chosen
--- a/link/pump.go
+++ b/link/pump.go
@@ -12,8 +12,8 @@
 	"github.com/carawaypitch/carawaypitch/ring"
 )
 
-// Pump joins a bidirectional stream to a bounded ring of outgoing items and a callback for what comes in. Out is
-// one outgoing item; In is one received batch. All fields but Urgent, Beat, Size and Silence are required.
+// Pump connects a bidirectional stream to a bounded ring of outgoing items and a callback for received batches. Out is
+// one outgoing item; In is one received batch. Send, Recv, Abort, Ring and Receive are required.
 type Pump[Out, In any] struct {
 	// Send sends a batch. The slice is reused afterwards.
 	Send func(batch []Out) error
@@ -22,52 +22,54 @@
 	// Abort closes the connection, so that Send and Recv return. It may be called more than once.
 	Abort func()
 
-	// Ring holds the outgoing items. Producers use TryPush: a full ring is a counted refusal.
+	// Ring holds the outgoing items. Producers use TryPush, which refuses and counts an item when the ring is full.
 	Ring *ring.Ring[Out]
-	// Urgent, if not nil, holds items that go before those of Ring.
+	// Urgent, if not nil, holds items that are sent before those of Ring.
 	Urgent *ring.Ring[Out]
-	// Size gives an item's size in bytes, for the bound of a batch. Nil means that only the number is bounded.
+	// Size returns the size of an item in bytes, which bounds a batch. Nil means that only the number of items is bounded.
 	Size func(Out) int
 
-	// Heartbeat makes a heartbeat, sent every BeatInterval whether Ring is full or empty. Nil means none.
+	// Heartbeat returns a heartbeat, sent every HeartbeatInterval whether Ring is full or empty. Nil means no heartbeats.
 	Heartbeat         func() Out
 	HeartbeatInterval time.Duration
 
-	// Receive takes a batch, from one goroutine. It may block, which holds the peer back, until its context ends.
-	// It tells whether the batch shows that the peer hears this side. An error from it ends the pump.
+	// Receive handles a batch, from one goroutine. It may block until its context ends, which applies backpressure to the
+	// peer. It reports whether the batch proves that the peer receives from this side. An error from it ends the pump.
 	Receive func(ctx context.Context, batch In) (alive bool, err error)
-	// SilenceTimeout ends the pump with ErrSilent if no batch showed life for that long. Zero means never.
+	// SilenceTimeout ends the pump with ErrSilent if no batch proved for that long that the peer is alive. Zero means no
+	// timeout.
 	//
-	// Without it a silently cut connection would look healthy for minutes, until TCP gives up, and work would be
-	// sent into it; one would notice it as requests that end only at their deadline.
+	// Without it, a connection cut without an error would appear healthy for minutes, until TCP gives up, and work sent into
+	// it would end only at its deadline.
 	SilenceTimeout time.Duration
 
-	// FlushTimeout bounds the sending of what Ring holds when ctx ends; zero means DefaultFlush.
+	// FlushTimeout bounds the sending of the items in Ring when ctx ends; zero means DefaultFlushTimeout.
 	FlushTimeout time.Duration
-	// Flushed, if not nil, is called when that is sent. The connection is closed when it returns.
+	// Flushed, if not nil, is called when they are sent. The connection is closed when it returns.
 	Flushed func()
 
-	parent context.Context
-	sent   chan struct{} // closed when the sender is done
-	start  time.Time
-	alive  atomic.Int64 // nanoseconds since start
+	parent    context.Context
+	sendDone  chan struct{} // closed when the sender has ended
+	start     time.Time
+	lastAlive atomic.Int64 // nanoseconds since start
 }
 
-// Run moves items until ctx ends or something fails, and returns the cause. At the end of ctx it sends what Ring
-// holds, at most for Flush, unless ctx ended with a cause of its own, which is taken for a failure. It has closed the connection, and calls no callback, once it returns.
+// Run sends and receives until ctx ends or something fails, and returns the cause. When ctx is cancelled, it sends the
+// items in Ring for at most FlushTimeout; if ctx has a cause of its own, that counts as a failure and nothing more is
+// sent. When Run returns, the connection is closed and no more callbacks are called.
 func (p *Pump[Out, In]) Run(ctx context.Context) error {
 	if p.FlushTimeout <= 0 {
 		p.FlushTimeout = DefaultFlushTimeout
 	}
 	p.start = time.Now()
 	p.parent = ctx
-	p.sent = make(chan struct{})
+	p.sendDone = make(chan struct{})
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		defer close(p.sent)
+		defer close(p.sendDone)
 		cancel(p.sendLoop(ctx))
 		p.Abort()
 	})
@@ -82,30 +84,30 @@
 	return context.Cause(ctx)
 }
 
-// ordered tells whether the pump was told to end, rather than failed: its context ended without a cause of its own.
-func (p *Pump[Out, In]) ordered() bool {
+// isGracefulStop reports whether the pump was stopped rather than failed: its context ended without a cause of its own.
+func (p *Pump[Out, In]) isGracefulStop() bool {
 	return p.parent.Err() != nil && context.Cause(p.parent) == p.parent.Err()
 }
 
-// abortUnlessFlushing leaves the connection to the sender if the order to end came from outside.
+// abortUnlessFlushing aborts the connection, except in a graceful stop, where the sender still uses it.
 func (p *Pump[Out, In]) abortUnlessFlushing() {
-	if !p.ordered() {
+	if !p.isGracefulStop() {
 		p.Abort()
 	}
 }
 
-// watch ends the pump when it is silent. After the end of ctx it bounds the flush: a Send that is blocked on a cut
-// connection doesn't see the end of ctx, and only Abort lets it return.
+// watch ends the pump when the peer is silent. After the end of ctx it bounds the flush: a Send that blocks on a cut
+// connection does not see the end of ctx, and returns only on Abort.
 func (p *Pump[Out, In]) watch(ctx context.Context, cancel context.CancelCauseFunc) {
 	if p.SilenceTimeout > 0 {
 		p.watchSilence(ctx, cancel)
 	}
 	<-ctx.Done()
-	if p.ordered() {
+	if p.isGracefulStop() {
 		timer := time.NewTimer(p.FlushTimeout)
 		defer timer.Stop()
 		select {
-		case <-p.sent:
+		case <-p.sendDone:
 		case <-timer.C:
 		}
 	}
@@ -114,23 +116,23 @@
 
 func (p *Pump[Out, In]) watchSilence(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		quiet := time.Since(p.start) - time.Duration(p.alive.Load())
-		if quiet >= p.SilenceTimeout {
+		silence := time.Since(p.start) - time.Duration(p.lastAlive.Load())
+		if silence >= p.SilenceTimeout {
 			cancel(ErrSilent)
 			return
 		}
-		if !pause.For(ctx, p.SilenceTimeout-quiet) {
+		if !pause.For(ctx, p.SilenceTimeout-silence) {
 			return
 		}
 	}
 }
 
 func (p *Pump[Out, In]) sendLoop(ctx context.Context) error {
-	var beats <-chan time.Time
+	var heartbeats <-chan time.Time
 	if p.Heartbeat != nil {
 		ticker := time.NewTicker(p.HeartbeatInterval)
 		defer ticker.Stop()
-		beats = ticker.C
+		heartbeats = ticker.C
 	}
 	var urgent <-chan Out
 	if p.Urgent != nil {
@@ -144,7 +146,7 @@
 			return p.flush(ctx, batch)
 		case item := <-urgent:
 			batch = append(batch, item)
-		case <-beats:
+		case <-heartbeats:
 			batch = append(batch, p.Heartbeat())
 		case item := <-p.Ring.C():
 			batch = append(batch, item)
@@ -155,11 +157,11 @@
 	}
 }
 
-// sendBatch adds what else waits to the batch, up to the bounds, and sends it.
+// sendBatch adds waiting items to the batch, up to the limits, and sends it.
 func (p *Pump[Out, In]) sendBatch(urgent <-chan Out, batch []Out) error {
 	size := p.size(batch[0])
 	for len(batch) < MaxBatchMessages && size < MaxBatchBytes {
-		item, ok := next(urgent, p.Ring.C())
+		item, ok := tryNext(urgent, p.Ring.C())
 		if !ok {
 			break
 		}
@@ -174,15 +176,15 @@
 	return nil
 }
 
-// flush sends what Ring holds, after the end of ctx by order. It sends nothing when the pump failed.
+// flush sends the items in Ring after a graceful stop. It sends nothing if the pump failed.
 func (p *Pump[Out, In]) flush(ctx context.Context, batch []Out) error {
 	cause := context.Cause(ctx)
-	if !p.ordered() {
+	if !p.isGracefulStop() {
 		return cause
 	}
 	deadline := time.Now().Add(p.FlushTimeout)
 	for time.Now().Before(deadline) {
-		item, ok := next(nil, p.Ring.C())
+		item, ok := tryNext(nil, p.Ring.C())
 		if !ok {
 			break
 		}
@@ -207,7 +209,7 @@
 			return err
 		}
 		if alive {
-			p.alive.Store(int64(time.Since(p.start)))
+			p.lastAlive.Store(int64(time.Since(p.start)))
 		}
 	}
 }
@@ -219,8 +221,8 @@
 	return p.Size(item)
 }
 
-// next takes an item without waiting, from the first channel if it has one.
-func next[T any](first, second <-chan T) (T, bool) {
+// tryNext takes an item without waiting, from first if it has one. It reports false if both channels are empty.
+func tryNext[T any](first, second <-chan T) (T, bool) {
 	select {
 	case item := <-first:
 		return item, true
@@ -230,7 +232,7 @@
 	case item := <-second:
 		return item, true
 	default:
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
--- a/link/register_test.go
+++ b/link/register_test.go
@@ -9,9 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: the race detector reports the table of links, and an agent might read a torn one.
-// Sequence: an agent's gate tells all entries of its room just when the agent begins to serve its links.
-// Cause: Register made the table without the lock that readers hold. It shows under -race.
+// Guards against a data race on the table of links, which the race detector reports: the gate of an agent broadcasts its
+// room to all entries while Register creates the table, which must happen under the lock that readers hold.
 func TestBroadcastWhileRegistering(t *testing.T) {
 	s := &EntryServer{}
 	done := make(chan struct{})
--- a/link/serve.go
+++ b/link/serve.go
@@ -15,17 +15,17 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// acceptPause is the wait after a failed Accept, such as for want of file descriptors.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the wait after a temporary failure of Accept, such as a lack of file descriptors.
+const acceptRetryDelay = 100 * time.Millisecond
 
 type (
 	stoppingKey struct{}
 	abortKey    struct{}
 )
 
-// Stopping returns a channel that is closed when the Serve which made ctx, the context of a stream, should end.
-// A handler then sends what it still has and returns; its stream stays usable for DefaultFlush. For any other
-// context the channel is that of ctx itself.
+// Stopping returns a channel that is closed when the Serve call that made ctx, the context of a stream, is stopping.
+// A handler then sends its remaining messages and returns; its stream stays usable for DefaultFlushTimeout. For any
+// other context the channel is ctx.Done().
 func Stopping(ctx context.Context) <-chan struct{} {
 	if stop, ok := ctx.Value(stoppingKey{}).(<-chan struct{}); ok {
 		return stop
@@ -33,34 +33,34 @@
 	return ctx.Done()
 }
 
-// Abort closes the connection of a stream that Serve made, given by the stream's context. Calls that are blocked on
-// it return. It does nothing for other contexts.
+// Abort closes the connection of a stream that Serve made, given by the stream's context. Calls that block on the stream
+// return. It does nothing for other contexts.
 func Abort(ctx context.Context) {
 	if abort, ok := ctx.Value(abortKey{}).(context.CancelFunc); ok {
 		abort()
 	}
 }
 
-// RefusalHook is told of a peer whose TLS handshake failed, with its address. It may be called by several goroutines.
+// RefusalHook is called with the address of a peer whose TLS handshake failed. It may be called by several goroutines.
 type RefusalHook func(peer net.Addr, err error)
 
-// Serve is ServeAndTell for a server that tells nobody of the strangers it refuses.
+// Serve is ServeWithRefusalHook with a hook that does nothing.
 func Serve(ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error) error {
 	return ServeWithRefusalHook(ctx, listener, config, register, func(net.Addr, error) {})
 }
 
-// ServeWithRefusalHook accepts connections on listener and serves what register adds to the mux, until ctx ends or listener fails.
-// At the end of ctx it closes the listener, tells the handlers (see Stopping), and closes after DefaultFlush the
-// connections that are left. It returns nil then.
+// ServeWithRefusalHook accepts connections on listener and serves what register adds to the mux, until ctx ends or
+// listener fails. At the end of ctx it closes the listener, notifies the handlers (see Stopping), closes the remaining
+// connections after DefaultFlushTimeout, and returns nil.
 //
-// With a TLS configuration a stranger without the right certificate is refused before any call is read, and refused is
-// told: a process with a wrong or expired certificate would otherwise be missing with nobody knowing why. It fails with
-// ErrNoClientAuth if the configuration doesn't require and check one: who can reach the port could otherwise run work as
-// any entry.
+// With a TLS configuration a peer without a valid certificate is refused before any call is read, and onRefusal is
+// called; otherwise a process with a wrong or expired certificate would be missing without any sign of the reason. It
+// returns ErrNoClientAuth if the configuration does not require and verify client certificates, because anyone who can
+// reach the port could then run work as any entry.
 func ServeWithRefusalHook(
-	ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error, refused RefusalHook,
+	ctx context.Context, listener net.Listener, config *tls.Config, register func(*drpcmux.Mux) error, onRefusal RefusalHook,
 ) error {
-	if config != nil && !refusesStrangers(config) {
+	if config != nil && !requiresClientCert(config) {
 		return ErrNoClientAuth
 	}
 	mux := drpcmux.New()
@@ -68,16 +68,16 @@
 		return errors.Wrap(err, "link: register")
 	}
 	s := &server{
-		tls:     config,
-		refused: refused,
-		drpc:    drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()}),
+		tls:       config,
+		onRefusal: onRefusal,
+		drpc:      drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions()}),
 	}
 	return s.run(ctx, listener)
 }
 
-// refusesStrangers tells whether the configuration requires a certificate of clients, and checks it by itself or by a
-// function of its own.
-func refusesStrangers(config *tls.Config) bool {
+// requiresClientCert reports whether the configuration requires a client certificate and verifies it, by default or by a
+// callback.
+func requiresClientCert(config *tls.Config) bool {
 	switch config.ClientAuth {
 	case tls.RequireAndVerifyClientCert:
 		return true
@@ -89,14 +89,14 @@
 }
 
 type server struct {
-	tls     *tls.Config
-	refused RefusalHook
-	drpc    *drpcserver.Server
-	wg      sync.WaitGroup
+	tls       *tls.Config
+	onRefusal RefusalHook
+	drpc      *drpcserver.Server
+	wg        sync.WaitGroup
 }
 
 func (s *server) run(ctx context.Context, listener net.Listener) error {
-	// Connections outlive ctx for a moment, so that handlers can send what they have.
+	// Connections outlive ctx so that handlers can send their remaining messages.
 	conns, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer s.wg.Wait()
 	defer cancel()
@@ -114,7 +114,7 @@
 			return nil
 		}
 		if isTemporary(err) {
-			pause.For(ctx, acceptPause)
+			pause.For(ctx, acceptRetryDelay)
 			continue
 		}
 		if err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// drain waits until all handlers have returned, DefaultFlush at most.
+// drain waits until all handlers have returned, at most DefaultFlushTimeout.
 func (s *server) drain() {
 	done := make(chan struct{})
 	go func() {
@@ -144,19 +144,19 @@
 	ctx, abort := context.WithCancel(ctx)
 	defer abort()
 	ctx = context.WithValue(ctx, abortKey{}, abort)
-	// An idle connection has no stream that would end with ctx.
+	// An idle connection has no stream that ends with ctx.
 	stopIdle := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stopIdle()
 
 	if s.tls != nil {
 		secure := tls.Server(conn, s.tls)
 		if err := serverHandshake(ctx, secure); err != nil {
-			s.refused(conn.RemoteAddr(), err)
+			s.onRefusal(conn.RemoteAddr(), err)
 			return
 		}
 		conn = secure
 	}
-	// The error says only that the peer left or was aborted; handlers report their own.
+	// The error says only that the peer closed or was aborted; handlers report their own errors.
 	_ = s.drpc.ServeOne(ctx, conn)
 }
 
--- a/link/tls_test.go
+++ b/link/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// newCertificate makes a certificate for both hosts that is its own authority.
+// newCertificate returns a self-signed certificate for both hosts and a pool that trusts it.
 func newCertificate(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -43,15 +43,15 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
-// Symptom: a process that isn't of the deployment opens links. Sequence: it dials with no certificate, or one of
-// another authority, or in plain TCP. Cause: the server doesn't check who dials.
-func TestStrangersAreRefused(t *testing.T) {
+// Guards against links opened by a process outside the deployment: it dials without a certificate, with a certificate of
+// another authority, or over plain TCP, and the server must refuse it.
+func TestUntrustedPeersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own, pool := newCertificate(t)
 		foreign, _ := newCertificate(t)
 		cases := map[string]struct {
-			config *tls.Config
-			known  bool
+			config    *tls.Config
+			isTrusted bool
 		}{
 			"own certificate":   {&tls.Config{RootCAs: pool, Certificates: []tls.Certificate{own}}, true},
 			"no certificate":    {&tls.Config{RootCAs: pool}, false},
@@ -74,7 +74,7 @@
 			ClientAuth:   tls.RequireAndVerifyClientCert,
 			ClientCAs:    pool,
 		}
-		t.Cleanup(background(func(ctx context.Context) { _ = Serve(ctx, listener, config, server.Register) }))
+		t.Cleanup(runInBackground(func(ctx context.Context) { _ = Serve(ctx, listener, config, server.Register) }))
 		for name, c := range cases {
 			dialer := &AgentDialer{
 				Network: n.Host(entryHost),
@@ -85,10 +85,10 @@
 				Down:    func(*wire.AgentHello, error) {},
 				Receive: func(context.Context, *wire.AgentHello, *wire.AgentMessage) error { return nil },
 			}
-			stop := background(func(ctx context.Context) { _ = dialer.Run(ctx) })
+			stop := runInBackground(func(ctx context.Context) { _ = dialer.Run(ctx) })
 			time.Sleep(5 * time.Second)
 			stop()
-			require.Equal(t, c.known, len(ups) > 0, name)
+			require.Equal(t, c.isTrusted, len(ups) > 0, name)
 			for len(ups) > 0 {
 				require.Equal(t, name, <-ups)
 			}
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestServeWantsClientCertificates(t *testing.T) {
+func TestServeRequiresClientCertificates(t *testing.T) {
 	none := func(*drpcmux.Mux) error { return nil }
 	for _, config := range []*tls.Config{{}, {ClientAuth: tls.RequireAnyClientCert}, {ClientAuth: tls.VerifyClientCertIfGiven}} {
 		require.ErrorIs(t, Serve(context.Background(), nil, config, none), ErrNoClientAuth)
