--- a/link/doc.go
+++ b/link/doc.go
@@ -26,7 +26,8 @@
 	MaxShortMessage = 8 << 10
 	// MaxChunkBytes is the maximum size of the data of a BodyChunk.
 	MaxChunkBytes = 32 << 10
-	// MaxBatchBytes and MaxBatchMessages bound a batch. A larger message makes up a batch of its own.
+	// MaxBatchBytes and MaxBatchMessages bound a batch. No message is added once either is reached, so a batch exceeds
+	// MaxBatchBytes by at most its last message.
 	MaxBatchBytes    = 64 << 10
 	MaxBatchMessages = 256
 	// MaxMessage is the maximum size of a message in bytes. The sender refuses a larger one.
--- a/link/entry_link.go
+++ b/link/entry_link.go
@@ -13,8 +13,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// urgentRing is the capacity of the ring for heartbeat answers.
-const urgentRing = 4
+// urgentRingSize is the capacity of the ring for heartbeat answers.
+const urgentRingSize = 4
 
 // entryLink is the agent's side of one link.
 type entryLink struct {
@@ -50,7 +50,7 @@
 func newAgentRings(name string, capacity int) agentRings {
 	return agentRings{
 		normal: ring.New[*wire.AgentMessage](name, capacity),
-		urgent: ring.New[*wire.AgentMessage](name+"_urgent", urgentRing),
+		urgent: ring.New[*wire.AgentMessage](name+"_urgent", urgentRingSize),
 	}
 }
 
--- a/link/entry_server.go
+++ b/link/entry_server.go
@@ -27,7 +27,7 @@
 type EntryServer struct {
 	// Hello returns the agent's hello.
 	Hello func() *wire.AgentHello
-	// Admit refuses an entry by an error; nil admits all. It is called for each stream, possibly at the same time.
+	// Admit refuses an entry by an error; nil admits all. It is called for each stream, and may be called concurrently.
 	Admit func(hello *wire.EntryHello) error
 	// Up is called when the link of an entry is open, and Down when it is lost.
 	Up   func(ctx context.Context, hello *wire.EntryHello)
--- a/link/pump.go
+++ b/link/pump.go
@@ -45,7 +45,7 @@
 
 	// FlushTimeout bounds the sending of the items in Ring when ctx ends; zero means DefaultFlushTimeout.
 	FlushTimeout time.Duration
-	// Flushed, if not nil, is called when they are sent. The connection is closed when it returns.
+	// Flushed, if not nil, is called at the end of that flush. The connection is closed when it returns.
 	Flushed func()
 
 	parent    context.Context
--- a/link/serve.go
+++ b/link/serve.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// RefusalHook is called with the address of a peer whose TLS handshake failed. It may be called by several goroutines.
+// RefusalHook is called with the address of a peer whose TLS handshake failed, and the error. It may be called by several
+// goroutines at the same time.
 type RefusalHook func(peer net.Addr, err error)
 
 // Serve is ServeWithRefusalHook with a hook that does nothing.
--- a/session/directory_source.go
+++ b/session/directory_source.go
@@ -9,8 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// The directory is received from one instance, the directory source, preferably in the same availability zone. Received
-// over every link, each process would get the whole directory three times, two thirds of that from other zones. The other
+// The directory is received from one instance, the directory source, preferably in the same availability zone. Over
+// three links, each process would receive the whole directory three times, two thirds of that from other zones. The other
 // links report the versions that their instances have, which shows a source that lags.
 const (
 	// lagTimeout is how long the source may take to deliver a version that another link has reported, and again once it has
--- a/session/freshness.go
+++ b/session/freshness.go
@@ -6,9 +6,9 @@
 //
 // The process polls every control instance. An instance is Answering if it answered a poll, Refusing if the connection
 // was refused (then no process listens there, so it accepts no change), and Silent if neither happened within the
-// silence bound. A change of the configuration needs a majority of the instances. If a majority is silent, it may have
-// accepted a change that this process does not receive. So the process is cut off when a majority is silent and no poll
-// sent within the bound was confirmed by a quorum. In all other cases it is not: when control as a whole is down,
+// silence bound. A change needs a majority of the instances. If a majority is silent, it may have accepted a change that
+// this process does not receive. So the process is cut off when a majority is silent and no poll sent within the bound
+// was confirmed by a quorum. In all other cases it is not: when control as a whole is down,
 // nothing can change, and work continues.
 //
 // Once cut off, a process recovers only through a confirmed poll. If answers or refusals from the instances were enough,
--- a/session/peer.go
+++ b/session/peer.go
@@ -25,7 +25,7 @@
 	mu              sync.Mutex
 	ring            *ring.Ring[*wire.ClientMessage] // nil while there is no link
 	instance        string                          // from its hello
-	zone            string                          // availability zone, from its hello
+	zone            string                          // availability zone, from its hello or from the answers to polls
 	pendingPolls    map[uint64]pollTime             // unanswered polls by sequence
 	pendingReplies  map[uint64]chan *wire.ProposeReply
 	reporter        reporter
@@ -105,7 +105,8 @@
 	return true, pump.Run(ctx)
 }
 
-// recordDialError records a refused connection as an answer: no process listens there.
+// recordDialError counts a failed dial. A refused connection also counts as contact with the instance: it shows that no
+// process listens there.
 func (p *peer) recordDialError(err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		p.session.counters.dialsFailed.Inc()
@@ -321,7 +322,8 @@
 	return s.countGap(err)
 }
 
-// countGap returns the error, which ends the link. The next hello gives the known version, and the next update starts there.
+// countGap counts the error of an update and returns it, which ends the link. The next hello gives the known version, and
+// the next update starts there.
 func (s *Session) countGap(err error) error {
 	if err != nil {
 		s.counters.gaps.Inc()
--- a/session/propose.go
+++ b/session/propose.go
@@ -47,7 +47,7 @@
 }
 
 // proposeToEach tries each control instance once, the leader first, until one gives a definite reply; nil means that none
-// did. It sets lost when an outcome is unknown; a command that is not idempotent is then not sent to another instance.
+// did. It sets outcomeLost when an outcome is unknown; a command that is not idempotent then goes to no other instance.
 func (s *Session) proposeToEach(ctx context.Context, cmd *wire.Command, outcomeLost *bool) *wire.ProposeReply {
 	peers := s.knownPeers()
 	tried := make([]bool, len(peers))
