--- a/quorum/errors.go
+++ b/quorum/errors.go
@@ -38,24 +38,24 @@
 	ReasonEmpty
 	// ReasonCanceled: the caller gave up before the request was taken up.
 	ReasonCanceled
-	// Reasons is the number of reasons.
-	Reasons
+	// ReasonCount is the number of reasons.
+	ReasonCount
 )
 
-var reasonNames = [Reasons]string{
+var reasonNames = [ReasonCount]string{
 	"not_leader", "uncommitted_full", "transferring", "too_many_reads", "too_large", "membership_pending",
 	"not_caught_up", "invalid_change", "queue_full", "stopped", "empty", "canceled",
 }
 
 // String returns the name of the reason in snake case.
 func (r Reason) String() string {
-	if r >= Reasons {
+	if r >= ReasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
 }
 
-var reasonCodes = [Reasons]result.Code{
+var reasonCodes = [ReasonCount]result.Code{
 	ReasonNotLeader:         result.NotLeader,
 	ReasonUncommittedFull:   result.ProposalQueueFull,
 	ReasonTransferring:      result.NotLeader,
@@ -72,7 +72,7 @@
 
 // Code returns the numbered result code of the reason.
 func (r Reason) Code() result.Code {
-	if r >= Reasons {
+	if r >= ReasonCount {
 		return result.Internal
 	}
 	return reasonCodes[r]
--- a/quorum/replica/api.go
+++ b/quorum/replica/api.go
@@ -154,7 +154,7 @@
 	// MessagesMisaddressed those for another replica, disk or group.
 	MessagesDropped, MessagesMisaddressed uint64
 	// Refused counts refusals by quorum.Reason.
-	Refused [quorum.Reasons]uint64
+	Refused [quorum.ReasonCount]uint64
 	// MessagesMalformed counts received messages that broke the protocol.
 	MessagesMalformed uint64
 	// UnknownOutcomes counts proposals whose outcome stayed unknown.
--- a/quorum/replica/counts.go
+++ b/quorum/replica/counts.go
@@ -14,7 +14,7 @@
 	messagesDropped, messagesMisaddressed atomic.Uint64
 	messagesMalformed                     atomic.Uint64
 	unknownOutcomes                       atomic.Uint64
-	refused                               [quorum.Reasons]atomic.Uint64
+	refused                               [quorum.ReasonCount]atomic.Uint64
 }
 
 func (c *counts) read(n quorum.Counters, j journal.Stats) Counters {
