--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -17,15 +17,15 @@
 				c := newCluster(b, size, uint64(i))
 				old := c.elect()
 				c.crash(old)
-				n := 0
+				elapsed := 0
 				for {
 					c.tick()
-					n++
+					elapsed++
 					if l := c.leader(); l != nil && l.node.Status().Role == quorum.RoleLeader {
 						break
 					}
 				}
-				ticks = append(ticks, n)
+				ticks = append(ticks, elapsed)
 			}
 			slices.Sort(ticks)
 			b.ReportMetric(float64(ticks[len(ticks)/2]), "ticks-p50")
--- a/quorum/config.go
+++ b/quorum/config.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Config) complete() error {
+func (c *Config) setDefaultsAndValidate() error {
 	setDefault(&c.ElectionTicks, DefaultElectionTicks)
 	setDefault(&c.HeartbeatTicks, DefaultHeartbeatTicks)
 	setDefault(&c.FirstElectionTicks, c.ElectionTicks)
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -22,7 +22,7 @@
 // not be a voter yet by its own log: the candidate's log can be ahead of it
 // (thesis 4.2.2).
 func (n *Node) mayVote() bool {
-	return n.history.lists(n.cfg.ID)
+	return n.history.contains(n.cfg.ID)
 }
 
 // startPreVote asks whether an election could be won, without a new term
@@ -68,8 +68,8 @@
 
 // handlePreVote answers without a change of state.
 func (n *Node) handlePreVote(m *quorumpb.Message) {
-	grant := m.GetTerm() > n.term && !n.hearsLeader() && n.mayVote() &&
-		n.log.upToDate(m.GetIndex(), m.GetIndexTerm()) && !n.competes(m)
+	grant := m.GetTerm() > n.term && !n.hasActiveLeader() && n.mayVote() &&
+		n.log.isUpToDate(m.GetIndex(), m.GetIndexTerm()) && !n.outranks(m)
 	reply := &quorumpb.Message{
 		Type:   quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE_REPLY,
 		To:     m.GetFrom(),
@@ -86,11 +86,11 @@
 	n.sendAfterPersist(reply)
 }
 
-// competes tells whether this replica asks for pre-votes itself with an equally
+// outranks tells whether this replica asks for pre-votes itself with an equally
 // good log and the greater ID. Were two such replicas to encourage each other,
 // both would begin the term, vote for themselves and lose an election timeout.
 // Only the pre-vote may be refused for that: it is about progress, not safety.
-func (n *Node) competes(m *quorumpb.Message) bool {
+func (n *Node) outranks(m *quorumpb.Message) bool {
 	return n.role == RolePreCandidate && compareIDs(n.cfg.ID, ID(m.GetFrom())) > 0 &&
 		m.GetIndex() == n.log.last() && m.GetIndexTerm() == n.log.lastTerm()
 }
@@ -119,7 +119,7 @@
 func (n *Node) handleVote(m *quorumpb.Message) {
 	candidate := ID(m.GetFrom())
 	grant := (n.vote == NoID || n.vote == candidate) && n.mayVote() &&
-		n.log.upToDate(m.GetIndex(), m.GetIndexTerm())
+		n.log.isUpToDate(m.GetIndex(), m.GetIndexTerm())
 	if grant {
 		n.becomeFollower(n.term, n.leader)
 		n.vote = candidate
--- a/quorum/fault_test.go
+++ b/quorum/fault_test.go
@@ -27,7 +27,7 @@
 // Symptom: callers of a cut-off leader wait for ever, or read old state.
 // Sequence: a leader is cut off from both followers; the clock goes on.
 // Cause: without a check of the quorum it never learns that it lost.
-func TestCutOffLeaderStepsDown(t *testing.T) {
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	l := c.elect()
 	c.propose(l, 1)
@@ -45,26 +45,26 @@
 	require.ErrorIs(t, err, quorum.ErrNotLeader)
 	require.ErrorIs(t, l.node.ReadIndex(8), quorum.ErrNotLeader)
 
-	fresh := c.elect()
-	require.NotEqual(t, l.id, fresh.id)
+	newLeader := c.elect()
+	require.NotEqual(t, l.id, newLeader.id)
 	c.heal()
-	c.propose(fresh, 1)
+	c.propose(newLeader, 1)
 	for range quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.Equal(t, fresh.state, l.state)
+	require.Equal(t, newLeader.state, l.state)
 	require.NotContains(t, l.state, "lost")
 }
 
 // Symptom: a replica that returns after a long cut deposes a working leader.
 // Sequence: a follower is cut off for many election timeouts, then heals.
 // Cause: without a pre-vote its term grows with every futile election.
-func TestReturningReplicaDoesNotDepose(t *testing.T) {
+func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	l := c.elect()
 	term := l.node.Status().Term
-	away := c.replicas[(slices.Index(c.replicas, l)+1)%3]
-	c.isolate(away.id)
+	isolated := c.replicas[(slices.Index(c.replicas, l)+1)%3]
+	c.isolate(isolated.id)
 	for range 20 * quorum.DefaultElectionTicks {
 		c.tick()
 	}
@@ -74,35 +74,35 @@
 	}
 	require.Equal(t, l, c.leader())
 	require.Equal(t, term, l.node.Status().Term)
-	require.Equal(t, term, away.node.Status().Term)
+	require.Equal(t, term, isolated.node.Status().Term)
 }
 
 // Symptom: two leaders in one term.
 // Sequence: a replica grants its vote, loses power before the vote is on disk,
 // and is asked by another candidate of the same term.
 // Cause: the reply left before the vote was durable.
-func TestVoteLeavesAfterItIsOnDisk(t *testing.T) {
+func TestVoteReplySentAfterVotePersisted(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	voter := c.replicas[2]
-	voter.slow = true
-	ask := func(from quorum.ID) {
+	voter.slowDisk = true
+	requestVote := func(from quorum.ID) {
 		require.NoError(t, voter.node.Step(&quorumpb.Message{
 			Type: quorumpb.MessageType_MESSAGE_TYPE_VOTE, From: string(from), To: string(voter.id),
 			Term: 5, Index: 1, IndexTerm: 1,
 		}))
-		c.process(voter)
+		c.processReady(voter)
 	}
-	ask(name(0))
+	requestVote(replicaID(0))
 	require.Empty(t, c.network, "a vote left before it was on disk")
 	c.restart(voter)
-	ask(name(1))
-	c.finish(voter, *voter.writing)
-	c.process(voter)
+	requestVote(replicaID(1))
+	c.finishWrite(voter, *voter.pendingWrite)
+	c.processReady(voter)
 	require.Len(t, c.network, 1)
 	require.False(t, c.network[0].GetReject())
 	c.network = nil
 	c.restart(voter)
-	ask(name(0))
+	requestVote(replicaID(0))
 	require.Len(t, c.network, 1)
 	require.True(t, c.network[0].GetReject(), "a second vote in one term")
 }
@@ -112,7 +112,7 @@
 // Sequence: an entry of an old term reaches a majority; its leader counts it
 // as committed; a candidate with a newer last entry replaces it.
 // Cause: an entry is committed by counting only in the leader's own term.
-func TestCommitOnlyInOwnTerm(t *testing.T) {
+func TestCommitByCountingOnlyInCurrentTerm(t *testing.T) {
 	entry := func(term, index uint64, data string) *quorumpb.Entry {
 		return &quorumpb.Entry{Term: term, Index: index, Data: []byte(data)}
 	}
@@ -136,7 +136,7 @@
 	// what replicates the old entry.
 	for range 3 * quorum.DefaultElectionTicks {
 		l.node.Tick()
-		c.process(l)
+		c.processReady(l)
 		for len(c.network) > 0 && l.node.Status().Role != quorum.RoleLeader {
 			c.deliver(0)
 		}
@@ -151,7 +151,7 @@
 			Type: quorumpb.MessageType_MESSAGE_TYPE_APPEND_REPLY, From: string(r.id), To: string(l.id), Term: term, Index: 2,
 		}))
 	}
-	c.process(l)
+	c.processReady(l)
 	require.Less(t, l.node.Status().Commit, uint64(2), "an old term's entry was committed by counting")
 }
 
@@ -160,13 +160,13 @@
 // is elected and asked at once.
 // Cause: a new leader does not know the commit index before an entry of its
 // own term is committed.
-func TestReadWaitsForOwnTerm(t *testing.T) {
+func TestReadWaitsForCommitInCurrentTerm(t *testing.T) {
 	c := newCluster(t, 3, 6)
 	l := c.elect()
 	// Both followers have the entry on disk; the news of its commit is lost.
 	_, err := l.node.Propose([]byte("acknowledged"))
 	require.NoError(t, err)
-	c.process(l)
+	c.processReady(l)
 	for range len(c.network) {
 		c.deliver(0)
 	}
@@ -182,13 +182,13 @@
 		for _, r := range c.replicas {
 			r.node.Tick()
 		}
-		c.process(next)
+		c.processReady(next)
 		for len(c.network) > 0 && next.node.Status().Role != quorum.RoleLeader {
 			c.deliver(0)
 		}
 	}
 	require.NoError(t, next.node.ReadIndex(1))
-	c.settle()
+	c.deliverAll()
 	require.Len(t, next.reads, 1)
 	require.GreaterOrEqual(t, next.reads[0].Index, uint64(len(c.committed)-1))
 	require.Contains(t, next.state, "acknowledged")
@@ -198,29 +198,29 @@
 // Sequence: a candidate's vote for itself is not on disk yet when a majority
 // has elected it; it loses power, forgets the term and votes for another.
 // Cause: the request for votes left, or the own vote counted, too early.
-func TestCandidateAsksAfterItsVoteIsOnDisk(t *testing.T) {
+func TestVoteRequestSentAfterOwnVotePersisted(t *testing.T) {
 	c := newCluster(t, 3, 16)
 	a := c.replicas[0]
-	a.slow = true
+	a.slowDisk = true
 	for range 2 * quorum.DefaultElectionTicks {
-		if a.writing == nil {
+		if a.pendingWrite == nil {
 			a.node.Tick()
 		}
-		c.settle()
+		c.deliverAll()
 	}
-	require.NotNil(t, a.writing)
+	require.NotNil(t, a.pendingWrite)
 	require.Equal(t, quorum.RoleCandidate, a.node.Status().Role)
 	require.Equal(t, uint64(1), c.replicas[1].node.Status().Term, "a request left before the vote was on disk")
 	single := newCluster(t, 1, 16)
 	s := single.replicas[0]
-	s.slow = true
+	s.slowDisk = true
 	for range 3 * quorum.DefaultElectionTicks {
 		s.node.Tick()
-		single.settle()
+		single.deliverAll()
 	}
 	require.Equal(t, quorum.RoleCandidate, s.node.Status().Role, "elected by a vote that is not on disk")
-	single.finish(s, *s.writing)
-	single.settle()
+	single.finishWrite(s, *s.pendingWrite)
+	single.deliverAll()
 	require.Equal(t, quorum.RoleLeader, s.node.Status().Role)
 }
 
@@ -228,29 +228,29 @@
 // Sequence: a follower's write is slow; meanwhile a new leader overwrites the
 // entry; the old write ends.
 // Cause: the end of the old write is taken for that of the new entry.
-func TestOverwrittenDuringWrite(t *testing.T) {
+func TestEntryOverwrittenDuringWrite(t *testing.T) {
 	c := newCluster(t, 3, 13)
 	f := c.replicas[2]
-	f.slow = true
+	f.slowDisk = true
 	send := func(from quorum.ID, term uint64, data string) {
 		require.NoError(t, f.node.Step(&quorumpb.Message{
 			Type: quorumpb.MessageType_MESSAGE_TYPE_APPEND, From: string(from), To: string(f.id),
 			Term: term, Index: 1, IndexTerm: 1,
 			Entries: []*quorumpb.Entry{{Index: 2, Term: term, Data: []byte(data)}},
 		}))
-		c.process(f)
+		c.processReady(f)
 	}
-	send(name(0), 2, "old")
-	old := *f.writing
-	send(name(1), 3, "new")
-	c.finish(f, old)
-	c.process(f)
+	send(replicaID(0), 2, "old")
+	old := *f.pendingWrite
+	send(replicaID(1), 3, "new")
+	c.finishWrite(f, old)
+	c.processReady(f)
 	// The old entry is on disk, and only its leader hears so.
 	require.Len(t, c.network, 1)
 	require.Equal(t, uint64(2), c.network[0].GetTerm())
-	require.Equal(t, "new", string(f.writing.Entries[0].GetData()))
-	c.finish(f, *f.writing)
-	c.process(f)
+	require.Equal(t, "new", string(f.pendingWrite.Entries[0].GetData()))
+	c.finishWrite(f, *f.pendingWrite)
+	c.processReady(f)
 	require.Len(t, c.network, 2)
 	require.Equal(t, uint64(3), c.network[1].GetTerm())
 	require.Equal(t, "new", string(f.disk.entries[1].GetData()))
@@ -260,20 +260,20 @@
 // Sequence: a message's entries are written in several parts; power is lost
 // after the first.
 // Cause: the acknowledgement, which names the last entry, left too early.
-func TestAcknowledgedAfterLastPart(t *testing.T) {
+func TestAppendAcknowledgedAfterLastWrite(t *testing.T) {
 	c := newCluster(t, 3, 17)
 	c.cfg.MaxBatchBytes = 1
 	f := c.replicas[2]
 	c.restart(f)
-	f.slow = true
-	require.NoError(t, f.node.Step(message(appendEntries, 2, &quorumpb.Message{
-		To: string(f.id), Index: 1, IndexTerm: 1, Entries: entries(2, 2, 2, 2),
+	f.slowDisk = true
+	require.NoError(t, f.node.Step(newMessage(appendEntries, 2, &quorumpb.Message{
+		To: string(f.id), Index: 1, IndexTerm: 1, Entries: newEntries(2, 2, 2, 2),
 	})))
-	c.process(f)
+	c.processReady(f)
 	for part := range 3 {
 		require.Empty(t, c.network, "acknowledged after %d of 3 parts", part)
-		c.finish(f, *f.writing)
-		c.process(f)
+		c.finishWrite(f, *f.pendingWrite)
+		c.processReady(f)
 	}
 	require.Len(t, c.network, 1)
 	require.Equal(t, uint64(4), c.network[0].GetIndex())
@@ -283,7 +283,7 @@
 // Sequence: the timeouts of two replicas end at the same tick.
 // Cause: each grants the other's pre-vote, both begin the term and split the
 // votes.
-func TestEqualTimeouts(t *testing.T) {
+func TestEqualElectionTimeouts(t *testing.T) {
 	c := newCluster(t, 3, 20)
 	c.crash(c.replicas[2])
 	for _, r := range c.replicas[:2] {
@@ -294,7 +294,7 @@
 		}
 		require.Equal(t, quorum.RolePreCandidate, r.node.Status().Role)
 	}
-	c.settle()
+	c.deliverAll()
 	require.NotNil(t, c.leader())
 }
 
@@ -305,7 +305,7 @@
 	require.NoError(t, l.node.TransferLeader(quorum.NoID))
 	_, err := l.node.Propose([]byte("x"))
 	require.ErrorIs(t, err, quorum.ErrTransferring)
-	c.settle()
+	c.deliverAll()
 	next := c.leader()
 	require.NotNil(t, next, "a transfer needs no election timeout")
 	require.NotEqual(t, l.id, next.id)
--- a/quorum/first_election_test.go
+++ b/quorum/first_election_test.go
@@ -11,14 +11,14 @@
 // Symptom: a deployment is without a leader for seconds after all of its machines lost power. Sequence: all replicas
 // start; the first pre-votes are lost, since no link is open yet; each replica then waits for a whole election timeout,
 // which is chosen for slow disks, before it asks again. Cause: one timeout for two things.
-func TestLeaderSoonAfterAllReplicasStart(t *testing.T) {
+func TestLeaderElectedSoonAfterAllReplicasStart(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, 3, seed)
 		c.cfg.ElectionTicks, c.cfg.FirstElectionTicks = 100, 4
 		for _, r := range c.replicas {
 			c.restart(r)
 		}
-		c.isolate(name(0), name(1), name(2))
+		c.isolate(replicaID(0), replicaID(1), replicaID(2))
 		for range 8 {
 			c.tick()
 		}
@@ -33,7 +33,7 @@
 
 // Symptom: a leader is deposed whenever a replica starts. Sequence: a replica starts beside a living leader and asks for
 // an election before it has heard the first heartbeat. Cause: a short first timeout without pre-votes.
-func TestReplicaThatStartsDoesNotDisturbTheLeader(t *testing.T) {
+func TestStartingReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.cfg.ElectionTicks, c.cfg.FirstElectionTicks = 100, 2
 	for _, r := range c.replicas {
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -24,27 +24,27 @@
 		return err
 	}
 	if m.GetIndex() < n.log.commit {
-		n.acknowledge(m, n.log.commit)
+		n.acknowledgeAppend(m, n.log.commit)
 		return nil
 	}
 	if !n.log.matches(m.GetIndex(), m.GetIndexTerm()) {
-		n.reject(m)
+		n.rejectAppend(m)
 		return nil
 	}
-	if err := n.takeEntries(m.GetEntries()); err != nil {
+	if err := n.mergeEntries(m.GetEntries()); err != nil {
 		return err
 	}
 	last := m.GetIndex() + uint64(len(m.GetEntries()))
 	n.log.commit = max(n.log.commit, min(m.GetCommit(), last))
-	n.acknowledge(m, last)
+	n.acknowledgeAppend(m, last)
 	return nil
 }
 
-// takeEntries replaces the log's end from the first entry that differs. What
+// mergeEntries replaces the log's end from the first entry that differs. What
 // already matches stays: the message may be an old one, and the entries after
 // its last may be acknowledged.
-func (n *Node) takeEntries(entries []*quorumpb.Entry) error {
-	first := n.log.conflict(entries)
+func (n *Node) mergeEntries(entries []*quorumpb.Entry) error {
+	first := n.log.firstConflict(entries)
 	if first == 0 {
 		return nil
 	}
@@ -55,15 +55,15 @@
 		n.log.truncate(first)
 		n.history.truncate(first)
 	}
-	fresh := entries[first-entries[0].GetIndex():]
-	if err := n.history.add(fresh); err != nil {
+	added := entries[first-entries[0].GetIndex():]
+	if err := n.history.addFromEntries(added); err != nil {
 		return ErrMalformed
 	}
-	n.log.append(fresh...)
+	n.log.append(added...)
 	return nil
 }
 
-func (n *Node) acknowledge(m *quorumpb.Message, index uint64) {
+func (n *Node) acknowledgeAppend(m *quorumpb.Message, index uint64) {
 	n.sendAfterPersist(&quorumpb.Message{
 		Type:  quorumpb.MessageType_MESSAGE_TYPE_APPEND_REPLY,
 		To:    m.GetFrom(),
@@ -71,8 +71,8 @@
 	})
 }
 
-func (n *Node) reject(m *quorumpb.Message) {
-	index, term := n.log.hint(m.GetIndex(), m.GetIndexTerm())
+func (n *Node) rejectAppend(m *quorumpb.Message) {
+	index, term := n.log.conflictHint(m.GetIndex(), m.GetIndexTerm())
 	n.sendAfterPersist(&quorumpb.Message{
 		Type:      quorumpb.MessageType_MESSAGE_TYPE_APPEND_REPLY,
 		To:        m.GetFrom(),
@@ -104,7 +104,7 @@
 		To:        m.GetFrom(),
 		ReadRound: m.GetReadRound(),
 	}
-	if n.written.term == n.term {
+	if n.persistedHardState.term == n.term {
 		n.sendEarly(reply)
 		return
 	}
@@ -119,17 +119,17 @@
 	meta := m.GetSnapshot().GetMeta()
 	switch {
 	case meta.GetIndex() <= n.log.commit:
-		n.acknowledge(m, n.log.commit)
+		n.acknowledgeAppend(m, n.log.commit)
 		return nil
 	case n.log.matches(meta.GetIndex(), meta.GetTerm()):
 		n.log.commit = meta.GetIndex()
-		n.acknowledge(m, meta.GetIndex())
+		n.acknowledgeAppend(m, meta.GetIndex())
 		return nil
 	}
 	n.log.reset(meta)
-	n.history = history{{index: meta.GetIndex(), membership: meta.GetMembership()}}
+	n.history = membershipHistory{{index: meta.GetIndex(), membership: meta.GetMembership()}}
 	n.snapshot = m.GetSnapshot()
-	n.acknowledge(m, meta.GetIndex())
+	n.acknowledgeAppend(m, meta.GetIndex())
 	return nil
 }
 
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -20,12 +20,12 @@
 	n.votes = nil
 	n.leaderState = leaderState{}
 	n.updatePeers()
-	n.appendOwn(quorumpb.EntryType_ENTRY_TYPE_DATA, nil)
+	n.appendInTerm(quorumpb.EntryType_ENTRY_TYPE_DATA, nil)
 }
 
-// leaveLeadership ends what only a leader has. Reads that wait are lost.
-func (n *Node) leaveLeadership() {
-	n.loseReads()
+// clearLeaderState ends what only a leader has. Reads that wait are lost.
+func (n *Node) clearLeaderState() {
+	n.failReads()
 	n.leaderState = leaderState{}
 }
 
@@ -41,7 +41,7 @@
 		if p == nil {
 			// A new peer counts as heard, or a new leader would step down
 			// before its first message could be answered.
-			p = &peer{id: id, next: n.log.last() + 1, heard: n.now}
+			p = &peer{id: id, next: n.log.last() + 1, lastHeardTick: n.tickCount}
 		}
 		peers = append(peers, p)
 	}
@@ -49,17 +49,17 @@
 	n.peers = peers
 }
 
-// appendOwn appends an entry of the own term and returns its index.
-func (n *Node) appendOwn(kind quorumpb.EntryType, data []byte) uint64 {
+// appendInTerm appends an entry of the own term and returns its index.
+func (n *Node) appendInTerm(kind quorumpb.EntryType, data []byte) uint64 {
 	e := &quorumpb.Entry{Index: n.log.last() + 1, Term: n.term, Type: kind, Data: data}
 	n.log.append(e)
-	n.pending += len(data)
+	n.unappliedBytes += len(data)
 	return e.GetIndex()
 }
 
 // tickLeader sends heartbeats and steps down where no quorum is heard.
 func (n *Node) tickLeader() {
-	if !n.quorumActive(n.membership()) {
+	if !n.hasActiveQuorum(n.membership()) {
 		// Cut off: another leader may exist by now. Without this, callers
 		// would wait on this replica for as long as the cut lasts (thesis 6.2).
 		n.counters.SteppedDown++
@@ -78,19 +78,19 @@
 	}
 }
 
-func (n *Node) active(p *peer) bool {
-	return n.now-p.heard < uint64(n.cfg.ElectionTicks)
+func (n *Node) isActive(p *peer) bool {
+	return n.tickCount-p.lastHeardTick < uint64(n.cfg.ElectionTicks)
 }
 
-// quorumActive tells whether a quorum of m was heard within an election
+// hasActiveQuorum tells whether a quorum of m was heard within an election
 // timeout.
-func (n *Node) quorumActive(m *quorumpb.Membership) bool {
+func (n *Node) hasActiveQuorum(m *quorumpb.Membership) bool {
 	return hasQuorum(m, func(id ID) bool {
 		if id == n.cfg.ID {
 			return true
 		}
 		p := n.peer(id)
-		return p != nil && n.active(p)
+		return p != nil && n.isActive(p)
 	})
 }
 
@@ -122,12 +122,12 @@
 		size += len(d)
 	}
 	// A single proposal passes however small the bound is.
-	if n.pending > 0 && n.pending+size > n.cfg.MaxUncommittedBytes {
+	if n.unappliedBytes > 0 && n.unappliedBytes+size > n.cfg.MaxUncommittedBytes {
 		return Position{}, ErrUncommittedFull
 	}
 	p := Position{Index: n.log.last() + 1, Term: n.term}
 	for _, d := range data {
-		n.appendOwn(quorumpb.EntryType_ENTRY_TYPE_DATA, d)
+		n.appendInTerm(quorumpb.EntryType_ENTRY_TYPE_DATA, d)
 	}
 	return p, nil
 }
@@ -158,19 +158,19 @@
 	if p := n.peer(c.ID); c.Kind == Promote && p != nil && !n.caughtUp(p) {
 		return Position{}, ErrNotCaughtUp
 	}
-	next, detail := change(n.membership(), c)
+	next, detail := applyChange(n.membership(), c)
 	if next == nil {
 		return Position{}, &RefusedError{Reason: ReasonInvalidChange, Detail: detail}
 	}
 	// Otherwise the change itself could never be committed.
-	if !n.quorumActive(next) {
+	if !n.hasActiveQuorum(next) {
 		return Position{}, &RefusedError{Reason: ReasonInvalidChange, Detail: "no quorum of the new voters is heard"}
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(next)
 	if err != nil {
 		return Position{}, &RefusedError{Reason: ReasonInvalidChange, Detail: err.Error()}
 	}
-	index := n.appendOwn(quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP, data)
+	index := n.appendInTerm(quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP, data)
 	n.history = append(n.history, configuration{index: index, membership: next})
 	n.updatePeers()
 	return Position{Index: index, Term: n.term}, nil
@@ -180,7 +180,7 @@
 // A voter that does not would count for quorums from which a committed entry
 // can be missing after one more failure (thesis 4.2.1).
 func (n *Node) caughtUp(p *peer) bool {
-	return n.active(p) && p.match >= n.log.commit
+	return n.isActive(p) && p.match >= n.log.commit
 }
 
 // committedInTerm tells whether an entry of the own term is committed. Before,
@@ -208,16 +208,16 @@
 
 // quorumIndex returns the highest index that a quorum holds on disk.
 func (n *Node) quorumIndex() uint64 {
-	var held []uint64
+	var persisted []uint64
 	for _, id := range voters(n.membership()) {
 		if id == n.cfg.ID {
-			held = append(held, n.log.persisted)
+			persisted = append(persisted, n.log.persisted)
 			continue
 		}
-		held = append(held, n.peer(id).match)
+		persisted = append(persisted, n.peer(id).match)
 	}
-	slices.Sort(held)
-	return held[(len(held)-1)/2]
+	slices.Sort(persisted)
+	return persisted[(len(persisted)-1)/2]
 }
 
 // TransferLeader hands leadership to target, or, with NoID, to the active
@@ -230,8 +230,8 @@
 	}
 	var best *peer
 	for _, p := range n.peers {
-		wanted := target == NoID || target == p.id
-		if wanted && isVoter(n.membership(), p.id) && n.active(p) && (best == nil || p.match > best.match) {
+		allowed := target == NoID || target == p.id
+		if allowed && isVoter(n.membership(), p.id) && n.isActive(p) && (best == nil || p.match > best.match) {
 			best = p
 		}
 	}
@@ -240,12 +240,12 @@
 	}
 	n.transferee = best.id
 	n.transferElapsed = 0
-	n.finishTransfer(best)
+	n.sendTimeoutNowIfCaughtUp(best)
 	return nil
 }
 
-// finishTransfer asks the transferee to campaign once it holds the whole log.
-func (n *Node) finishTransfer(p *peer) {
+// sendTimeoutNowIfCaughtUp asks the transferee to campaign once it holds the whole log.
+func (n *Node) sendTimeoutNowIfCaughtUp(p *peer) {
 	if n.transferee == p.id && p.match == n.log.last() {
 		n.sendEarly(&quorumpb.Message{Type: quorumpb.MessageType_MESSAGE_TYPE_TIMEOUT_NOW, To: string(p.id)})
 	}
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -21,9 +21,9 @@
 	// persisted is the last entry known to be on the disk.
 	persisted uint64
 	commit    uint64
-	// handed is the last committed entry given to the caller, applied the
+	// delivered is the last committed entry given to the caller, applied the
 	// last one that the caller reported back.
-	handed, applied uint64
+	delivered, applied uint64
 }
 
 // newEntryLog returns the log that a restart found on disk.
@@ -33,7 +33,7 @@
 		prevIndex: snapshot.GetIndex(),
 		prevTerm:  snapshot.GetTerm(),
 		snapshot:  snapshot,
-		handed:    snapshot.GetIndex(),
+		delivered: snapshot.GetIndex(),
 		applied:   snapshot.GetIndex(),
 	}
 	term := l.prevTerm
@@ -74,11 +74,11 @@
 	return ok && t == term
 }
 
-// upToDate tells whether a log that ends at index and term holds all that this
+// isUpToDate tells whether a log that ends at index and term holds all that this
 // one holds (thesis 3.6.1).
-func (l *entryLog) upToDate(index, term uint64) bool {
-	own := l.lastTerm()
-	return term > own || term == own && index >= l.last()
+func (l *entryLog) isUpToDate(index, term uint64) bool {
+	lastTerm := l.lastTerm()
+	return term > lastTerm || term == lastTerm && index >= l.last()
 }
 
 // slice returns the entries from index from up to and with index to, cut after
@@ -111,9 +111,9 @@
 	l.persisted = min(l.persisted, index-1)
 }
 
-// conflict returns the index of the first entry that the log does not hold
+// firstConflict returns the index of the first entry that the log does not hold
 // with the same term; 0 if it holds them all.
-func (l *entryLog) conflict(entries []*quorumpb.Entry) uint64 {
+func (l *entryLog) firstConflict(entries []*quorumpb.Entry) uint64 {
 	for _, e := range entries {
 		if !l.matches(e.GetIndex(), e.GetTerm()) {
 			return e.GetIndex()
@@ -122,10 +122,10 @@
 	return 0
 }
 
-// hint returns the last position at or before index whose term is at most
+// conflictHint returns the last position at or before index whose term is at most
 // term. Two logs can agree at no later position, so whole terms are skipped
 // where a follower's log differs (thesis 3.5).
-func (l *entryLog) hint(index, term uint64) (uint64, uint64) {
+func (l *entryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	for i := min(index, l.last()); i > l.prevIndex; i-- {
 		if t, _ := l.term(i); t <= term {
 			return i, t
@@ -141,7 +141,7 @@
 	l.snapshot = meta
 	l.persisted = meta.GetIndex()
 	l.commit = meta.GetIndex()
-	l.handed = meta.GetIndex()
+	l.delivered = meta.GetIndex()
 }
 
 // compact drops the entries up to and with index.
@@ -155,8 +155,8 @@
 	l.prevIndex, l.prevTerm = index, term
 }
 
-// payload returns the bytes of the entries after from, up to and with to.
-func (l *entryLog) payload(from, to uint64) int {
+// payloadBytes returns the bytes of the entries after from, up to and with to.
+func (l *entryLog) payloadBytes(from, to uint64) int {
 	size := 0
 	for i := max(from, l.prevIndex) + 1; i <= min(to, l.last()); i++ {
 		size += len(l.entries[i-l.prevIndex-1].GetData())
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -36,12 +36,12 @@
 	membership *quorumpb.Membership
 }
 
-// history holds the memberships of the log, oldest first. The newest is in
+// membershipHistory holds the memberships of the log, oldest first. The newest is in
 // force, committed or not (thesis 4.1). The others are kept for a truncation,
 // and for the snapshots taken at their time.
-type history []configuration
+type membershipHistory []configuration
 
-func (h history) current() configuration {
+func (h membershipHistory) current() configuration {
 	if len(h) == 0 {
 		return configuration{}
 	}
@@ -49,7 +49,7 @@
 }
 
 // at returns the membership in force at index.
-func (h history) at(index uint64) *quorumpb.Membership {
+func (h membershipHistory) at(index uint64) *quorumpb.Membership {
 	var found *quorumpb.Membership
 	for _, c := range h {
 		if c.index <= index {
@@ -59,8 +59,8 @@
 	return found
 }
 
-// add takes up the membership entries among entries.
-func (h *history) add(entries []*quorumpb.Entry) error {
+// addFromEntries takes up the membership entries among entries.
+func (h *membershipHistory) addFromEntries(entries []*quorumpb.Entry) error {
 	for _, e := range entries {
 		if e.GetType() != quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP {
 			continue
@@ -75,25 +75,25 @@
 }
 
 // truncate drops the memberships of entries from index on.
-func (h *history) truncate(index uint64) {
+func (h *membershipHistory) truncate(index uint64) {
 	for len(*h) > 0 && h.current().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
 // compact drops the memberships that were replaced at or before index.
-func (h *history) compact(index uint64) {
+func (h *membershipHistory) compact(index uint64) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
 	}
 }
 
-// lists tells whether a kept membership names the replica.
-func (h history) lists(id ID) bool {
-	return slices.ContainsFunc(h, func(c configuration) bool { return find(c.membership, id) != nil })
+// contains tells whether a kept membership names the replica.
+func (h membershipHistory) contains(id ID) bool {
+	return slices.ContainsFunc(h, func(c configuration) bool { return findMember(c.membership, id) != nil })
 }
 
-func find(m *quorumpb.Membership, id ID) *quorumpb.Member {
+func findMember(m *quorumpb.Membership, id ID) *quorumpb.Member {
 	for _, member := range m.GetMembers() {
 		if member.GetId() == string(id) {
 			return member
@@ -103,7 +103,7 @@
 }
 
 func isVoter(m *quorumpb.Membership, id ID) bool {
-	return find(m, id).GetRole() == quorumpb.Role_ROLE_VOTER
+	return findMember(m, id).GetRole() == quorumpb.Role_ROLE_VOTER
 }
 
 // voters returns the IDs of the voters, sorted.
@@ -129,10 +129,10 @@
 	return count > len(ids)/2
 }
 
-// change returns the membership after c; detail says why c does not fit.
-func change(m *quorumpb.Membership, c Change) (next *quorumpb.Membership, detail string) {
+// applyChange returns the membership after c; detail says why c does not fit.
+func applyChange(m *quorumpb.Membership, c Change) (next *quorumpb.Membership, detail string) {
 	next = proto.Clone(m).(*quorumpb.Membership)
-	member := find(next, c.ID)
+	member := findMember(next, c.ID)
 	switch c.Kind {
 	case AddLearner:
 		if member != nil {
@@ -147,7 +147,7 @@
 		if member == nil || member.GetRole() == quorumpb.Role_ROLE_VOTER {
 			return nil, "not a learner"
 		}
-		if other := otherVoter(next, c.ID); other != NoID {
+		if other := otherVoterOnInstance(next, c.ID); other != NoID {
 			return nil, "remove the instance's earlier replica first: " + string(other)
 		}
 		member.Role = quorumpb.Role_ROLE_VOTER
@@ -165,9 +165,9 @@
 	return next, ""
 }
 
-// otherVoter returns the voter on the same instance as id. With both as voters
+// otherVoterOnInstance returns the voter on the same instance as id. With both as voters
 // the loss of one instance would take two votes.
-func otherVoter(m *quorumpb.Membership, id ID) ID {
+func otherVoterOnInstance(m *quorumpb.Membership, id ID) ID {
 	for _, v := range voters(m) {
 		if v != id && v.Instance() == id.Instance() {
 			return v
@@ -186,7 +186,7 @@
 func FirstEntry(group string, members []*quorumpb.Member) (*quorumpb.Entry, error) {
 	m := &quorumpb.Membership{Group: group}
 	for _, member := range members {
-		if find(m, ID(member.GetId())) != nil {
+		if findMember(m, ID(member.GetId())) != nil {
 			return nil, errors.Errorf("quorum: %s is listed twice", member.GetId())
 		}
 		m.Members = append(m.Members, proto.Clone(member).(*quorumpb.Member))
--- a/quorum/message_test.go
+++ b/quorum/message_test.go
@@ -24,7 +24,7 @@
 	timeoutNow     = quorumpb.MessageType_MESSAGE_TYPE_TIMEOUT_NOW
 )
 
-func entries(first uint64, terms ...uint64) []*quorumpb.Entry {
+func newEntries(first uint64, terms ...uint64) []*quorumpb.Entry {
 	var es []*quorumpb.Entry
 	for i, term := range terms {
 		es = append(es, &quorumpb.Entry{Index: first + uint64(i), Term: term, Data: []byte("x")})
@@ -32,37 +32,37 @@
 	return es
 }
 
-// follower returns replica a of a group of three in term 5 with a log of the
+// newFollower returns replica a of a group of three in term 5 with a log of the
 // terms 1 (the membership), 2, 3, 5. Its leader is b if heard.
-func follower(t *testing.T, heard bool) *quorum.Node {
+func newFollower(t *testing.T, leaderKnown bool) *quorum.Node {
 	c := newCluster(t, 3, 1)
 	first := c.replicas[0].disk.entries[0]
-	log := append([]*quorumpb.Entry{first}, entries(2, 2, 3, 5)...)
-	n, err := quorum.New(quorum.Config{ID: name(0), Rand: rand.New(rand.NewPCG(1, 1))},
+	log := append([]*quorumpb.Entry{first}, newEntries(2, 2, 3, 5)...)
+	n, err := quorum.New(quorum.Config{ID: replicaID(0), Rand: rand.New(rand.NewPCG(1, 1))},
 		&quorumpb.HardState{Term: 5, Commit: 2}, nil, log)
 	require.NoError(t, err)
-	if heard {
-		require.NoError(t, n.Step(message(heartbeat, 5, &quorumpb.Message{})))
-		drain(n)
+	if leaderKnown {
+		require.NoError(t, n.Step(newMessage(heartbeat, 5, &quorumpb.Message{})))
+		processAll(n)
 	}
 	return n
 }
 
-// message is from b to a unless m says otherwise.
-func message(kind quorumpb.MessageType, term uint64, m *quorumpb.Message) *quorumpb.Message {
+// newMessage is from b to a unless m says otherwise.
+func newMessage(kind quorumpb.MessageType, term uint64, m *quorumpb.Message) *quorumpb.Message {
 	m = proto.CloneOf(m)
 	m.Type, m.Term = kind, term
 	if m.From == "" {
-		m.From = string(name(1))
+		m.From = string(replicaID(1))
 	}
 	if m.To == "" {
-		m.To = string(name(0))
+		m.To = string(replicaID(0))
 	}
 	return m
 }
 
-// drain persists and applies everything and returns the messages.
-func drain(n *quorum.Node) []*quorumpb.Message {
+// processAll persists and applies everything and returns the messages.
+func processAll(n *quorum.Node) []*quorumpb.Message {
 	var out []*quorumpb.Message
 	for b, ok := n.Ready(); ok; b, ok = n.Ready() {
 		out = append(append(out, b.Early...), b.Messages...)
@@ -74,49 +74,49 @@
 	return out
 }
 
-func TestFollowerAnswers(t *testing.T) {
+func TestFollowerReplies(t *testing.T) {
 	meta := &quorumpb.SnapshotMeta{Index: 9, Term: 5, Membership: &quorumpb.Membership{Group: "group"}}
 	cases := []struct {
 		name string
-		// unheard followers know of no leader.
-		unheard bool
-		in      *quorumpb.Message
+		// noLeader followers know of no leader.
+		noLeader bool
+		in       *quorumpb.Message
 		// want is nil where no answer may come.
 		want       *quorumpb.Message
 		term, last uint64
 	}{
-		{"pre-vote, newer log", true, message(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(preVoteReply, 6, &quorumpb.Message{}), 5, 4},
-		{"pre-vote, shorter log", true, message(preVote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), message(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"pre-vote, longer log of an older term", true, message(preVote, 6, &quorumpb.Message{Index: 9, IndexTerm: 4}), message(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"pre-vote, own term", true, message(preVote, 5, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"pre-vote while a leader is heard", false, message(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"pre-vote of an older term", true, message(preVote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"vote", true, message(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(voteReply, 6, &quorumpb.Message{}), 6, 4},
-		{"vote, shorter log", true, message(vote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), message(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
-		{"vote, longer log of an older term", true, message(vote, 6, &quorumpb.Message{Index: 9, IndexTerm: 3}), message(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
-		{"vote while a leader is heard", false, message(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), nil, 5, 4},
-		{"vote that the leader asked for", false, message(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5, Transfer: true}), message(voteReply, 6, &quorumpb.Message{}), 6, 4},
-		{"vote of an older term", true, message(vote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(voteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"append", false, message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: entries(5, 5, 5)}), message(appendReply, 5, &quorumpb.Message{Index: 6}), 5, 6},
-		{"append that is known", false, message(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: entries(3, 3)}), message(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 4},
-		{"append that replaces the end", false, message(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: entries(3, 4)}), message(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 3},
-		{"append before the commit index", false, message(appendEntries, 5, &quorumpb.Message{Index: 1, IndexTerm: 1, Entries: entries(2, 2)}), message(appendReply, 5, &quorumpb.Message{Index: 2}), 5, 4},
-		{"append after a gap", false, message(appendEntries, 5, &quorumpb.Message{Index: 8, IndexTerm: 5, Entries: entries(9, 5)}), message(appendReply, 5, &quorumpb.Message{Index: 8, Reject: true, HintIndex: 4, HintTerm: 5}), 5, 4},
-		{"append after another term", false, message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 4}), message(appendReply, 5, &quorumpb.Message{Index: 4, Reject: true, HintIndex: 3, HintTerm: 3}), 5, 4},
-		{"append of a newer term", false, message(appendEntries, 7, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(appendReply, 7, &quorumpb.Message{Index: 4}), 7, 4},
-		{"append of an older term", false, message(appendEntries, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), message(heartbeatReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"heartbeat", false, message(heartbeat, 5, &quorumpb.Message{ReadRound: 3}), message(heartbeatReply, 5, &quorumpb.Message{ReadRound: 3}), 5, 4},
-		{"heartbeat of an older term", false, message(heartbeat, 4, &quorumpb.Message{ReadRound: 3}), message(heartbeatReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"snapshot", false, message(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: meta}}), message(appendReply, 5, &quorumpb.Message{Index: 9}), 5, 9},
-		{"snapshot that is known", false, message(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: &quorumpb.SnapshotMeta{Index: 4, Term: 5}}}), message(appendReply, 5, &quorumpb.Message{Index: 4}), 5, 4},
-		{"reply to nobody", false, message(appendReply, 5, &quorumpb.Message{Index: 4}), nil, 5, 4},
-		{"timeout now from another than the leader", true, message(timeoutNow, 5, &quorumpb.Message{}), nil, 5, 4},
+		{"pre-vote, newer log", true, newMessage(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 6, &quorumpb.Message{}), 5, 4},
+		{"pre-vote, shorter log", true, newMessage(preVote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"pre-vote, longer log of an older term", true, newMessage(preVote, 6, &quorumpb.Message{Index: 9, IndexTerm: 4}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"pre-vote, own term", true, newMessage(preVote, 5, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"pre-vote while a leader is heard", false, newMessage(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"pre-vote of an older term", true, newMessage(preVote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"vote", true, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(voteReply, 6, &quorumpb.Message{}), 6, 4},
+		{"vote, shorter log", true, newMessage(vote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), newMessage(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
+		{"vote, longer log of an older term", true, newMessage(vote, 6, &quorumpb.Message{Index: 9, IndexTerm: 3}), newMessage(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
+		{"vote while a leader is heard", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), nil, 5, 4},
+		{"vote that the leader asked for", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5, Transfer: true}), newMessage(voteReply, 6, &quorumpb.Message{}), 6, 4},
+		{"vote of an older term", true, newMessage(vote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(voteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"append", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 5, 5)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 6}), 5, 6},
+		{"append that is known", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 3)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 4},
+		{"append that replaces the end", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 4)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 3},
+		{"append before the commit index", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 1, IndexTerm: 1, Entries: newEntries(2, 2)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 2}), 5, 4},
+		{"append after a gap", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 8, IndexTerm: 5, Entries: newEntries(9, 5)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 8, Reject: true, HintIndex: 4, HintTerm: 5}), 5, 4},
+		{"append after another term", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 4}), newMessage(appendReply, 5, &quorumpb.Message{Index: 4, Reject: true, HintIndex: 3, HintTerm: 3}), 5, 4},
+		{"append of a newer term", false, newMessage(appendEntries, 7, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(appendReply, 7, &quorumpb.Message{Index: 4}), 7, 4},
+		{"append of an older term", false, newMessage(appendEntries, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(heartbeatReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"heartbeat", false, newMessage(heartbeat, 5, &quorumpb.Message{ReadRound: 3}), newMessage(heartbeatReply, 5, &quorumpb.Message{ReadRound: 3}), 5, 4},
+		{"heartbeat of an older term", false, newMessage(heartbeat, 4, &quorumpb.Message{ReadRound: 3}), newMessage(heartbeatReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"snapshot", false, newMessage(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: meta}}), newMessage(appendReply, 5, &quorumpb.Message{Index: 9}), 5, 9},
+		{"snapshot that is known", false, newMessage(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: &quorumpb.SnapshotMeta{Index: 4, Term: 5}}}), newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), 5, 4},
+		{"reply to nobody", false, newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), nil, 5, 4},
+		{"timeout now from another than the leader", true, newMessage(timeoutNow, 5, &quorumpb.Message{}), nil, 5, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := follower(t, !c.unheard)
+			n := newFollower(t, !c.noLeader)
 			require.NoError(t, n.Step(c.in))
-			out := drain(n)
+			out := processAll(n)
 			require.Equal(t, c.term, n.Status().Term)
 			require.Equal(t, c.last, n.Status().Last)
 			if c.want == nil {
@@ -134,37 +134,37 @@
 	}
 }
 
-func TestStepRefuses(t *testing.T) {
+func TestStepRejectsInvalidMessages(t *testing.T) {
 	cases := []struct {
 		name string
 		in   *quorumpb.Message
 		want error
 	}{
-		{"another replica", message(heartbeat, 5, &quorumpb.Message{To: "c/disk1"}), quorum.ErrMisaddressed},
-		{"an earlier disk", message(heartbeat, 5, &quorumpb.Message{To: "a/disk0"}), quorum.ErrMisaddressed},
-		{"another group", message(heartbeat, 5, &quorumpb.Message{Group: "other"}), quorum.ErrMisaddressed},
-		{"from itself", message(heartbeat, 5, &quorumpb.Message{From: "a/disk1"}), quorum.ErrMalformed},
-		{"no term", message(heartbeat, 0, &quorumpb.Message{}), quorum.ErrMalformed},
-		{"no type", message(0, 5, &quorumpb.Message{}), quorum.ErrMalformed},
-		{"second leader of a term", message(heartbeat, 5, &quorumpb.Message{From: "c/disk1"}), quorum.ErrMalformed},
-		{"gap in the entries", message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: entries(6, 5)}), quorum.ErrMalformed},
-		{"terms fall", message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: entries(5, 4)}), quorum.ErrMalformed},
-		{"entry of a later term", message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: entries(5, 6)}), quorum.ErrMalformed},
-		{"broken membership", message(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: []*quorumpb.Entry{
+		{"another replica", newMessage(heartbeat, 5, &quorumpb.Message{To: "c/disk1"}), quorum.ErrMisaddressed},
+		{"an earlier disk", newMessage(heartbeat, 5, &quorumpb.Message{To: "a/disk0"}), quorum.ErrMisaddressed},
+		{"another group", newMessage(heartbeat, 5, &quorumpb.Message{Group: "other"}), quorum.ErrMisaddressed},
+		{"from itself", newMessage(heartbeat, 5, &quorumpb.Message{From: "a/disk1"}), quorum.ErrMalformed},
+		{"no term", newMessage(heartbeat, 0, &quorumpb.Message{}), quorum.ErrMalformed},
+		{"no type", newMessage(0, 5, &quorumpb.Message{}), quorum.ErrMalformed},
+		{"second leader of a term", newMessage(heartbeat, 5, &quorumpb.Message{From: "c/disk1"}), quorum.ErrMalformed},
+		{"gap in the entries", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(6, 5)}), quorum.ErrMalformed},
+		{"terms fall", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 4)}), quorum.ErrMalformed},
+		{"entry of a later term", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 6)}), quorum.ErrMalformed},
+		{"broken membership", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: []*quorumpb.Entry{
 			{Index: 5, Term: 5, Type: quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP, Data: []byte{0xff}},
 		}}), quorum.ErrMalformed},
-		{"snapshot of nothing", message(snapshot, 5, &quorumpb.Message{}), quorum.ErrMalformed},
-		{"commit index beyond the log", message(heartbeat, 5, &quorumpb.Message{Commit: 5}), quorum.ErrLostLog},
+		{"snapshot of nothing", newMessage(snapshot, 5, &quorumpb.Message{}), quorum.ErrMalformed},
+		{"commit index beyond the log", newMessage(heartbeat, 5, &quorumpb.Message{Commit: 5}), quorum.ErrLostLog},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := follower(t, true)
+			n := newFollower(t, true)
 			require.ErrorIs(t, n.Step(c.in), c.want)
 		})
 	}
 }
 
-func TestLeaderHandles(t *testing.T) {
+func TestLeaderHandlesMessages(t *testing.T) {
 	cases := []struct {
 		name string
 		in   *quorumpb.Message
@@ -192,7 +192,7 @@
 			l := c.replicas[0]
 			for l.node.Status().Role != quorum.RoleLeader {
 				l.node.Tick()
-				c.process(l)
+				c.processReady(l)
 				for len(c.network) > 0 && l.node.Status().Role != quorum.RoleLeader {
 					c.deliver(0)
 				}
@@ -201,7 +201,7 @@
 			if term == 0 {
 				term = l.node.Status().Term
 			}
-			require.NoError(t, l.node.Step(message(tc.in.GetType(), term, tc.in)))
+			require.NoError(t, l.node.Step(newMessage(tc.in.GetType(), term, tc.in)))
 			require.Equal(t, tc.commit, l.node.Status().Commit)
 			require.Equal(t, tc.role, l.node.Status().Role)
 		})
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -47,10 +47,10 @@
 	leader ID
 	log    *entryLog
 	// history of memberships; the current one is in force.
-	history history
+	history membershipHistory
 
-	// now counts ticks.
-	now uint64
+	// tickCount counts ticks.
+	tickCount uint64
 	// electionElapsed counts ticks since a leader, or a vote granted, was last
 	// heard; electionTimeout is drawn anew at each change of role.
 	electionElapsed, electionTimeout int
@@ -68,9 +68,9 @@
 	peers []*peer
 	// heartbeatElapsed counts ticks since the last heartbeat.
 	heartbeatElapsed int
-	// pending is the payload in bytes of proposals that are not applied yet.
-	pending int
-	reads   readQueue
+	// unappliedBytes is the payload in bytes of proposals that are not applied yet.
+	unappliedBytes int
+	reads          readQueue
 	// transferee is to become the leader; transferElapsed counts ticks.
 	transferee      ID
 	transferElapsed int
@@ -80,7 +80,7 @@
 // snapshot and the entries after it, all of them possibly empty. It fails where
 // the config is incomplete or the entries do not follow each other.
 func New(cfg Config, hard *quorumpb.HardState, snapshot *quorumpb.SnapshotMeta, entries []*quorumpb.Entry) (*Node, error) {
-	if err := cfg.complete(); err != nil {
+	if err := cfg.setDefaultsAndValidate(); err != nil {
 		return nil, err
 	}
 	log, err := newEntryLog(snapshot, entries, hard.GetCommit())
@@ -89,27 +89,27 @@
 	}
 	n := &Node{cfg: cfg, log: log, vote: ID(hard.GetVote())}
 	if m := snapshot.GetMembership(); m != nil {
-		n.history = history{{index: snapshot.GetIndex(), membership: m}}
+		n.history = membershipHistory{{index: snapshot.GetIndex(), membership: m}}
 	}
-	if err := n.history.add(entries); err != nil {
+	if err := n.history.addFromEntries(entries); err != nil {
 		return nil, err
 	}
 	n.term = hard.GetTerm()
 	if last := log.lastTerm(); last > n.term {
 		return nil, errors.Errorf("quorum: hard state of term %d is older than the log's %d", n.term, last)
 	}
-	n.written = hardState{term: n.term, vote: n.vote}
+	n.persistedHardState = hardState{term: n.term, vote: n.vote}
 	n.becomeFollower(n.term, NoID)
 	if cfg.FirstElectionTicks != cfg.ElectionTicks {
 		n.electionTimeout = n.cfg.FirstElectionTicks + n.cfg.Rand.IntN(n.cfg.FirstElectionTicks)
 	}
-	n.reported = n.stateChange()
+	n.reportedChange = n.stateChange()
 	return n, nil
 }
 
 // Tick advances the time by one tick.
 func (n *Node) Tick() {
-	n.now++
+	n.tickCount++
 	if n.role == RoleLeader {
 		n.tickLeader()
 		return
@@ -127,15 +127,15 @@
 		return err
 	}
 	if m.GetTerm() > n.term {
-		if !n.newerTerm(m) {
+		if !n.handleNewerTerm(m) {
 			return nil
 		}
 	}
 	if m.GetTerm() < n.term {
-		n.olderTerm(m)
+		n.rejectOlderTerm(m)
 		return nil
 	}
-	return n.dispatch(m)
+	return n.handleInTerm(m)
 }
 
 func (n *Node) checkMessage(m *quorumpb.Message) error {
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// newerTerm handles the term of a message from a later term (thesis 3.3). It
+// handleNewerTerm handles the term of a message from a later term (thesis 3.3). It
 // returns false if the message must be ignored.
-func (n *Node) newerTerm(m *quorumpb.Message) bool {
+func (n *Node) handleNewerTerm(m *quorumpb.Message) bool {
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE:
 		// A pre-vote names a term that may never begin.
@@ -181,7 +181,7 @@
 	case quorumpb.MessageType_MESSAGE_TYPE_VOTE:
 		// A replica that was removed, or cut off, would otherwise depose a
 		// leader that everyone else hears (thesis 4.2.3).
-		if n.hearsLeader() && !m.GetTransfer() {
+		if n.hasActiveLeader() && !m.GetTransfer() {
 			return false
 		}
 		n.becomeFollower(m.GetTerm(), NoID)
@@ -195,10 +195,10 @@
 	return true
 }
 
-// olderTerm answers a message from an earlier term so that its sender learns
+// rejectOlderTerm answers a message from an earlier term so that its sender learns
 // of the newer one. Without this, a leader of an older term and a replica that
 // has moved on would ignore each other for ever.
-func (n *Node) olderTerm(m *quorumpb.Message) {
+func (n *Node) rejectOlderTerm(m *quorumpb.Message) {
 	reply := &quorumpb.Message{To: m.GetFrom(), Reject: true}
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE:
@@ -215,8 +215,8 @@
 	n.sendAfterPersist(reply)
 }
 
-// dispatch handles a message of the own term.
-func (n *Node) dispatch(m *quorumpb.Message) error {
+// handleInTerm handles a message of the own term.
+func (n *Node) handleInTerm(m *quorumpb.Message) error {
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE:
 		n.handlePreVote(m)
@@ -255,7 +255,7 @@
 		n.term = term
 		n.vote = NoID
 	}
-	n.leaveLeadership()
+	n.clearLeaderState()
 	n.role = RoleFollower
 	n.leader = leader
 	n.votes = nil
@@ -275,9 +275,9 @@
 	n.electionTimeout = n.cfg.ElectionTicks + n.cfg.Rand.IntN(n.cfg.ElectionTicks)
 }
 
-// hearsLeader tells whether a leader of this term is alive as far as this
+// hasActiveLeader tells whether a leader of this term is alive as far as this
 // replica knows. A leader steps down itself when it hears no quorum.
-func (n *Node) hearsLeader() bool {
+func (n *Node) hasActiveLeader() bool {
 	return n.role == RoleLeader || n.leader != NoID && n.electionElapsed < n.cfg.ElectionTicks
 }
 
@@ -299,7 +299,7 @@
 // does not hold that entry, or no longer.
 func (n *Node) SnapshotMeta(index uint64) (meta *quorumpb.SnapshotMeta, ok bool) {
 	term, ok := n.log.term(index)
-	if !ok || index > n.log.handed {
+	if !ok || index > n.log.delivered {
 		return nil, false
 	}
 	m := n.history.at(index)
@@ -346,7 +346,7 @@
 		s.Progress = append(s.Progress, Progress{
 			ID:       p.id,
 			Match:    p.match,
-			Active:   n.active(p),
+			Active:   n.isActive(p),
 			Snapshot: p.state == peerSnapshot,
 		})
 	}
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -28,66 +28,66 @@
 	// match is the highest index known to be on the peer's disk, next the
 	// first one to send.
 	match, next uint64
-	// heard is the tick of the peer's latest message.
-	heard uint64
-	// waiting is set between a probe and its answer.
-	waiting bool
-	// sentAt is the tick at which the oldest unacknowledged send, or the
+	// lastHeardTick is the tick of the peer's latest message.
+	lastHeardTick uint64
+	// probePending is set between a probe and its answer.
+	probePending bool
+	// progressTick is the tick at which the oldest unacknowledged send, or the
 	// snapshot, left.
-	sentAt        uint64
-	sent          []inflight
-	sentBytes     int
-	sentCommit    uint64
-	snapshotIndex uint64
+	progressTick        uint64
+	unacknowledged      []inflight
+	unacknowledgedBytes int
+	sentCommit          uint64
+	snapshotIndex       uint64
 	// readRound is the newest read round that the peer answered.
 	readRound uint64
 }
 
-// probe goes back to the last known match.
-func (p *peer) probe() {
+// startProbing goes back to the last known match.
+func (p *peer) startProbing() {
 	p.state = peerProbe
 	p.next = p.match + 1
-	p.waiting = false
-	p.clearSent()
+	p.probePending = false
+	p.clearUnacknowledged()
 }
 
-func (p *peer) clearSent() {
-	p.sent = nil
-	p.sentBytes = 0
+func (p *peer) clearUnacknowledged() {
+	p.unacknowledged = nil
+	p.unacknowledgedBytes = 0
 }
 
-// acknowledge takes up that the peer holds the log up to index.
-func (p *peer) acknowledge(index, now uint64) {
+// recordAcknowledged takes up that the peer holds the log up to index.
+func (p *peer) recordAcknowledged(index, now uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
-	for len(p.sent) > 0 && p.sent[0].last <= index {
-		p.sentBytes -= p.sent[0].bytes
-		p.sent = p.sent[1:]
+	for len(p.unacknowledged) > 0 && p.unacknowledged[0].last <= index {
+		p.unacknowledgedBytes -= p.unacknowledged[0].bytes
+		p.unacknowledged = p.unacknowledged[1:]
 	}
-	p.sentAt = now
-	p.waiting = false
+	p.progressTick = now
+	p.probePending = false
 	if p.state == peerProbe || p.state == peerSnapshot && p.match >= p.snapshotIndex {
 		p.state = peerReplicate
 		p.next = p.match + 1
-		p.clearSent()
+		p.clearUnacknowledged()
 	}
 }
 
-// track records a message with entries that was just sent.
-func (p *peer) track(entries []*quorumpb.Entry, now uint64) {
-	if len(p.sent) == 0 {
-		p.sentAt = now
+// recordSent records a message with entries that was just sent.
+func (p *peer) recordSent(entries []*quorumpb.Entry, now uint64) {
+	if len(p.unacknowledged) == 0 {
+		p.progressTick = now
 	}
 	size := 0
 	for _, e := range entries {
 		size += len(e.GetData())
 	}
 	last := entries[len(entries)-1].GetIndex()
-	p.sent = append(p.sent, inflight{last: last, bytes: size})
-	p.sentBytes += size
+	p.unacknowledged = append(p.unacknowledged, inflight{last: last, bytes: size})
+	p.unacknowledgedBytes += size
 	p.next = last + 1
 }
 
-func (p *peer) full(c *Config) bool {
-	return len(p.sent) >= c.MaxInflight || p.sentBytes >= c.MaxInflightBytes
+func (p *peer) inflightFull(c *Config) bool {
+	return len(p.unacknowledged) >= c.MaxInflight || p.unacknowledgedBytes >= c.MaxInflightBytes
 }
--- a/quorum/random_test.go
+++ b/quorum/random_test.go
@@ -18,20 +18,20 @@
 	maxInstances = 5
 )
 
-// random runs a cluster under random events. The cluster checks election
+// randomCluster runs a cluster under randomCluster events. The cluster checks election
 // safety, that a leader holds what is committed, and that committed entries
 // never change; check adds log matching.
-type random struct {
+type randomCluster struct {
 	*cluster
-	proposed int
-	disks    int
+	proposed   int
+	disksAdded int
 }
 
-// pick draws a replica; nil where none fits.
-func (m *random) pick(which func(*replica) bool) *replica {
+// pickReplica draws a replica; nil where none fits.
+func (m *randomCluster) pickReplica(eligible func(*replica) bool) *replica {
 	var candidates []*replica
 	for _, r := range m.replicas {
-		if which(r) {
+		if eligible(r) {
 			candidates = append(candidates, r)
 		}
 	}
@@ -41,69 +41,69 @@
 	return candidates[m.rng.IntN(len(candidates))]
 }
 
-func anyone(*replica) bool    { return true }
-func up(r *replica) bool      { return !r.down }
-func writing(r *replica) bool { return !r.down && r.writing != nil }
-func leads(r *replica) bool   { return !r.down && r.node.Status().Role == quorum.RoleLeader }
+func anyReplica(*replica) bool  { return true }
+func isUp(r *replica) bool      { return !r.down }
+func isWriting(r *replica) bool { return !r.down && r.pendingWrite != nil }
+func isLeader(r *replica) bool  { return !r.down && r.node.Status().Role == quorum.RoleLeader }
 
 // action is an event that happens to a replica, if one fits.
 type action struct {
-	weight int
-	fits   func(*replica) bool
-	do     func(*replica)
+	weight   int
+	eligible func(*replica) bool
+	do       func(*replica)
 }
 
 // actions are weighted so that a walk mends more than it breaks; otherwise it
 // commits next to nothing.
-func (m *random) actions() []action {
+func (m *randomCluster) actions() []action {
 	return []action{
-		{30, up, func(*replica) { m.run() }},
-		{30, leads, m.proposeOne},
-		{20, up, func(*replica) { m.deliverAny() }},
-		{10, up, func(*replica) { m.disturbMessage() }},
-		{10, up, func(r *replica) { r.node.Tick(); m.process(r) }},
-		{3, up, m.timeout},
-		{5, leads, func(r *replica) { _ = r.node.ReadIndex(1); m.process(r) }},
-		{2, leads, func(r *replica) { _ = r.node.TransferLeader(quorum.NoID); m.process(r) }},
-		{4, up, func(r *replica) { r.slow = !r.slow }},
-		{20, writing, func(r *replica) { m.finish(r, *r.writing); m.process(r) }},
-		{4, up, m.crash},
-		{4, writing, m.crashWritten},
-		{6, anyone, func(*replica) { m.revive() }},
-		{3, up, func(*replica) { m.partition() }},
-		{6, anyone, func(*replica) { m.heal() }},
-		{5, up, func(r *replica) { m.compact(r, m.rng.IntN(5)) }},
-		{2, anyone, func(*replica) { m.wipe() }},
-		{4, leads, m.changeMember},
-		{10, leads, m.repair},
+		{30, isUp, func(*replica) { m.advance() }},
+		{30, isLeader, m.proposeOne},
+		{20, isUp, func(*replica) { m.deliverRandom() }},
+		{10, isUp, func(*replica) { m.dropOrDuplicateMessage() }},
+		{10, isUp, func(r *replica) { r.node.Tick(); m.processReady(r) }},
+		{3, isUp, m.expireElectionTimeout},
+		{5, isLeader, func(r *replica) { _ = r.node.ReadIndex(1); m.processReady(r) }},
+		{2, isLeader, func(r *replica) { _ = r.node.TransferLeader(quorum.NoID); m.processReady(r) }},
+		{4, isUp, func(r *replica) { r.slowDisk = !r.slowDisk }},
+		{20, isWriting, func(r *replica) { m.finishWrite(r, *r.pendingWrite); m.processReady(r) }},
+		{4, isUp, m.crash},
+		{4, isWriting, m.crashAfterWrite},
+		{6, anyReplica, func(*replica) { m.restoreReplicas() }},
+		{3, isUp, func(*replica) { m.partition() }},
+		{6, anyReplica, func(*replica) { m.heal() }},
+		{5, isUp, func(r *replica) { m.compact(r, m.rng.IntN(5)) }},
+		{2, anyReplica, func(*replica) { m.replaceDisk() }},
+		{4, isLeader, m.proposeRandomChange},
+		{10, isLeader, m.repairMembership},
 	}
 }
 
-func (m *random) step(actions []action) {
+func (m *randomCluster) runAction(actions []action) {
 	total := 0
 	for _, a := range actions {
 		total += a.weight
 	}
-	at := m.rng.IntN(total)
+	draw := m.rng.IntN(total)
 	for _, a := range actions {
-		if at -= a.weight; at >= 0 {
+		if draw -= a.weight; draw >= 0 {
 			continue
 		}
-		if r := m.pick(a.fits); r != nil {
+		if r := m.pickReplica(a.eligible); r != nil {
 			a.do(r)
 		}
 		return
 	}
 }
 
-func (m *random) deliverAny() {
+func (m *randomCluster) deliverRandom() {
 	if len(m.network) > 0 {
 		m.deliver(m.rng.IntN(len(m.network)))
 	}
 }
 
-// disturbMessage loses or repeats a message.
-func (m *random) disturbMessage() {
+// dropOrDuplicateMessage loses or repeats a message.
+func (m *randomCluster) dropOrDuplicateMessage() {
 	if len(m.network) == 0 {
 		return
 	}
@@ -115,98 +115,98 @@
 	m.network = append(m.network, m.network[i])
 }
 
-// run lets time pass for all, and most messages arrive.
-func (m *random) run() {
+// advance lets time pass for all, and most messages arrive.
+func (m *randomCluster) advance() {
 	for range 1 + m.rng.IntN(quorum.DefaultElectionTicks) {
 		for _, r := range m.replicas {
-			if up(r) {
+			if isUp(r) {
 				r.node.Tick()
-				m.process(r)
+				m.processReady(r)
 			}
 		}
-		m.flush()
+		m.deliverSome()
 	}
 }
 
-// revive starts what is down and finishes what is slow.
-func (m *random) revive() {
+// restoreReplicas starts what is down and finishes what is slow.
+func (m *randomCluster) restoreReplicas() {
 	for _, r := range m.replicas {
-		if r.down && !r.disk.gone {
+		if r.down && !r.disk.lost {
 			m.start(r)
 		}
-		if writing(r) {
-			m.finish(r, *r.writing)
+		if isWriting(r) {
+			m.finishWrite(r, *r.pendingWrite)
 		}
-		m.process(r)
+		m.processReady(r)
 	}
 }
 
-func (m *random) flush() {
+func (m *randomCluster) deliverSome() {
 	for range min(len(m.network), 40) {
 		m.deliver(0)
 	}
 }
 
-func (m *random) timeout(r *replica) {
+func (m *randomCluster) expireElectionTimeout(r *replica) {
 	for range 2 * quorum.DefaultElectionTicks {
 		r.node.Tick()
 	}
-	m.process(r)
+	m.processReady(r)
 }
 
-func (m *random) proposeOne(r *replica) {
+func (m *randomCluster) proposeOne(r *replica) {
 	m.proposed++
 	_, _ = r.node.Propose(fmt.Appendf(nil, "%d", m.proposed))
-	m.process(r)
+	m.processReady(r)
 }
 
-// crashWritten crashes a replica whose write reached the disk, although nobody
+// crashAfterWrite crashes a replica whose write reached the disk, although nobody
 // heard of it.
-func (m *random) crashWritten(r *replica) {
-	r.disk.write(*r.writing, m.states[r.writing.Snapshot.GetMeta().GetIndex()])
+func (m *randomCluster) crashAfterWrite(r *replica) {
+	r.disk.write(*r.pendingWrite, m.states[r.pendingWrite.Snapshot.GetMeta().GetIndex()])
 	m.crash(r)
 }
 
-func (m *random) partition() {
+func (m *randomCluster) partition() {
 	side := map[quorum.ID]bool{}
 	for _, r := range m.replicas {
 		side[r.id] = m.rng.IntN(2) == 0
 	}
-	m.cut = func(from, to quorum.ID) bool { return side[from] != side[to] }
+	m.blocked = func(from, to quorum.ID) bool { return side[from] != side[to] }
 }
 
-// wipe replaces the disk of an instance, or adds an instance. At most one disk
+// replaceDisk replaces the disk of an instance, or adds an instance. At most one disk
 // of three or more voters may be gone at a time: otherwise nothing could be
 // promised.
-func (m *random) wipe() {
-	m.disks++
+func (m *randomCluster) replaceDisk() {
+	m.disksAdded++
 	instance := string(rune('a' + m.rng.IntN(maxInstances)))
 	present := slices.IndexFunc(m.replicas, func(r *replica) bool {
-		return r.id.Instance() == instance && !r.disk.gone
+		return r.id.Instance() == instance && !r.disk.lost
 	})
 	if present >= 0 {
-		if m.anyVoterGone() || m.fewVoters() {
+		if m.anyVoterDiskLost() || m.anyGroupBelowThreeVoters() {
 			return
 		}
-		m.replicas[present].disk = disk{gone: true}
+		m.replicas[present].disk = disk{lost: true}
 		m.crash(m.replicas[present])
 	}
-	m.add(quorum.MakeID(instance, fmt.Sprintf("disk%d", m.disks+1)), disk{})
+	m.addReplica(quorum.MakeID(instance, fmt.Sprintf("disk%d", m.disksAdded+1)), disk{})
 }
 
-// anyVoterGone tells whether some membership that may be in force counts a
+// anyVoterDiskLost tells whether some membership that may be in force counts a
 // disk that is gone.
-func (m *random) anyVoterGone() bool {
-	for _, gone := range m.replicas {
-		if !gone.disk.gone {
+func (m *randomCluster) anyVoterDiskLost() bool {
+	for _, lostReplica := range m.replicas {
+		if !lostReplica.disk.lost {
 			continue
 		}
 		for _, r := range m.replicas {
-			if r.disk.gone {
+			if r.disk.lost {
 				continue
 			}
 			for _, member := range r.node.Status().Membership.GetMembers() {
-				if member.GetId() == string(gone.id) && member.GetRole() == quorumpb.Role_ROLE_VOTER {
+				if member.GetId() == string(lostReplica.id) && member.GetRole() == quorumpb.Role_ROLE_VOTER {
 					return true
 				}
 			}
@@ -215,8 +215,8 @@
 	return false
 }
 
-// fewVoters tells whether some membership has too few voters to lose one.
-func (m *random) fewVoters() bool {
+// anyGroupBelowThreeVoters tells whether some membership has too few voters to lose one.
+func (m *randomCluster) anyGroupBelowThreeVoters() bool {
 	for _, r := range m.replicas {
 		voters := 0
 		for _, member := range r.node.Status().Membership.GetMembers() {
@@ -224,32 +224,32 @@
 				voters++
 			}
 		}
-		if !r.disk.gone && voters > 0 && voters < 3 {
+		if !r.disk.lost && voters > 0 && voters < 3 {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *random) changeMember(l *replica) {
+func (m *randomCluster) proposeRandomChange(l *replica) {
 	target := m.replicas[m.rng.IntN(len(m.replicas))]
 	kinds := []quorum.ChangeKind{quorum.AddLearner, quorum.Promote, quorum.Remove}
 	_, _ = l.node.ProposeMembership(quorum.Change{Kind: kinds[m.rng.IntN(len(kinds))], ID: target.id})
-	m.process(l)
+	m.processReady(l)
 }
 
-// repair does the next step that an operator would, which few random walks do:
+// repairMembership does the next step that an operator would, which few random walks do:
 // remove what is gone, add what is new, promote the learners.
-func (m *random) repair(l *replica) {
-	m.run()
-	if change, ok := m.nextRepair(l); ok && leads(l) {
+func (m *randomCluster) repairMembership(l *replica) {
+	m.advance()
+	if change, ok := m.nextRepairChange(l); ok && isLeader(l) {
 		_, _ = l.node.ProposeMembership(change)
-		m.process(l)
-		m.run()
+		m.processReady(l)
+		m.advance()
 	}
 }
 
-func (m *random) nextRepair(l *replica) (quorum.Change, bool) {
+func (m *randomCluster) nextRepairChange(l *replica) (quorum.Change, bool) {
 	member := map[quorum.ID]quorumpb.Role{}
 	for _, x := range l.node.Status().Membership.GetMembers() {
 		member[quorum.ID(x.GetId())] = x.GetRole()
@@ -257,9 +257,9 @@
 	for _, r := range m.replicas {
 		role, listed := member[r.id]
 		switch {
-		case r.disk.gone && listed:
+		case r.disk.lost && listed:
 			return quorum.Change{Kind: quorum.Remove, ID: r.id}, true
-		case !r.disk.gone && !listed:
+		case !r.disk.lost && !listed:
 			return quorum.Change{Kind: quorum.AddLearner, ID: r.id}, true
 		case listed && role == quorumpb.Role_ROLE_LEARNER:
 			return quorum.Change{Kind: quorum.Promote, ID: r.id}, true
@@ -268,9 +268,9 @@
 	return quorum.Change{}, false
 }
 
-// check is log matching: disks that hold an entry of the same index and term
+// checkLogMatching is log matching: disks that hold an entry of the same index and term
 // hold the same entry, and the same one before it.
-func (m *random) check() {
+func (m *randomCluster) checkLogMatching() {
 	if len(m.network) > maxNetwork {
 		m.network = m.network[len(m.network)-maxNetwork:]
 	}
@@ -299,26 +299,26 @@
 	for seed := range uint64(walks) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			m := &random{cluster: newCluster(t, 3+int(seed%3), seed)}
+			m := &randomCluster{cluster: newCluster(t, 3+int(seed%3), seed)}
 			actions := m.actions()
 			for range walkSteps {
-				m.step(actions)
-				m.check()
+				m.runAction(actions)
+				m.checkLogMatching()
 			}
-			m.finishWalk()
+			m.checkRecovery()
 		})
 	}
 }
 
-// finishWalk checks that a healed group goes on, whatever happened, if no
+// checkRecovery checks that a healed group goes on, whatever happened, if no
 // voter's disk is gone.
-func (m *random) finishWalk() {
+func (m *randomCluster) checkRecovery() {
 	m.heal()
 	for _, r := range m.replicas {
-		r.slow = false
+		r.slowDisk = false
 	}
-	m.revive()
-	if m.anyVoterGone() {
+	m.restoreReplicas()
+	if m.anyVoterDiskLost() {
 		return
 	}
 	// Enough for a transfer to be given up.
--- a/quorum/read.go
+++ b/quorum/read.go
@@ -71,7 +71,7 @@
 	q.running = nil
 }
 
-func (n *Node) loseReads() {
+func (n *Node) failReads() {
 	for _, id := range n.reads.running {
 		n.readStates = append(n.readStates, ReadState{ID: id, Lost: true})
 	}
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -25,7 +25,7 @@
 	// Change of role, term or leader; nil if there is none.
 	Change *StateChange
 
-	tracked bool
+	needsAdvance bool
 }
 
 // MustPersist tells whether the batch has something to make durable.
@@ -49,17 +49,17 @@
 
 // output collects what the next Batch will hold.
 type output struct {
-	early, after []*quorumpb.Message
-	snapshot     *quorumpb.Snapshot
-	readStates   []ReadState
-	reported     StateChange
-	// written is the hard state known to be on disk.
-	written hardState
+	early, afterPersist []*quorumpb.Message
+	snapshot            *quorumpb.Snapshot
+	readStates          []ReadState
+	reportedChange      StateChange
+	// persistedHardState is the hard state known to be on disk.
+	persistedHardState hardState
 	// persisting is set while a tracked batch waits for Advance.
 	persisting bool
 }
 
-func (n *Node) stamp(m *quorumpb.Message) *quorumpb.Message {
+func (n *Node) setSender(m *quorumpb.Message) *quorumpb.Message {
 	m.From = string(n.cfg.ID)
 	m.Group = n.group()
 	if m.Term == 0 {
@@ -70,13 +70,13 @@
 
 // sendEarly is for messages that hold true whatever the own disk loses.
 func (n *Node) sendEarly(m *quorumpb.Message) {
-	n.early = append(n.early, n.stamp(m))
+	n.early = append(n.early, n.setSender(m))
 }
 
 // sendAfterPersist is for messages that promise something: a vote, an
 // acknowledgement, a term.
 func (n *Node) sendAfterPersist(m *quorumpb.Message) {
-	n.after = append(n.after, n.stamp(m))
+	n.afterPersist = append(n.afterPersist, n.setSender(m))
 }
 
 func (n *Node) stateChange() StateChange {
@@ -93,11 +93,11 @@
 	}
 	b.Early, n.early = n.early, nil
 	b.Reads, n.readStates = n.readStates, nil
-	if c := n.stateChange(); c != n.reported {
+	if c := n.stateChange(); c != n.reportedChange {
 		b.Change = &c
-		n.reported = c
+		n.reportedChange = c
 	}
-	b.Committed = n.nextCommitted()
+	b.Committed = n.takeCommitted()
 	if !n.persisting {
 		n.addPersistent(&b)
 	}
@@ -105,41 +105,41 @@
 	return b, ok
 }
 
-// nextCommitted hands out committed entries, as long as the caller has applied
+// takeCommitted hands out committed entries, as long as the caller has applied
 // the ones before. Entries not on the own disk wait, so that after a restart
 // no state machine is ahead of its log.
-func (n *Node) nextCommitted() []*quorumpb.Entry {
-	if n.log.applied < n.log.handed {
+func (n *Node) takeCommitted() []*quorumpb.Entry {
+	if n.log.applied < n.log.delivered {
 		return nil
 	}
-	entries := n.log.slice(n.log.handed+1, min(n.log.commit, n.log.persisted), n.cfg.MaxBatchBytes)
-	n.log.handed += uint64(len(entries))
+	entries := n.log.slice(n.log.delivered+1, min(n.log.commit, n.log.persisted), n.cfg.MaxBatchBytes)
+	n.log.delivered += uint64(len(entries))
 	return entries
 }
 
 func (n *Node) addPersistent(b *Batch) {
 	b.Snapshot, n.snapshot = n.snapshot, nil
 	b.Entries = n.log.slice(n.log.persisted+1, n.log.last(), n.cfg.MaxBatchBytes)
-	if n.written != (hardState{term: n.term, vote: n.vote}) {
+	if n.persistedHardState != (hardState{term: n.term, vote: n.vote}) {
 		b.HardState = &quorumpb.HardState{Term: n.term, Vote: string(n.vote), Commit: n.log.commit}
 	}
 	// The replies speak for all entries: they wait for the last part.
-	whole := len(b.Entries) == 0 || b.Entries[len(b.Entries)-1].GetIndex() == n.log.last()
-	if whole {
-		b.Messages, n.after = n.after, nil
+	includesLast := len(b.Entries) == 0 || b.Entries[len(b.Entries)-1].GetIndex() == n.log.last()
+	if includesLast {
+		b.Messages, n.afterPersist = n.afterPersist, nil
 	}
-	b.tracked = b.MustPersist()
-	n.persisting = b.tracked
+	b.needsAdvance = b.MustPersist()
+	n.persisting = b.needsAdvance
 }
 
 // Advance reports that the batch's persistent part is durable.
 func (n *Node) Advance(b Batch) {
-	if !b.tracked {
+	if !b.needsAdvance {
 		return
 	}
 	n.persisting = false
 	if h := b.HardState; h != nil {
-		n.written = hardState{term: h.GetTerm(), vote: ID(h.GetVote())}
+		n.persistedHardState = hardState{term: h.GetTerm(), vote: ID(h.GetVote())}
 	}
 	if len(b.Entries) > 0 {
 		last := b.Entries[len(b.Entries)-1]
@@ -148,7 +148,7 @@
 			n.log.persisted = max(n.log.persisted, last.GetIndex())
 		}
 	}
-	if n.role == RoleCandidate && n.written == (hardState{term: n.term, vote: n.cfg.ID}) && !n.votes[n.cfg.ID] {
+	if n.role == RoleCandidate && n.persistedHardState == (hardState{term: n.term, vote: n.cfg.ID}) && !n.votes[n.cfg.ID] {
 		n.recordVote(n.cfg.ID, true)
 	}
 	if n.role == RoleLeader {
@@ -159,10 +159,10 @@
 // AppliedTo reports that the state machine has applied the entries, or
 // restored the snapshot, up to index.
 func (n *Node) AppliedTo(index uint64) {
-	index = min(index, n.log.handed)
+	index = min(index, n.log.delivered)
 	if index <= n.log.applied {
 		return
 	}
-	n.pending = max(0, n.pending-n.log.payload(n.log.applied, index))
+	n.unappliedBytes = max(0, n.unappliedBytes-n.log.payloadBytes(n.log.applied, index))
 	n.log.applied = index
 }
--- a/quorum/repair_test.go
+++ b/quorum/repair_test.go
@@ -13,15 +13,15 @@
 // Sequence: an entry is on a and c only; c's disk is replaced and c comes back
 // empty; then a is lost, and b stands for election.
 // Cause: c votes for b although c no longer holds what it acknowledged.
-func TestWipedDiskDoesNotVote(t *testing.T) {
+func TestReplicaWithWipedDiskDoesNotVote(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	a, b, old := c.replicas[0], c.replicas[1], c.replicas[2]
-	c.lead(a)
+	c.makeLeader(a)
 	c.isolate(b.id)
 	c.propose(a, 3)
 	c.heal()
 	c.crash(old)
-	wiped := c.add(quorum.MakeID("c", "disk2"), disk{})
+	wiped := c.addReplica(quorum.MakeID("c", "disk2"), disk{})
 	c.crash(a)
 	for range 10 * quorum.DefaultElectionTicks {
 		c.tick()
@@ -31,16 +31,16 @@
 	c.restart(a)
 	l := c.elect()
 	require.Len(t, l.state, 3)
-	c.repair(l, old, wiped)
+	c.replaceReplica(l, old, wiped)
 	require.Equal(t, l.state, wiped.state)
 }
 
 // Symptom, sequence and cause as above, but the identity file came back from a
 // backup without the log, so c answers to its old name.
-func TestEmptyLogDoesNotVote(t *testing.T) {
+func TestReplicaWithEmptyLogDoesNotVote(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	a, b, old := c.replicas[0], c.replicas[1], c.replicas[2]
-	c.lead(a)
+	c.makeLeader(a)
 	c.isolate(b.id)
 	c.propose(a, 3)
 	c.heal()
@@ -53,15 +53,15 @@
 	require.Nil(t, c.leader(), "%s leads with the vote of an empty disk", b.id)
 }
 
-// repair replaces a lost replica by a new one on the same instance.
-func (c *cluster) repair(l, old, fresh *replica) {
-	c.change(l, quorum.Change{Kind: quorum.AddLearner, ID: fresh.id})
-	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Promote, ID: fresh.id})
+// replaceReplica replaces a lost replica by a new one on the same instance.
+func (c *cluster) replaceReplica(l, old, replacement *replica) {
+	c.changeMembership(l, quorum.Change{Kind: quorum.AddLearner, ID: replacement.id})
+	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Promote, ID: replacement.id})
 	require.Error(c.t, err, "two voters on one instance")
-	c.change(l, quorum.Change{Kind: quorum.Remove, ID: old.id})
+	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: old.id})
 	c.tick()
 	c.tick()
-	c.change(l, quorum.Change{Kind: quorum.Promote, ID: fresh.id})
+	c.changeMembership(l, quorum.Change{Kind: quorum.Promote, ID: replacement.id})
 	c.tick()
 	c.tick()
 }
@@ -71,16 +71,16 @@
 // Sequence: c's disk is lost; c returns as a new replica and is repaired from
 // a snapshot; at once the leader's disk is lost as well.
 // Cause: the new replica was made a voter before it held the log.
-func TestSecondLossRightAfterRepair(t *testing.T) {
+func TestSecondReplicaLossAfterRepair(t *testing.T) {
 	for _, lost := range []int{0, 1} {
 		c := newCluster(t, 3, 8)
 		a, old := c.replicas[0], c.replicas[2]
-		c.lead(a)
+		c.makeLeader(a)
 		c.propose(a, 300)
 		c.compact(a, 5)
 		c.crash(old)
-		fresh := c.add(quorum.MakeID("c", "disk2"), disk{})
-		c.repair(a, old, fresh)
+		replacement := c.addReplica(quorum.MakeID("c", "disk2"), disk{})
+		c.replaceReplica(a, old, replacement)
 		state := slices.Clone(a.state)
 		c.crash(c.replicas[lost])
 		l := c.elect()
@@ -93,21 +93,21 @@
 // a voter that lacks the earlier ones.
 // Sequence: a learner that was cut off is promoted.
 // Cause: the leader did not ask how far the learner is.
-func TestPromotionNeedsTheLog(t *testing.T) {
+func TestPromotionRequiresCaughtUpLearner(t *testing.T) {
 	c := newCluster(t, 3, 9)
 	l := c.elect()
-	fresh := c.add(quorum.MakeID("d", "disk1"), disk{})
-	c.change(l, quorum.Change{Kind: quorum.AddLearner, ID: fresh.id})
-	c.isolate(fresh.id)
+	learner := c.addReplica(quorum.MakeID("d", "disk1"), disk{})
+	c.changeMembership(l, quorum.Change{Kind: quorum.AddLearner, ID: learner.id})
+	c.isolate(learner.id)
 	c.propose(l, 5)
-	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Promote, ID: fresh.id})
+	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Promote, ID: learner.id})
 	require.ErrorIs(t, err, quorum.ErrNotCaughtUp)
 	c.heal()
 	for range quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	c.change(l, quorum.Change{Kind: quorum.Promote, ID: fresh.id})
-	require.Equal(t, l.state, fresh.state)
+	c.changeMembership(l, quorum.Change{Kind: quorum.Promote, ID: learner.id})
+	require.Equal(t, l.state, learner.state)
 }
 
 // Symptom: two leaders commit in disjoint majorities.
@@ -118,12 +118,12 @@
 func TestMembershipChangeUnderPartition(t *testing.T) {
 	c := newCluster(t, 4, 10)
 	a := c.replicas[0]
-	c.lead(a)
+	c.makeLeader(a)
 	c.isolate(a.id)
-	_, err := a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: name(3)})
+	_, err := a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: replicaID(3)})
 	require.NoError(t, err)
-	c.settle()
-	_, err = a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: name(2)})
+	c.deliverAll()
+	_, err = a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: replicaID(2)})
 	require.ErrorIs(t, err, quorum.ErrMembershipPending)
 	_, err = a.node.Propose([]byte("minority"))
 	require.NoError(t, err)
@@ -139,7 +139,7 @@
 	}
 	require.Len(t, a.node.Status().Membership.GetMembers(), 4, "the overwritten change is still in force")
 	c.isolate(a.id)
-	c.change(l, quorum.Change{Kind: quorum.Remove, ID: a.id})
+	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: a.id})
 	c.propose(l, 3)
 	c.heal()
 	for range 5 * quorum.DefaultElectionTicks {
@@ -156,22 +156,22 @@
 // Sequence: a new leader, whose first entry is not committed, is asked for a
 // change.
 // Cause: the rule of Ongaro's correction of 2015 is missing.
-func TestNoChangeBeforeOwnTermCommit(t *testing.T) {
+func TestNoMembershipChangeBeforeCommitInCurrentTerm(t *testing.T) {
 	c := newCluster(t, 4, 11)
 	a := c.replicas[0]
-	a.slow = true
+	a.slowDisk = true
 	for a.node.Status().Role != quorum.RoleLeader {
 		a.node.Tick()
-		c.process(a)
-		if a.writing != nil {
-			c.finish(a, *a.writing)
-			c.process(a)
+		c.processReady(a)
+		if a.pendingWrite != nil {
+			c.finishWrite(a, *a.pendingWrite)
+			c.processReady(a)
 		}
 		for len(c.network) > 0 && a.node.Status().Role != quorum.RoleLeader {
 			c.deliver(0)
 		}
 	}
-	_, err := a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: name(3)})
+	_, err := a.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: replicaID(3)})
 	require.ErrorIs(t, err, quorum.ErrMembershipPending)
 }
 
@@ -183,35 +183,35 @@
 func TestCatchUpBySnapshot(t *testing.T) {
 	c := newCluster(t, 3, 12)
 	l := c.elect()
-	away := c.replicas[(slices.Index(c.replicas, l)+1)%3]
+	behind := c.replicas[(slices.Index(c.replicas, l)+1)%3]
 	c.propose(l, 5)
-	c.crash(away)
+	c.crash(behind)
 	c.propose(l, 400)
 	c.compact(l, 10)
-	c.start(away)
-	away.slow = true
-	for away.writing == nil || away.writing.Snapshot == nil {
+	c.start(behind)
+	behind.slowDisk = true
+	for behind.pendingWrite == nil || behind.pendingWrite.Snapshot == nil {
 		c.tick()
-		if away.writing != nil && away.writing.Snapshot == nil {
-			c.finish(away, *away.writing)
+		if behind.pendingWrite != nil && behind.pendingWrite.Snapshot == nil {
+			c.finishWrite(behind, *behind.pendingWrite)
 		}
 	}
 	// Power is lost before the snapshot is on disk.
-	away.slow = false
-	c.restart(away)
+	behind.slowDisk = false
+	c.restart(behind)
 	for range 5 * quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.Equal(t, l.state, away.state)
+	require.Equal(t, l.state, behind.state)
 	require.NotZero(t, l.node.Status().Counters.SnapshotsSent)
 	c.propose(l, 3)
-	require.Equal(t, l.state, away.state)
+	require.Equal(t, l.state, behind.state)
 }
 
 // Symptom: a group stands still after an operator removed the wrong replica.
 // Sequence: one of three is down; another one is removed.
 // Cause: the two that are left need each other, and one of them is down.
-func TestRemovalKeepsAQuorum(t *testing.T) {
+func TestRemovalRequiresActiveQuorum(t *testing.T) {
 	c := newCluster(t, 3, 18)
 	l := c.elect()
 	down := c.replicas[(slices.Index(c.replicas, l)+1)%3]
@@ -222,7 +222,7 @@
 	}
 	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Remove, ID: alive.id})
 	require.ErrorIs(t, err, quorum.ErrInvalidChange)
-	c.change(l, quorum.Change{Kind: quorum.Remove, ID: down.id})
+	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: down.id})
 	c.propose(l, 1)
 }
 
@@ -232,7 +232,7 @@
 func TestRemovedLeaderStepsDown(t *testing.T) {
 	c := newCluster(t, 3, 19)
 	l := c.elect()
-	c.change(l, quorum.Change{Kind: quorum.Remove, ID: l.id})
+	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: l.id})
 	require.Equal(t, quorum.RoleFollower, l.node.Status().Role)
 	next := c.elect()
 	require.NotEqual(t, l.id, next.id)
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -17,15 +17,15 @@
 	}
 	switch p.state {
 	case peerProbe:
-		if !p.waiting {
+		if !p.probePending {
 			n.sendAppend(p)
-			p.waiting = true
+			p.probePending = true
 		}
 	case peerReplicate:
-		for p.next <= n.log.last() && !p.full(&n.cfg) {
+		for p.next <= n.log.last() && !p.inflightFull(&n.cfg) {
 			n.sendAppend(p)
 		}
-		if p.sentCommit < n.log.commit && !p.full(&n.cfg) {
+		if p.sentCommit < n.log.commit && !p.inflightFull(&n.cfg) {
 			n.sendAppend(p)
 		}
 	case peerSnapshot:
@@ -46,21 +46,21 @@
 	})
 	p.sentCommit = n.log.commit
 	if p.state == peerReplicate && len(entries) > 0 {
-		p.track(entries, n.now)
+		p.recordSent(entries, n.tickCount)
 	}
 }
 
 // sendSnapshot starts a snapshot towards a peer that needs entries which the
 // log no longer holds.
 func (n *Node) sendSnapshot(p *peer) {
-	if p.state == peerSnapshot || !n.active(p) {
+	if p.state == peerSnapshot || !n.isActive(p) {
 		return
 	}
 	n.counters.SnapshotsSent++
 	p.state = peerSnapshot
 	p.snapshotIndex = n.log.snapshot.GetIndex()
-	p.sentAt = n.now
-	p.clearSent()
+	p.progressTick = n.tickCount
+	p.clearUnacknowledged()
 	n.sendEarly(&quorumpb.Message{
 		Type:     quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT,
 		To:       string(p.id),
@@ -72,8 +72,8 @@
 // transport; the leader tries again after a heartbeat's answer.
 func (n *Node) SnapshotFailed(id ID) {
 	if p := n.peer(id); p != nil && p.state == peerSnapshot {
-		p.probe()
-		p.waiting = true
+		p.startProbing()
+		p.probePending = true
 	}
 }
 
@@ -81,8 +81,8 @@
 // acknowledged, which puts off the next attempt.
 func (n *Node) SnapshotProgress(id ID) {
 	if p := n.peer(id); p != nil && p.state == peerSnapshot {
-		p.sentAt = n.now
-		p.heard = n.now
+		p.progressTick = n.tickCount
+		p.lastHeardTick = n.tickCount
 	}
 }
 
@@ -104,7 +104,7 @@
 	if n.role != RoleLeader || p == nil {
 		return
 	}
-	p.heard = n.now
+	p.lastHeardTick = n.tickCount
 	if m.GetReject() {
 		n.handleRejection(p, m)
 		return
@@ -113,10 +113,10 @@
 		// Nobody can hold what this leader has not sent in this term.
 		return
 	}
-	p.acknowledge(m.GetIndex(), n.now)
+	p.recordAcknowledged(m.GetIndex(), n.tickCount)
 	n.advanceCommit()
 	if n.role == RoleLeader {
-		n.finishTransfer(p)
+		n.sendTimeoutNowIfCaughtUp(p)
 	}
 }
 
@@ -128,8 +128,8 @@
 	if stale {
 		return
 	}
-	index, _ := n.log.hint(m.GetHintIndex(), m.GetHintTerm())
-	p.probe()
+	index, _ := n.log.conflictHint(m.GetHintIndex(), m.GetHintTerm())
+	p.startProbing()
 	p.next = max(p.match+1, min(m.GetIndex(), index+1))
 }
 
@@ -138,27 +138,27 @@
 	if n.role != RoleLeader || p == nil || m.GetReject() {
 		return
 	}
-	p.heard = n.now
+	p.lastHeardTick = n.tickCount
 	p.readRound = max(p.readRound, m.GetReadRound())
 	n.confirmReads()
-	n.resend(p)
+	n.resendIfOverdue(p)
 }
 
-// resend repeats what must have been lost: the peer answers heartbeats but has
+// resendIfOverdue repeats what must have been lost: the peer answers heartbeats but has
 // acknowledged nothing for a while. Without it one lost message would stop
 // replication to a peer until the next election.
-func (n *Node) resend(p *peer) {
-	overdue := n.now-p.sentAt >= uint64(n.cfg.ElectionTicks)/2
+func (n *Node) resendIfOverdue(p *peer) {
+	overdue := n.tickCount-p.progressTick >= uint64(n.cfg.ElectionTicks)/2
 	switch p.state {
 	case peerProbe:
-		p.waiting = false
+		p.probePending = false
 	case peerReplicate:
-		if len(p.sent) > 0 && overdue {
-			p.probe()
+		if len(p.unacknowledged) > 0 && overdue {
+			p.startProbing()
 		}
 	case peerSnapshot:
-		if n.now-p.sentAt >= snapshotRetryTimeouts*uint64(n.cfg.ElectionTicks) {
-			p.probe()
+		if n.tickCount-p.progressTick >= snapshotRetryTimeouts*uint64(n.cfg.ElectionTicks) {
+			p.startProbing()
 		}
 	}
 }
--- a/quorum/sim_test.go
+++ b/quorum/sim_test.go
@@ -19,8 +19,8 @@
 	// state machine at the snapshot.
 	state   []string
 	entries []*quorumpb.Entry
-	// gone is set for a disk that was replaced.
-	gone bool
+	// lost is set for a disk that was replaced.
+	lost bool
 }
 
 func (d *disk) write(b quorum.Batch, state []string) {
@@ -45,12 +45,12 @@
 	disk    disk
 	state   []string
 	applied uint64
-	// writing is the batch that the disk works on.
-	writing *quorum.Batch
-	// slow disks finish a batch only when finish is called.
-	slow  bool
-	reads []quorum.ReadState
-	down  bool
+	// pendingWrite is the batch that the disk works on.
+	pendingWrite *quorum.Batch
+	// slowDisk disks finish a batch only when finish is called.
+	slowDisk bool
+	reads    []quorum.ReadState
+	down     bool
 }
 
 // cluster runs replicas over a network of which the test decides everything.
@@ -60,8 +60,8 @@
 	cfg      quorum.Config
 	replicas []*replica
 	network  []*quorumpb.Message
-	// cut tells whether messages between two replicas are lost.
-	cut func(from, to quorum.ID) bool
+	// blocked tells whether messages between two replicas are lost.
+	blocked func(from, to quorum.ID) bool
 	// committed is what any state machine has applied, by index; it must
 	// never change.
 	committed map[uint64]*quorumpb.Entry
@@ -71,26 +71,26 @@
 	leaders map[uint64]quorum.ID
 }
 
-func name(i int) quorum.ID { return quorum.MakeID(string(rune('a'+i)), "disk1") }
+func replicaID(i int) quorum.ID { return quorum.MakeID(string(rune('a'+i)), "disk1") }
 
 // newCluster starts size voters.
 func newCluster(t require.TestingT, size int, seed uint64) *cluster {
 	c := &cluster{
 		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
-		cut:       func(quorum.ID, quorum.ID) bool { return false },
+		blocked:   func(quorum.ID, quorum.ID) bool { return false },
 		committed: map[uint64]*quorumpb.Entry{},
 		states:    map[uint64][]string{},
 		leaders:   map[uint64]quorum.ID{},
 	}
 	var members []*quorumpb.Member
 	for i := range size {
-		members = append(members, &quorumpb.Member{Id: string(name(i)), Role: quorumpb.Role_ROLE_VOTER})
+		members = append(members, &quorumpb.Member{Id: string(replicaID(i)), Role: quorumpb.Role_ROLE_VOTER})
 	}
 	first, err := quorum.FirstEntry("group", members)
 	require.NoError(t, err)
 	for i := range size {
-		c.add(name(i), disk{
+		c.addReplica(replicaID(i), disk{
 			hard:    &quorumpb.HardState{Term: 1, Commit: 1},
 			entries: []*quorumpb.Entry{first},
 		})
@@ -98,8 +98,8 @@
 	return c
 }
 
-// add starts a replica from what is on its disk.
-func (c *cluster) add(id quorum.ID, d disk) *replica {
+// addReplica starts a replica from what is on its disk.
+func (c *cluster) addReplica(id quorum.ID, d disk) *replica {
 	r := &replica{id: id, disk: d}
 	c.replicas = append(c.replicas, r)
 	c.start(r)
@@ -112,7 +112,7 @@
 	cfg.Rand = rand.New(rand.NewPCG(c.rng.Uint64(), 2))
 	node, err := quorum.New(cfg, r.disk.hard, r.disk.snapshot, r.disk.entries)
 	require.NoError(c.t, err)
-	r.node, r.down, r.writing, r.reads = node, false, nil, nil
+	r.node, r.down, r.pendingWrite, r.reads = node, false, nil, nil
 	r.state = slices.Clone(r.disk.state)
 	r.applied = r.disk.snapshot.GetIndex()
 }
@@ -125,8 +125,8 @@
 	c.start(r)
 }
 
-// byInstance finds the present replica of an instance, as a transport does.
-func (c *cluster) byInstance(instance string) *replica {
+// runningOn finds the present replica of an instance, as a transport does.
+func (c *cluster) runningOn(instance string) *replica {
 	for _, r := range c.replicas {
 		if r.id.Instance() == instance && !r.down {
 			return r
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// process does what the Node wants.
-func (c *cluster) process(r *replica) {
+// processReady does what the Node wants.
+func (c *cluster) processReady(r *replica) {
 	for !r.down {
 		b, ok := r.node.Ready()
 		if !ok {
@@ -144,20 +144,20 @@
 		}
 		c.network = append(c.network, b.Early...)
 		r.reads = append(r.reads, b.Reads...)
-		c.apply(r, b.Committed)
+		c.applyCommitted(r, b.Committed)
 		c.checkLeader(r)
-		if b.MustPersist() && r.slow {
-			r.writing = &b
+		if b.MustPersist() && r.slowDisk {
+			r.pendingWrite = &b
 			continue
 		}
-		c.finish(r, b)
+		c.finishWrite(r, b)
 	}
 }
 
-// finish completes the write of a batch.
-func (c *cluster) finish(r *replica, b quorum.Batch) {
+// finishWrite completes the write of a batch.
+func (c *cluster) finishWrite(r *replica, b quorum.Batch) {
 	if b.MustPersist() {
-		r.writing = nil
+		r.pendingWrite = nil
 	}
 	r.disk.write(b, c.states[b.Snapshot.GetMeta().GetIndex()])
 	c.network = append(c.network, b.Messages...)
@@ -169,8 +169,8 @@
 	}
 }
 
-// apply checks that state machines agree: a committed entry never changes.
-func (c *cluster) apply(r *replica, entries []*quorumpb.Entry) {
+// applyCommitted checks that state machines agree: a committed entry never changes.
+func (c *cluster) applyCommitted(r *replica, entries []*quorumpb.Entry) {
 	for _, e := range entries {
 		require.Equal(c.t, r.applied+1, e.GetIndex(), "%s skips an entry", r.id)
 		if known := c.committed[e.GetIndex()]; known != nil {
@@ -210,21 +210,21 @@
 func (c *cluster) deliver(i int) {
 	m := c.network[i]
 	c.network = slices.Delete(c.network, i, i+1)
-	to := c.byInstance(quorum.ID(m.GetTo()).Instance())
-	if to == nil || c.cut(quorum.ID(m.GetFrom()), to.id) {
+	to := c.runningOn(quorum.ID(m.GetTo()).Instance())
+	if to == nil || c.blocked(quorum.ID(m.GetFrom()), to.id) {
 		return
 	}
 	err := to.node.Step(m)
 	if err != nil {
 		require.ErrorIs(c.t, err, quorum.ErrMisaddressed)
 	}
-	c.process(to)
+	c.processReady(to)
 }
 
-// settle delivers messages until none is left.
-func (c *cluster) settle() {
+// deliverAll delivers messages until none is left.
+func (c *cluster) deliverAll() {
 	for _, r := range c.replicas {
-		c.process(r)
+		c.processReady(r)
 	}
 	for len(c.network) > 0 {
 		c.deliver(0)
@@ -238,7 +238,7 @@
 			r.node.Tick()
 		}
 	}
-	c.settle()
+	c.deliverAll()
 }
 
 // leader returns the replica that leads the newest term; nil if none.
@@ -268,19 +268,19 @@
 	}
 	for _, r := range c.replicas {
 		s := r.node.Status()
-		println(string(r.id), s.Applied, r.applied, r.writing != nil, r.slow, r.down, r.disk.gone, s.Role.String(), s.Term, s.Last, s.Commit, s.Membership.String())
+		println(string(r.id), s.Applied, r.applied, r.pendingWrite != nil, r.slowDisk, r.down, r.disk.lost, s.Role.String(), s.Term, s.Last, s.Commit, s.Membership.String())
 	}
 	return nil
 }
 
-// lead makes r the leader by cutting the clocks of the others.
-func (c *cluster) lead(r *replica) {
+// makeLeader makes r the leader by cutting the clocks of the others.
+func (c *cluster) makeLeader(r *replica) {
 	for range 4 * quorum.DefaultElectionTicks {
 		if r.node.Status().Role == quorum.RoleLeader {
 			return
 		}
 		r.node.Tick()
-		c.settle()
+		c.deliverAll()
 	}
 	require.Fail(c.t, "not elected", "%s", r.id)
 }
@@ -290,23 +290,23 @@
 	for i := range n {
 		_, err := r.node.Propose(fmt.Appendf(nil, "%s-%d-%d", r.id, len(c.committed), i))
 		require.NoError(c.t, err)
-		c.settle()
+		c.deliverAll()
 	}
 }
 
-func (c *cluster) change(r *replica, change quorum.Change) {
+func (c *cluster) changeMembership(r *replica, change quorum.Change) {
 	_, err := r.node.ProposeMembership(change)
 	require.NoError(c.t, err)
-	c.settle()
+	c.deliverAll()
 }
 
 // isolate cuts the given replicas off from all others; they still reach each
 // other.
 func (c *cluster) isolate(ids ...quorum.ID) {
-	c.cut = func(from, to quorum.ID) bool { return slices.Contains(ids, from) != slices.Contains(ids, to) }
+	c.blocked = func(from, to quorum.ID) bool { return slices.Contains(ids, from) != slices.Contains(ids, to) }
 }
 
-func (c *cluster) heal() { c.cut = func(quorum.ID, quorum.ID) bool { return false } }
+func (c *cluster) heal() { c.blocked = func(quorum.ID, quorum.ID) bool { return false } }
 
 // compact takes a snapshot of r's state machine and keeps few entries.
 func (c *cluster) compact(r *replica, keep int) {
