--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum"
 )
 
-// BenchmarkElection reports the ticks from the loss of a leader to the next
-// leader's first commit, without network delay.
+// BenchmarkElection reports the number of ticks from the crash of a leader
+// until another replica is the leader, without network delay.
 func BenchmarkElection(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(string(rune('0'+size)), func(b *testing.B) {
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -4,10 +4,10 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
-// mayCampaign tells whether this replica may start an election: it is a voter
-// of the newest membership, or of one that may still be in force because its
-// successor is not committed (thesis 4.2.2). A replica with an empty disk is
-// neither, so it waits for a leader.
+// mayCampaign reports whether this replica may start an election: it is a voter
+// in the newest membership, or in the last committed one, which may still be in
+// force because its successor is not committed (thesis 4.2.2). A replica with
+// an empty log is in neither and waits for a leader.
 func (n *Node) mayCampaign() bool {
 	if isVoter(n.membership(), n.cfg.ID) {
 		return true
@@ -15,19 +15,19 @@
 	return isVoter(n.history.at(n.log.commit), n.cfg.ID)
 }
 
-// mayVote tells whether this replica may vote: its log names it. A replica
-// whose disk was wiped comes back with an empty log; if it voted, it could
-// elect a candidate without the entries that its former disk had acknowledged,
-// and the loss of one more replica would lose committed entries. It also need
-// not be a voter yet by its own log: the candidate's log can be ahead of it
-// (thesis 4.2.2).
+// mayVote reports whether this replica may vote: a membership in its log lists
+// it. A replica whose disk was wiped has an empty log. If it voted, it could
+// elect a candidate that lacks entries which its former disk had acknowledged,
+// and the loss of one more replica would lose committed entries. The replica
+// need not be a voter in its own log, because the candidate's log can be ahead
+// of it (thesis 4.2.2).
 func (n *Node) mayVote() bool {
 	return n.history.contains(n.cfg.ID)
 }
 
-// startPreVote asks whether an election could be won, without a new term
-// (thesis 9.6). Without it, a replica that was cut off would come back with a
-// high term and depose a working leader.
+// startPreVote asks the voters whether they would elect this replica, without
+// starting a new term (thesis 9.6). Otherwise a replica that reconnects after a
+// partition would have a high term and depose an active leader.
 func (n *Node) startPreVote() {
 	n.leader = NoID
 	n.role = RolePreCandidate
@@ -37,8 +37,8 @@
 	n.countPreVotes()
 }
 
-// startElection begins a new term (thesis 3.4). The own vote counts only when
-// it is on disk, see Advance.
+// startElection starts an election in a new term (thesis 3.4). The replica's
+// vote for itself counts only after it is durable; see Advance.
 func (n *Node) startElection(transfer bool) {
 	n.counters.ElectionsStarted++
 	n.term++
@@ -66,7 +66,7 @@
 	}
 }
 
-// handlePreVote answers without a change of state.
+// handlePreVote replies to a pre-vote without changing the state.
 func (n *Node) handlePreVote(m *quorumpb.Message) {
 	grant := m.GetTerm() > n.term && !n.hasActiveLeader() && n.mayVote() &&
 		n.log.isUpToDate(m.GetIndex(), m.GetIndexTerm()) && !n.outranks(m)
@@ -80,16 +80,17 @@
 		reply.Term = n.term
 	}
 	if reply.Term == 0 {
-		// An empty replica in no term has nothing to say.
+		// A replica in term 0 has no valid term to reply with.
 		return
 	}
 	n.sendAfterPersist(reply)
 }
 
-// outranks tells whether this replica asks for pre-votes itself with an equally
-// good log and the greater ID. Were two such replicas to encourage each other,
-// both would begin the term, vote for themselves and lose an election timeout.
-// Only the pre-vote may be refused for that: it is about progress, not safety.
+// outranks reports whether this replica is a pre-candidate too, with an equally
+// up-to-date log and a greater ID than m's sender. If two such replicas granted
+// each other's pre-vote, both would start the term, vote for themselves and
+// lose an election timeout. Only a pre-vote may be refused for this reason:
+// pre-votes affect progress, not safety.
 func (n *Node) outranks(m *quorumpb.Message) bool {
 	return n.role == RolePreCandidate && compareIDs(n.cfg.ID, ID(m.GetFrom())) > 0 &&
 		m.GetIndex() == n.log.last() && m.GetIndexTerm() == n.log.lastTerm()
@@ -100,7 +101,7 @@
 		return
 	}
 	if !m.GetReject() && m.GetTerm() != n.term+1 {
-		// The answer to an earlier pre-vote.
+		// A reply to an earlier pre-vote.
 		return
 	}
 	n.votes[ID(m.GetFrom())] = !m.GetReject()
@@ -114,8 +115,9 @@
 }
 
 // handleVote grants at most one vote in a term, and none to a candidate whose
-// log could lack a committed entry (thesis 3.4, 3.6.1). The reply leaves after
-// the vote is on disk; otherwise a crash would let this replica vote twice.
+// log may lack a committed entry (thesis 3.4, 3.6.1). The reply is sent after
+// the vote is durable; otherwise this replica could vote twice in a term after
+// a crash.
 func (n *Node) handleVote(m *quorumpb.Message) {
 	candidate := ID(m.GetFrom())
 	grant := (n.vote == NoID || n.vote == candidate) && n.mayVote() &&
--- a/quorum/errors.go
+++ b/quorum/errors.go
@@ -7,36 +7,38 @@
 	"github.com/go-faster/errors"
 )
 
-// Reason says why a request was refused. Its String is used as a counter label.
+// Reason is the reason why a request was refused. Its String is used as a
+// metric label.
 type Reason uint8
 
-// Reasons of a refusal.
+// Reasons for a refusal.
 const (
-	// ReasonNotLeader: another replica leads, or none does.
+	// ReasonNotLeader: another replica is the leader, or there is none.
 	ReasonNotLeader Reason = iota
-	// ReasonUncommittedFull: the entries that wait for a quorum have reached
+	// ReasonUncommittedFull: the unapplied entries would exceed
 	// Config.MaxUncommittedBytes.
 	ReasonUncommittedFull
-	// ReasonTransferring: leadership is being handed over.
+	// ReasonTransferring: a leadership transfer is in progress.
 	ReasonTransferring
-	// ReasonTooManyReads: Config.MaxReads reads wait for their quorum.
+	// ReasonTooManyReads: Config.MaxReads reads already wait for a quorum.
 	ReasonTooManyReads
-	// ReasonTooLarge: one entry exceeds Config.MaxEntryBytes.
+	// ReasonTooLarge: an entry exceeds Config.MaxEntryBytes.
 	ReasonTooLarge
-	// ReasonMembershipPending: an earlier change of membership, or the first
-	// entry of the leader's term, is not committed yet.
+	// ReasonMembershipPending: an earlier membership change, or the first entry
+	// of the leader's term, is not committed yet.
 	ReasonMembershipPending
-	// ReasonNotCaughtUp: the learner does not hold the committed log yet.
+	// ReasonNotCaughtUp: the learner does not have all committed entries yet.
 	ReasonNotCaughtUp
-	// ReasonInvalidChange: the change does not fit the membership.
+	// ReasonInvalidChange: the change does not fit the membership or leaves no
+	// active quorum, or a transfer has no active voter as its target.
 	ReasonInvalidChange
-	// ReasonQueueFull: the replica's queue of requests is full.
+	// ReasonQueueFull: the replica's request queue is full.
 	ReasonQueueFull
 	// ReasonStopped: the replica is stopping or has stopped.
 	ReasonStopped
 	// ReasonEmpty: the proposal has no payload.
 	ReasonEmpty
-	// ReasonCanceled: the caller gave up before the request was taken up.
+	// ReasonCanceled: the caller canceled the request before it was processed.
 	ReasonCanceled
 	// ReasonCount is the number of reasons.
 	ReasonCount
@@ -78,10 +80,12 @@
 	return reasonCodes[r]
 }
 
-// RefusedError says that a request had no effect and never will.
+// RefusedError is returned for a request that was refused. The request had no
+// effect and will not take effect later.
 type RefusedError struct {
 	Reason Reason
-	// Leader is the leader as far as it is known; only for ReasonNotLeader.
+	// Leader is the leader as far as known, otherwise NoID; set only for
+	// ReasonNotLeader.
 	Leader ID
 	// Detail explains the refusal to an operator; may be empty.
 	Detail string
@@ -102,8 +106,9 @@
 // Code returns the numbered result code of the refusal.
 func (e *RefusedError) Code() result.Code { return e.Reason.Code() }
 
-// Is reports whether target is a RefusedError of the same reason, so that
-// errors.Is(err, ErrNotLeader) works for every leader.
+// Is reports whether target is a RefusedError with the same Reason, whatever
+// its Leader and Detail. It makes errors.Is(err, ErrNotLeader) work for every
+// leader.
 func (e *RefusedError) Is(target error) bool {
 	t, ok := target.(*RefusedError)
 	return ok && t.Reason == e.Reason
@@ -125,7 +130,8 @@
 	ErrCanceled          = &RefusedError{Reason: ReasonCanceled}
 )
 
-// Refused returns the refusal in err's chain, if there is one.
+// Refused returns the first RefusedError in err's chain and reports whether
+// there is one.
 func Refused(err error) (*RefusedError, bool) {
 	var r *RefusedError
 	ok := errors.As(err, &r)
--- a/quorum/fault_test.go
+++ b/quorum/fault_test.go
@@ -10,6 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
+// A group of any size elects a leader and applies all proposals on every
+// replica.
 func TestElectAndReplicate(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 5} {
 		c := newCluster(t, size, 1)
@@ -24,9 +26,9 @@
 	}
 }
 
-// Symptom: callers of a cut-off leader wait for ever, or read old state.
-// Sequence: a leader is cut off from both followers; the clock goes on.
-// Cause: without a check of the quorum it never learns that it lost.
+// A leader that is partitioned from both followers must step down and fail its
+// reads. Without a quorum check, its callers would wait indefinitely or read
+// stale state.
 func TestPartitionedLeaderStepsDown(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	l := c.elect()
@@ -36,7 +38,7 @@
 	require.NoError(t, err)
 	require.NoError(t, l.node.ReadIndex(7))
 	for range quorum.DefaultElectionTicks {
-		require.Empty(t, l.reads, "a read was answered without a quorum")
+		require.Empty(t, l.reads, "read confirmed without a quorum")
 		c.tick()
 	}
 	require.NotEqual(t, quorum.RoleLeader, l.node.Status().Role)
@@ -56,9 +58,9 @@
 	require.NotContains(t, l.state, "lost")
 }
 
-// Symptom: a replica that returns after a long cut deposes a working leader.
-// Sequence: a follower is cut off for many election timeouts, then heals.
-// Cause: without a pre-vote its term grows with every futile election.
+// A follower that reconnects after a partition of many election timeouts must
+// not depose an active leader. Without pre-votes, its term would grow with
+// every failed election.
 func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	l := c.elect()
@@ -77,10 +79,9 @@
 	require.Equal(t, term, isolated.node.Status().Term)
 }
 
-// Symptom: two leaders in one term.
-// Sequence: a replica grants its vote, loses power before the vote is on disk,
-// and is asked by another candidate of the same term.
-// Cause: the reply left before the vote was durable.
+// A replica that grants a vote, crashes before the vote is durable and is asked
+// by another candidate must not vote twice in the term. A reply sent before the
+// vote is durable would allow two leaders in one term.
 func TestVoteReplySentAfterVotePersisted(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	voter := c.replicas[2]
@@ -93,7 +94,7 @@
 		c.processReady(voter)
 	}
 	requestVote(replicaID(0))
-	require.Empty(t, c.network, "a vote left before it was on disk")
+	require.Empty(t, c.network, "vote reply sent before the vote was durable")
 	c.restart(voter)
 	requestVote(replicaID(1))
 	c.finishWrite(voter, *voter.pendingWrite)
@@ -104,14 +105,12 @@
 	c.restart(voter)
 	requestVote(replicaID(0))
 	require.Len(t, c.network, 1)
-	require.True(t, c.network[0].GetReject(), "a second vote in one term")
+	require.True(t, c.network[0].GetReject(), "second vote granted in one term")
 }
 
-// Symptom: an acknowledged proposal is gone after a leader's change (figure
-// 3.7 of the thesis).
-// Sequence: an entry of an old term reaches a majority; its leader counts it
-// as committed; a candidate with a newer last entry replaces it.
-// Cause: an entry is committed by counting only in the leader's own term.
+// A leader must not commit an entry of an earlier term because a majority holds
+// it (thesis, figure 3.7). A candidate with a later last term could be elected
+// and replace the entry, and an acknowledged proposal would be lost.
 func TestCommitByCountingOnlyInCurrentTerm(t *testing.T) {
 	entry := func(term, index uint64, data string) *quorumpb.Entry {
 		return &quorumpb.Entry{Term: term, Index: index, Data: []byte(data)}
@@ -132,8 +131,8 @@
 	}
 	l, other := c.replicas[0], c.replicas[4]
 	c.isolate(other.id)
-	// The leader's own first entry reaches nobody: the network delivers only
-	// what replicates the old entry.
+	// The leader's first entry of its term reaches no replica: the network
+	// delivers only the messages that replicate the old entry.
 	for range 3 * quorum.DefaultElectionTicks {
 		l.node.Tick()
 		c.processReady(l)
@@ -152,18 +151,17 @@
 		}))
 	}
 	c.processReady(l)
-	require.Less(t, l.node.Status().Commit, uint64(2), "an old term's entry was committed by counting")
+	require.Less(t, l.node.Status().Commit, uint64(2), "entry of an earlier term committed by counting replicas")
 }
 
-// Symptom: a read misses a write that was acknowledged before it.
-// Sequence: a leader commits, its commit index reaches nobody, another replica
-// is elected and asked at once.
-// Cause: a new leader does not know the commit index before an entry of its
-// own term is committed.
+// A read from a new leader must reflect every acknowledged write. The previous
+// leader's commit index reached no follower, so the new leader does not know it
+// until it has committed an entry of its own term.
 func TestReadWaitsForCommitInCurrentTerm(t *testing.T) {
 	c := newCluster(t, 3, 6)
 	l := c.elect()
-	// Both followers have the entry on disk; the news of its commit is lost.
+	// Both followers have the entry on disk, but the commit index does not
+	// reach them.
 	_, err := l.node.Propose([]byte("acknowledged"))
 	require.NoError(t, err)
 	c.processReady(l)
@@ -194,10 +192,9 @@
 	require.Contains(t, next.state, "acknowledged")
 }
 
-// Symptom: two leaders in one term.
-// Sequence: a candidate's vote for itself is not on disk yet when a majority
-// has elected it; it loses power, forgets the term and votes for another.
-// Cause: the request for votes left, or the own vote counted, too early.
+// A candidate must not request votes, or count its vote for itself, before that
+// vote is durable. Otherwise it could be elected, lose the vote in a crash and
+// vote for another candidate in the same term.
 func TestVoteRequestSentAfterOwnVotePersisted(t *testing.T) {
 	c := newCluster(t, 3, 16)
 	a := c.replicas[0]
@@ -210,7 +207,7 @@
 	}
 	require.NotNil(t, a.pendingWrite)
 	require.Equal(t, quorum.RoleCandidate, a.node.Status().Role)
-	require.Equal(t, uint64(1), c.replicas[1].node.Status().Term, "a request left before the vote was on disk")
+	require.Equal(t, uint64(1), c.replicas[1].node.Status().Term, "vote request sent before the vote was durable")
 	single := newCluster(t, 1, 16)
 	s := single.replicas[0]
 	s.slowDisk = true
@@ -218,16 +215,15 @@
 		s.node.Tick()
 		single.deliverAll()
 	}
-	require.Equal(t, quorum.RoleCandidate, s.node.Status().Role, "elected by a vote that is not on disk")
+	require.Equal(t, quorum.RoleCandidate, s.node.Status().Role, "elected by a vote that is not durable")
 	single.finishWrite(s, *s.pendingWrite)
 	single.deliverAll()
 	require.Equal(t, quorum.RoleLeader, s.node.Status().Role)
 }
 
-// Symptom: an acknowledgement outlives the entry it speaks for.
-// Sequence: a follower's write is slow; meanwhile a new leader overwrites the
-// entry; the old write ends.
-// Cause: the end of the old write is taken for that of the new entry.
+// A follower must not take the end of an old write for that of a new entry. A
+// new leader overwrites an entry while its slow write is in progress, and the
+// acknowledgement would cover an entry that is not durable.
 func TestEntryOverwrittenDuringWrite(t *testing.T) {
 	c := newCluster(t, 3, 13)
 	f := c.replicas[2]
@@ -245,7 +241,8 @@
 	send(replicaID(1), 3, "new")
 	c.finishWrite(f, old)
 	c.processReady(f)
-	// The old entry is on disk, and only its leader hears so.
+	// The old entry is durable, and only its leader receives an
+	// acknowledgement.
 	require.Len(t, c.network, 1)
 	require.Equal(t, uint64(2), c.network[0].GetTerm())
 	require.Equal(t, "new", string(f.pendingWrite.Entries[0].GetData()))
@@ -256,10 +253,9 @@
 	require.Equal(t, "new", string(f.disk.entries[1].GetData()))
 }
 
-// Symptom: an entry counts as replicated that a power cut takes away.
-// Sequence: a message's entries are written in several parts; power is lost
-// after the first.
-// Cause: the acknowledgement, which names the last entry, left too early.
+// An append whose entries are written in several batches must be acknowledged
+// only after the last write. The reply names the last entry, which would be
+// lost in a crash after the first write.
 func TestAppendAcknowledgedAfterLastWrite(t *testing.T) {
 	c := newCluster(t, 3, 17)
 	c.cfg.MaxBatchBytes = 1
@@ -271,7 +267,7 @@
 	})))
 	c.processReady(f)
 	for part := range 3 {
-		require.Empty(t, c.network, "acknowledged after %d of 3 parts", part)
+		require.Empty(t, c.network, "acknowledged after %d of 3 writes", part)
 		c.finishWrite(f, *f.pendingWrite)
 		c.processReady(f)
 	}
@@ -279,10 +275,9 @@
 	require.Equal(t, uint64(4), c.network[0].GetIndex())
 }
 
-// Symptom: an election takes several timeouts.
-// Sequence: the timeouts of two replicas end at the same tick.
-// Cause: each grants the other's pre-vote, both begin the term and split the
-// votes.
+// Two replicas whose election timeouts expire at the same tick must elect a
+// leader without another timeout. If each granted the other's pre-vote, both
+// would start the term and split the votes.
 func TestEqualElectionTimeouts(t *testing.T) {
 	c := newCluster(t, 3, 20)
 	c.crash(c.replicas[2])
@@ -298,6 +293,8 @@
 	require.NotNil(t, c.leader())
 }
 
+// A leadership transfer completes without an election timeout, and proposals
+// are refused while it is in progress.
 func TestTransferLeader(t *testing.T) {
 	c := newCluster(t, 3, 14)
 	l := c.elect()
@@ -307,12 +304,14 @@
 	require.ErrorIs(t, err, quorum.ErrTransferring)
 	c.deliverAll()
 	next := c.leader()
-	require.NotNil(t, next, "a transfer needs no election timeout")
+	require.NotNil(t, next, "no leader after the transfer")
 	require.NotEqual(t, l.id, next.id)
 	c.propose(next, 1)
 	require.ErrorIs(t, newCluster(t, 1, 1).elect().node.TransferLeader(quorum.NoID), quorum.ErrInvalidChange)
 }
 
+// Requests beyond a configured limit, or sent to a follower, are refused with
+// the matching reason, and are accepted again after a commit.
 func TestRefusals(t *testing.T) {
 	c := newCluster(t, 3, 15)
 	c.cfg = quorum.Config{MaxEntryBytes: 100, MaxUncommittedBytes: 250, MaxReads: 2}
@@ -338,7 +337,7 @@
 	for range quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.NoError(t, propose(data), "room returns with the commit")
+	require.NoError(t, propose(data), "proposal refused after the pending entries were committed")
 	follower := c.replicas[(slices.Index(c.replicas, l)+1)%3]
 	_, err := follower.node.Propose(data)
 	refused, ok := quorum.Refused(err)
--- a/quorum/first_election_test.go
+++ b/quorum/first_election_test.go
@@ -8,9 +8,10 @@
 	"github.com/carawaypitch/carawaypitch/quorum"
 )
 
-// Symptom: a deployment is without a leader for seconds after all of its machines lost power. Sequence: all replicas
-// start; the first pre-votes are lost, since no link is open yet; each replica then waits for a whole election timeout,
-// which is chosen for slow disks, before it asks again. Cause: one timeout for two things.
+// When all replicas start at once, a leader must be elected soon after the
+// first pre-votes are lost because no connection is open yet. If pre-votes were
+// repeated only after an election timeout, which is long enough for slow disks,
+// the group would have no leader for seconds.
 func TestLeaderElectedSoonAfterAllReplicasStart(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, 3, seed)
@@ -31,8 +32,9 @@
 	}
 }
 
-// Symptom: a leader is deposed whenever a replica starts. Sequence: a replica starts beside a living leader and asks for
-// an election before it has heard the first heartbeat. Cause: a short first timeout without pre-votes.
+// A replica that starts while a leader is active must not depose it. With a
+// short first timeout it may campaign before the first heartbeat arrives, and
+// only pre-votes keep that from starting a new term.
 func TestStartingReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.cfg.ElectionTicks, c.cfg.FirstElectionTicks = 100, 2
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -2,11 +2,13 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// followLeader takes up that m's sender leads this term.
+// followLeader records m's sender as the leader of this term and resets the
+// election timer. It returns ErrMalformed if the term already has another
+// leader.
 func (n *Node) followLeader(m *quorumpb.Message) error {
 	from := ID(m.GetFrom())
 	if n.role == RoleLeader || n.leader != NoID && n.leader != from {
-		// Two leaders in one term: a voter voted twice.
+		// Two leaders in one term: a voter has voted twice.
 		return ErrMalformed
 	}
 	if n.role != RoleFollower {
@@ -17,8 +19,8 @@
 	return nil
 }
 
-// handleAppend takes entries up after the point where both logs agree (thesis
-// 3.5). The reply leaves when the entries are on disk.
+// handleAppend appends the entries after the position where both logs match
+// (thesis 3.5). The reply is sent after the entries are durable.
 func (n *Node) handleAppend(m *quorumpb.Message) error {
 	if err := n.followLeader(m); err != nil {
 		return err
@@ -40,9 +42,9 @@
 	return nil
 }
 
-// mergeEntries replaces the log's end from the first entry that differs. What
-// already matches stays: the message may be an old one, and the entries after
-// its last may be acknowledged.
+// mergeEntries replaces the end of the log, starting at the first entry that
+// differs. Matching entries stay: the message may be delayed, and entries after
+// its last one may already be acknowledged.
 func (n *Node) mergeEntries(entries []*quorumpb.Entry) error {
 	first := n.log.firstConflict(entries)
 	if first == 0 {
@@ -88,7 +90,8 @@
 		return err
 	}
 	if m.GetCommit() > n.log.last() {
-		// The leader only sends what this replica acknowledged in this term.
+		// A leader sends only a commit index that this replica has acknowledged
+		// in this term.
 		return ErrLostLog
 	}
 	n.log.commit = max(n.log.commit, m.GetCommit())
@@ -96,8 +99,9 @@
 	return nil
 }
 
-// sendHeartbeatReply answers at once where that promises nothing new, so that
-// a slow disk does not look like a cut link.
+// sendHeartbeatReply replies without waiting for the disk if the current term
+// is already durable. Otherwise a slow disk would look like a network partition
+// to the leader.
 func (n *Node) sendHeartbeatReply(m *quorumpb.Message) {
 	reply := &quorumpb.Message{
 		Type:      quorumpb.MessageType_MESSAGE_TYPE_HEARTBEAT_REPLY,
@@ -111,7 +115,8 @@
 	n.sendAfterPersist(reply)
 }
 
-// handleSnapshot replaces the log by a snapshot that goes beyond it (thesis 5).
+// handleSnapshot replaces the log with a snapshot that is ahead of it (thesis
+// 5).
 func (n *Node) handleSnapshot(m *quorumpb.Message) error {
 	if err := n.followLeader(m); err != nil {
 		return err
@@ -133,8 +138,8 @@
 	return nil
 }
 
-// handleTimeoutNow starts an election at once on the leader's wish (thesis
-// 3.10).
+// handleTimeoutNow starts an election immediately at the leader's request
+// (thesis 3.10).
 func (n *Node) handleTimeoutNow(m *quorumpb.Message) {
 	if n.role != RoleFollower || n.leader != ID(m.GetFrom()) || !n.mayCampaign() {
 		return
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -10,9 +10,9 @@
 
 func compareIDs(a, b ID) int { return cmp.Compare(a, b) }
 
-// becomeLeader starts leading. The first entry, without payload, lets the
-// leader learn the commit index (thesis 6.4) and commit what earlier terms
-// left behind (3.6.2).
+// becomeLeader starts this replica's leadership. It appends an entry without
+// payload: committing it lets the leader learn the commit index (thesis 6.4)
+// and commits the remaining entries of earlier terms (3.6.2).
 func (n *Node) becomeLeader() {
 	n.counters.Elected++
 	n.role = RoleLeader
@@ -23,13 +23,14 @@
 	n.appendInTerm(quorumpb.EntryType_ENTRY_TYPE_DATA, nil)
 }
 
-// clearLeaderState ends what only a leader has. Reads that wait are lost.
+// clearLeaderState discards the state that is valid only for a leader and fails
+// the pending reads.
 func (n *Node) clearLeaderState() {
 	n.failReads()
 	n.leaderState = leaderState{}
 }
 
-// updatePeers makes the peers those of the membership in force.
+// updatePeers sets the peers to the other members of the membership in force.
 func (n *Node) updatePeers() {
 	var peers []*peer
 	for _, member := range n.membership().GetMembers() {
@@ -39,8 +40,8 @@
 		}
 		p := n.peer(id)
 		if p == nil {
-			// A new peer counts as heard, or a new leader would step down
-			// before its first message could be answered.
+			// A new peer counts as active; otherwise a new leader would step
+			// down before the first reply can arrive.
 			p = &peer{id: id, next: n.log.last() + 1, lastHeardTick: n.tickCount}
 		}
 		peers = append(peers, p)
@@ -49,7 +50,7 @@
 	n.peers = peers
 }
 
-// appendInTerm appends an entry of the own term and returns its index.
+// appendInTerm appends an entry of the current term and returns its index.
 func (n *Node) appendInTerm(kind quorumpb.EntryType, data []byte) uint64 {
 	e := &quorumpb.Entry{Index: n.log.last() + 1, Term: n.term, Type: kind, Data: data}
 	n.log.append(e)
@@ -57,11 +58,12 @@
 	return e.GetIndex()
 }
 
-// tickLeader sends heartbeats and steps down where no quorum is heard.
+// tickLeader sends heartbeats, and steps down if no quorum is active.
 func (n *Node) tickLeader() {
 	if !n.hasActiveQuorum(n.membership()) {
-		// Cut off: another leader may exist by now. Without this, callers
-		// would wait on this replica for as long as the cut lasts (thesis 6.2).
+		// Behind a network partition, another leader may have been elected. If
+		// this replica did not step down, its callers would wait until the
+		// partition heals (thesis 6.2).
 		n.counters.SteppedDown++
 		n.becomeFollower(n.term, NoID)
 		return
@@ -78,12 +80,14 @@
 	}
 }
 
+// isActive reports whether a message from p arrived within the last election
+// timeout.
 func (n *Node) isActive(p *peer) bool {
 	return n.tickCount-p.lastHeardTick < uint64(n.cfg.ElectionTicks)
 }
 
-// hasActiveQuorum tells whether a quorum of m was heard within an election
-// timeout.
+// hasActiveQuorum reports whether a quorum of m's voters, counting this
+// replica, is active.
 func (n *Node) hasActiveQuorum(m *quorumpb.Membership) bool {
 	return hasQuorum(m, func(id ID) bool {
 		if id == n.cfg.ID {
@@ -94,19 +98,19 @@
 	})
 }
 
-// Position is the place of a proposal in the log.
+// Position is the position of a proposal in the log.
 type Position struct {
 	// Index of the first entry.
 	Index uint64
-	// Term of all entries. Another term at Index in the committed log means
-	// that the proposal was not and will not be committed.
+	// Term of all entries. If the committed log has another term at Index, the
+	// proposal was not and will not be committed.
 	Term uint64
 }
 
-// Propose appends payloads to the log, one entry each. A payload must not be
-// changed afterwards. It returns a *RefusedError with the reasons
-// ReasonNotLeader, ReasonTransferring, ReasonEmpty, ReasonTooLarge
-// or ReasonUncommittedFull; then none of the payloads was appended.
+// Propose appends payloads to the log, one entry each. The caller must not
+// modify a payload afterwards. On failure it appends none of the payloads and
+// returns a *RefusedError with ReasonNotLeader, ReasonTransferring,
+// ReasonEmpty, ReasonTooLarge or ReasonUncommittedFull.
 func (n *Node) Propose(data ...[]byte) (Position, error) {
 	if err := n.checkLeader(); err != nil {
 		return Position{}, err
@@ -121,7 +125,8 @@
 		}
 		size += len(d)
 	}
-	// A single proposal passes however small the bound is.
+	// With nothing pending, a proposal is accepted even if it exceeds the
+	// bound.
 	if n.unappliedBytes > 0 && n.unappliedBytes+size > n.cfg.MaxUncommittedBytes {
 		return Position{}, ErrUncommittedFull
 	}
@@ -142,16 +147,16 @@
 	return nil
 }
 
-// ProposeMembership appends a change of one replica. It returns a
-// *RefusedError with the reasons of Propose or ReasonMembershipPending,
-// ReasonNotCaughtUp or ReasonInvalidChange.
+// ProposeMembership appends a membership change of one replica. It returns a
+// *RefusedError with ReasonNotLeader, ReasonTransferring,
+// ReasonMembershipPending, ReasonNotCaughtUp or ReasonInvalidChange.
 func (n *Node) ProposeMembership(c Change) (Position, error) {
 	if err := n.checkLeader(); err != nil {
 		return Position{}, err
 	}
-	// Two changes at once could have quorums that do not meet, and so could a
-	// change by a leader that does not know yet of its predecessor's (thesis
-	// 4.1, and Ongaro's correction of 2015).
+	// Two concurrent changes could have disjoint quorums. So could a change by
+	// a leader that does not know its predecessor's change yet (thesis 4.1, and
+	// Ongaro's correction of 2015).
 	if n.history.current().index > n.log.commit || !n.committedInTerm() {
 		return Position{}, ErrMembershipPending
 	}
@@ -162,7 +167,8 @@
 	if next == nil {
 		return Position{}, &RefusedError{Reason: ReasonInvalidChange, Detail: detail}
 	}
-	// Otherwise the change itself could never be committed.
+	// Without an active quorum of the new voters, the change could never be
+	// committed.
 	if !n.hasActiveQuorum(next) {
 		return Position{}, &RefusedError{Reason: ReasonInvalidChange, Detail: "no quorum of the new voters is heard"}
 	}
@@ -176,37 +182,39 @@
 	return Position{Index: index, Term: n.term}, nil
 }
 
-// caughtUp tells whether a learner holds every committed entry on its disk.
-// A voter that does not would count for quorums from which a committed entry
-// can be missing after one more failure (thesis 4.2.1).
+// caughtUp reports whether the active learner p has every committed entry on
+// disk. A voter without them would count towards quorums, and one more failure
+// could then lose a committed entry (thesis 4.2.1).
 func (n *Node) caughtUp(p *peer) bool {
 	return n.isActive(p) && p.match >= n.log.commit
 }
 
-// committedInTerm tells whether an entry of the own term is committed. Before,
-// a leader does not know the commit index (thesis 6.4).
+// committedInTerm reports whether an entry of the current term is committed.
+// Until then a leader does not know the commit index (thesis 6.4).
 func (n *Node) committedInTerm() bool {
 	term, _ := n.log.term(n.log.commit)
 	return term == n.term
 }
 
-// advanceCommit commits what a quorum holds on disk, this replica included
-// only as far as its own disk goes.
+// advanceCommit commits the entries that a quorum has on disk. This replica
+// counts only for the entries on its own disk.
 func (n *Node) advanceCommit() {
 	index := n.quorumIndex()
-	// An entry of an earlier term can be overwritten even if a quorum holds
-	// it; it is committed with one of the own term (thesis 3.6.2).
+	// An entry of an earlier term can be overwritten even if a quorum has it.
+	// It is committed together with an entry of the current term (thesis
+	// 3.6.2).
 	if index <= n.log.commit || !n.log.matches(index, n.term) {
 		return
 	}
 	n.log.commit = index
 	if n.history.current().index <= index && !isVoter(n.membership(), n.cfg.ID) {
-		// The removal of this replica is committed (thesis 4.2.2).
+		// The removal of this replica is committed, so it steps down (thesis
+		// 4.2.2).
 		n.becomeFollower(n.term, NoID)
 	}
 }
 
-// quorumIndex returns the highest index that a quorum holds on disk.
+// quorumIndex returns the highest index that a quorum has on disk.
 func (n *Node) quorumIndex() uint64 {
 	var persisted []uint64
 	for _, id := range voters(n.membership()) {
@@ -220,10 +228,11 @@
 	return persisted[(len(persisted)-1)/2]
 }
 
-// TransferLeader hands leadership to target, or, with NoID, to the active
-// voter that is furthest on (thesis 3.10). Proposals are refused until it is
-// done or an election timeout has passed. It returns a *RefusedError with the
-// reasons ReasonNotLeader, ReasonTransferring or ReasonInvalidChange.
+// TransferLeader transfers leadership to target or, if target is NoID, to the
+// active voter with the highest match index (thesis 3.10). Proposals are
+// refused until the transfer is complete or an election timeout has passed. It
+// returns a *RefusedError with ReasonNotLeader, ReasonTransferring or
+// ReasonInvalidChange.
 func (n *Node) TransferLeader(target ID) error {
 	if err := n.checkLeader(); err != nil {
 		return err
@@ -244,7 +253,8 @@
 	return nil
 }
 
-// sendTimeoutNowIfCaughtUp asks the transferee to campaign once it holds the whole log.
+// sendTimeoutNowIfCaughtUp asks p to campaign if it is the transferee and has
+// the whole log.
 func (n *Node) sendTimeoutNowIfCaughtUp(p *peer) {
 	if n.transferee == p.id && p.match == n.log.last() {
 		n.sendEarly(&quorumpb.Message{Type: quorumpb.MessageType_MESSAGE_TYPE_TIMEOUT_NOW, To: string(p.id)})
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -7,26 +7,27 @@
 	"github.com/go-faster/errors"
 )
 
-// entryLog is the part of the log after the last compaction, in memory.
+// entryLog is the part of the log after the last compaction, held in memory.
 //
-// Invariant: prevIndex <= applied <= handed <= commit <= last, and
-// handed <= persisted. Entries are shared with messages and never changed.
+// Invariant: prevIndex <= applied <= delivered <= commit <= last, and delivered
+// <= persisted. Entries are shared with messages and never modified.
 type entryLog struct {
 	entries []*quorumpb.Entry
-	// Entry before the first of entries.
+	// prevIndex and prevTerm are the position before the first of entries.
 	prevIndex, prevTerm uint64
-	// snapshot is the newest one that is on disk or about to be; its index is
-	// at least prevIndex.
+	// snapshot is the newest snapshot that is durable or about to be written.
+	// Its index is at least prevIndex.
 	snapshot *quorumpb.SnapshotMeta
-	// persisted is the last entry known to be on the disk.
+	// persisted is the index of the last entry known to be durable.
 	persisted uint64
 	commit    uint64
-	// delivered is the last committed entry given to the caller, applied the
-	// last one that the caller reported back.
+	// delivered is the index of the last committed entry returned in a Batch,
+	// applied that of the last one reported by AppliedTo.
 	delivered, applied uint64
 }
 
-// newEntryLog returns the log that a restart found on disk.
+// newEntryLog returns the log recovered from disk at a restart. It fails if the
+// entries are not contiguous or their terms decrease.
 func newEntryLog(snapshot *quorumpb.SnapshotMeta, entries []*quorumpb.Entry, commit uint64) (*entryLog, error) {
 	l := &entryLog{
 		entries:   slices.Clone(entries),
@@ -39,7 +40,7 @@
 	term := l.prevTerm
 	for i, e := range entries {
 		if e.GetIndex() != l.prevIndex+1+uint64(i) || e.GetTerm() < term {
-			return nil, errors.Errorf("quorum: entry %d of term %d does not follow the log", e.GetIndex(), e.GetTerm())
+			return nil, errors.Errorf("quorum: entry %d of term %d is out of order in the log", e.GetIndex(), e.GetTerm())
 		}
 		term = e.GetTerm()
 	}
@@ -55,8 +56,8 @@
 	return term
 }
 
-// term returns the term of the entry at index; ok is false where the log does
-// not hold it, or no longer.
+// term returns the term of the entry at index; ok is false if the log does not
+// hold that entry.
 func (l *entryLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.prevIndex:
@@ -74,15 +75,15 @@
 	return ok && t == term
 }
 
-// isUpToDate tells whether a log that ends at index and term holds all that this
-// one holds (thesis 3.6.1).
+// isUpToDate reports whether a log that ends at index and term is at least as
+// up to date as this one (thesis 3.6.1).
 func (l *entryLog) isUpToDate(index, term uint64) bool {
 	lastTerm := l.lastTerm()
 	return term > lastTerm || term == lastTerm && index >= l.last()
 }
 
-// slice returns the entries from index from up to and with index to, cut after
-// maxBytes of payload but with at least one entry.
+// slice returns the entries with indexes from through to, limited to maxBytes
+// of payload but at least one entry.
 func (l *entryLog) slice(from, to uint64, maxBytes int) []*quorumpb.Entry {
 	if from > to {
 		return nil
@@ -98,21 +99,22 @@
 	return slices.Clone(all)
 }
 
-// append adds entries after the last.
+// append adds entries at the end of the log.
 func (l *entryLog) append(entries ...*quorumpb.Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries starting at index.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.prevIndex-1])
-	// Without this, a crash after the new entries were acknowledged but not
-	// written would bring the old ones back.
+	// The entries that replace them must count as not durable. Otherwise they
+	// could be acknowledged before they are written, and a crash would bring
+	// the old entries back.
 	l.persisted = min(l.persisted, index-1)
 }
 
-// firstConflict returns the index of the first entry that the log does not hold
-// with the same term; 0 if it holds them all.
+// firstConflict returns the index of the first of entries that the log does not
+// hold with the same term, or 0 if it holds them all.
 func (l *entryLog) firstConflict(entries []*quorumpb.Entry) uint64 {
 	for _, e := range entries {
 		if !l.matches(e.GetIndex(), e.GetTerm()) {
@@ -122,9 +124,9 @@
 	return 0
 }
 
-// conflictHint returns the last position at or before index whose term is at most
-// term. Two logs can agree at no later position, so whole terms are skipped
-// where a follower's log differs (thesis 3.5).
+// conflictHint returns the last position at or before index whose term is at
+// most term. The two logs cannot match at a later position, so the leader skips
+// whole terms that differ in the follower's log (thesis 3.5).
 func (l *entryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	for i := min(index, l.last()); i > l.prevIndex; i-- {
 		if t, _ := l.term(i); t <= term {
@@ -134,7 +136,7 @@
 	return l.prevIndex, l.prevTerm
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *entryLog) reset(meta *quorumpb.SnapshotMeta) {
 	l.entries = nil
 	l.prevIndex, l.prevTerm = meta.GetIndex(), meta.GetTerm()
@@ -144,18 +146,19 @@
 	l.delivered = meta.GetIndex()
 }
 
-// compact drops the entries up to and with index.
+// compact removes the entries up to and including index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.prevIndex {
 		return
 	}
 	term, _ := l.term(index)
-	// The clone lets go of the old array.
+	// The clone lets the old array be garbage collected.
 	l.entries = slices.Clone(l.entries[index-l.prevIndex:])
 	l.prevIndex, l.prevTerm = index, term
 }
 
-// payloadBytes returns the bytes of the entries after from, up to and with to.
+// payloadBytes returns the payload size of the entries after from, up to and
+// including to.
 func (l *entryLog) payloadBytes(from, to uint64) int {
 	size := 0
 	for i := max(from, l.prevIndex) + 1; i <= min(to, l.last()); i++ {
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -22,23 +22,24 @@
 	Remove
 )
 
-// Change is a change of one replica.
+// Change is a membership change of one replica.
 type Change struct {
 	Kind ChangeKind
 	ID   ID
-	// Address is kept for the transport; only for AddLearner.
+	// Address is stored in the membership for the transport; used only by
+	// AddLearner.
 	Address string
 }
 
-// configuration is a membership and the entry that it came with.
+// configuration is a membership and the index of the entry that holds it.
 type configuration struct {
 	index      uint64
 	membership *quorumpb.Membership
 }
 
-// membershipHistory holds the memberships of the log, oldest first. The newest is in
-// force, committed or not (thesis 4.1). The others are kept for a truncation,
-// and for the snapshots taken at their time.
+// membershipHistory holds the memberships of the log, oldest first. The newest
+// is in force even if it is not committed (thesis 4.1). The earlier ones are
+// needed when the log is truncated and for snapshots at an earlier index.
 type membershipHistory []configuration
 
 func (h membershipHistory) current() configuration {
@@ -48,7 +49,7 @@
 	return h[len(h)-1]
 }
 
-// at returns the membership in force at index.
+// at returns the membership in force at index, or nil if none is known.
 func (h membershipHistory) at(index uint64) *quorumpb.Membership {
 	var found *quorumpb.Membership
 	for _, c := range h {
@@ -59,7 +60,8 @@
 	return found
 }
 
-// addFromEntries takes up the membership entries among entries.
+// addFromEntries adds the memberships that entries contain. It fails if one
+// cannot be decoded.
 func (h *membershipHistory) addFromEntries(entries []*quorumpb.Entry) error {
 	for _, e := range entries {
 		if e.GetType() != quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP {
@@ -67,32 +69,33 @@
 		}
 		m := &quorumpb.Membership{}
 		if err := proto.Unmarshal(e.GetData(), m); err != nil {
-			return errors.Wrapf(err, "quorum: membership of entry %d", e.GetIndex())
+			return errors.Wrapf(err, "quorum: decode membership in entry %d", e.GetIndex())
 		}
 		*h = append(*h, configuration{index: e.GetIndex(), membership: m})
 	}
 	return nil
 }
 
-// truncate drops the memberships of entries from index on.
+// truncate removes the memberships of entries at or after index.
 func (h *membershipHistory) truncate(index uint64) {
 	for len(*h) > 0 && h.current().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
-// compact drops the memberships that were replaced at or before index.
+// compact removes the memberships that were replaced at or before index.
 func (h *membershipHistory) compact(index uint64) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
 	}
 }
 
-// contains tells whether a kept membership names the replica.
+// contains reports whether any retained membership lists the replica.
 func (h membershipHistory) contains(id ID) bool {
 	return slices.ContainsFunc(h, func(c configuration) bool { return findMember(c.membership, id) != nil })
 }
 
+// findMember returns the member with the given ID, or nil if there is none.
 func findMember(m *quorumpb.Membership, id ID) *quorumpb.Member {
 	for _, member := range m.GetMembers() {
 		if member.GetId() == string(id) {
@@ -117,7 +120,7 @@
 	return ids
 }
 
-// hasQuorum tells whether more than half of the voters satisfy ok.
+// hasQuorum reports whether more than half of the voters satisfy ok.
 func hasQuorum(m *quorumpb.Membership, ok func(ID) bool) bool {
 	ids := voters(m)
 	count := 0
@@ -129,7 +132,8 @@
 	return count > len(ids)/2
 }
 
-// applyChange returns the membership after c; detail says why c does not fit.
+// applyChange returns the membership after c. If c is not valid, next is nil
+// and detail says why.
 func applyChange(m *quorumpb.Membership, c Change) (next *quorumpb.Membership, detail string) {
 	next = proto.Clone(m).(*quorumpb.Membership)
 	member := findMember(next, c.ID)
@@ -165,8 +169,9 @@
 	return next, ""
 }
 
-// otherVoterOnInstance returns the voter on the same instance as id. With both as voters
-// the loss of one instance would take two votes.
+// otherVoterOnInstance returns the voter other than id on id's instance, or
+// NoID if there is none. If both were voters, the loss of one instance would
+// remove two votes.
 func otherVoterOnInstance(m *quorumpb.Membership, id ID) ID {
 	for _, v := range voters(m) {
 		if v != id && v.Instance() == id.Instance() {
@@ -180,24 +185,24 @@
 	slices.SortFunc(m.Members, func(a, b *quorumpb.Member) int { return strings.Compare(a.GetId(), b.GetId()) })
 }
 
-// FirstEntry returns the entry that starts a group with the given voters. All
-// of them must begin with the same entry. It fails where a voter is not listed
-// or listed twice.
+// FirstEntry returns the log entry that bootstraps a group with the given
+// members. All voters must start with the same entry. It fails if the group has
+// no name or no voter, or if a member is listed twice.
 func FirstEntry(group string, members []*quorumpb.Member) (*quorumpb.Entry, error) {
 	m := &quorumpb.Membership{Group: group}
 	for _, member := range members {
 		if findMember(m, ID(member.GetId())) != nil {
-			return nil, errors.Errorf("quorum: %s is listed twice", member.GetId())
+			return nil, errors.Errorf("quorum: member %s is listed twice", member.GetId())
 		}
 		m.Members = append(m.Members, proto.Clone(member).(*quorumpb.Member))
 	}
 	if group == "" || len(voters(m)) == 0 {
-		return nil, errors.New("quorum: a group needs an identity and a voter")
+		return nil, errors.New("quorum: a group requires a name and at least one voter")
 	}
 	sortMembers(m)
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, errors.Wrap(err, "quorum: membership")
+		return nil, errors.Wrap(err, "quorum: encode membership")
 	}
 	return &quorumpb.Entry{
 		Index: 1,
--- a/quorum/message_test.go
+++ b/quorum/message_test.go
@@ -24,6 +24,8 @@
 	timeoutNow     = quorumpb.MessageType_MESSAGE_TYPE_TIMEOUT_NOW
 )
 
+// newEntries returns consecutive entries that start at index first, one for
+// each term.
 func newEntries(first uint64, terms ...uint64) []*quorumpb.Entry {
 	var es []*quorumpb.Entry
 	for i, term := range terms {
@@ -32,8 +34,9 @@
 	return es
 }
 
-// newFollower returns replica a of a group of three in term 5 with a log of the
-// terms 1 (the membership), 2, 3, 5. Its leader is b if heard.
+// newFollower returns replica a of a group of three in term 5. Its log has
+// entries of terms 1 (the membership), 2, 3 and 5. If leaderKnown, its leader
+// is b.
 func newFollower(t *testing.T, leaderKnown bool) *quorum.Node {
 	c := newCluster(t, 3, 1)
 	first := c.replicas[0].disk.entries[0]
@@ -48,7 +51,8 @@
 	return n
 }
 
-// newMessage is from b to a unless m says otherwise.
+// newMessage returns a copy of m with the given type and term, sent from b to a
+// unless m has other addresses.
 func newMessage(kind quorumpb.MessageType, term uint64, m *quorumpb.Message) *quorumpb.Message {
 	m = proto.CloneOf(m)
 	m.Type, m.Term = kind, term
@@ -61,7 +65,7 @@
 	return m
 }
 
-// processAll persists and applies everything and returns the messages.
+// processAll persists and applies all batches and returns their messages.
 func processAll(n *quorum.Node) []*quorumpb.Message {
 	var out []*quorumpb.Message
 	for b, ok := n.Ready(); ok; b, ok = n.Ready() {
@@ -74,14 +78,16 @@
 	return out
 }
 
+// Each message to a follower must produce the reply, term and last index that
+// the protocol requires.
 func TestFollowerReplies(t *testing.T) {
 	meta := &quorumpb.SnapshotMeta{Index: 9, Term: 5, Membership: &quorumpb.Membership{Group: "group"}}
 	cases := []struct {
 		name string
-		// noLeader followers know of no leader.
+		// noLeader is true for a follower that knows no leader.
 		noLeader bool
 		in       *quorumpb.Message
-		// want is nil where no answer may come.
+		// want is nil if no reply is expected.
 		want       *quorumpb.Message
 		term, last uint64
 	}{
@@ -89,17 +95,17 @@
 		{"pre-vote, shorter log", true, newMessage(preVote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"pre-vote, longer log of an older term", true, newMessage(preVote, 6, &quorumpb.Message{Index: 9, IndexTerm: 4}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"pre-vote, own term", true, newMessage(preVote, 5, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
-		{"pre-vote while a leader is heard", false, newMessage(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
+		{"pre-vote while a leader is active", false, newMessage(preVote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"pre-vote of an older term", true, newMessage(preVote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(preVoteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"vote", true, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(voteReply, 6, &quorumpb.Message{}), 6, 4},
 		{"vote, shorter log", true, newMessage(vote, 6, &quorumpb.Message{Index: 3, IndexTerm: 5}), newMessage(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
 		{"vote, longer log of an older term", true, newMessage(vote, 6, &quorumpb.Message{Index: 9, IndexTerm: 3}), newMessage(voteReply, 6, &quorumpb.Message{Reject: true}), 6, 4},
-		{"vote while a leader is heard", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), nil, 5, 4},
-		{"vote that the leader asked for", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5, Transfer: true}), newMessage(voteReply, 6, &quorumpb.Message{}), 6, 4},
+		{"vote while a leader is active", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5}), nil, 5, 4},
+		{"vote for a leadership transfer", false, newMessage(vote, 6, &quorumpb.Message{Index: 4, IndexTerm: 5, Transfer: true}), newMessage(voteReply, 6, &quorumpb.Message{}), 6, 4},
 		{"vote of an older term", true, newMessage(vote, 4, &quorumpb.Message{Index: 4, IndexTerm: 5}), newMessage(voteReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"append", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 5, 5)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 6}), 5, 6},
-		{"append that is known", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 3)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 4},
-		{"append that replaces the end", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 4)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 3},
+		{"append already in the log", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 3)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 4},
+		{"append that replaces conflicting entries", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 2, IndexTerm: 2, Entries: newEntries(3, 4)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 3}), 5, 3},
 		{"append before the commit index", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 1, IndexTerm: 1, Entries: newEntries(2, 2)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 2}), 5, 4},
 		{"append after a gap", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 8, IndexTerm: 5, Entries: newEntries(9, 5)}), newMessage(appendReply, 5, &quorumpb.Message{Index: 8, Reject: true, HintIndex: 4, HintTerm: 5}), 5, 4},
 		{"append after another term", false, newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 4}), newMessage(appendReply, 5, &quorumpb.Message{Index: 4, Reject: true, HintIndex: 3, HintTerm: 3}), 5, 4},
@@ -108,9 +114,9 @@
 		{"heartbeat", false, newMessage(heartbeat, 5, &quorumpb.Message{ReadRound: 3}), newMessage(heartbeatReply, 5, &quorumpb.Message{ReadRound: 3}), 5, 4},
 		{"heartbeat of an older term", false, newMessage(heartbeat, 4, &quorumpb.Message{ReadRound: 3}), newMessage(heartbeatReply, 5, &quorumpb.Message{Reject: true}), 5, 4},
 		{"snapshot", false, newMessage(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: meta}}), newMessage(appendReply, 5, &quorumpb.Message{Index: 9}), 5, 9},
-		{"snapshot that is known", false, newMessage(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: &quorumpb.SnapshotMeta{Index: 4, Term: 5}}}), newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), 5, 4},
-		{"reply to nobody", false, newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), nil, 5, 4},
-		{"timeout now from another than the leader", true, newMessage(timeoutNow, 5, &quorumpb.Message{}), nil, 5, 4},
+		{"snapshot already in the log", false, newMessage(snapshot, 5, &quorumpb.Message{Snapshot: &quorumpb.Snapshot{Meta: &quorumpb.SnapshotMeta{Index: 4, Term: 5}}}), newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), 5, 4},
+		{"append reply to a follower", false, newMessage(appendReply, 5, &quorumpb.Message{Index: 4}), nil, 5, 4},
+		{"timeout now from a replica that is not the leader", true, newMessage(timeoutNow, 5, &quorumpb.Message{}), nil, 5, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,6 +140,8 @@
 	}
 }
 
+// Step must reject messages that are misaddressed, violate the protocol or show
+// that the log lost entries; accepting one could corrupt the log.
 func TestStepRejectsInvalidMessages(t *testing.T) {
 	cases := []struct {
 		name string
@@ -148,12 +156,12 @@
 		{"no type", newMessage(0, 5, &quorumpb.Message{}), quorum.ErrMalformed},
 		{"second leader of a term", newMessage(heartbeat, 5, &quorumpb.Message{From: "c/disk1"}), quorum.ErrMalformed},
 		{"gap in the entries", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(6, 5)}), quorum.ErrMalformed},
-		{"terms fall", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 4)}), quorum.ErrMalformed},
+		{"decreasing terms", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 4)}), quorum.ErrMalformed},
 		{"entry of a later term", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: newEntries(5, 6)}), quorum.ErrMalformed},
-		{"broken membership", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: []*quorumpb.Entry{
+		{"malformed membership", newMessage(appendEntries, 5, &quorumpb.Message{Index: 4, IndexTerm: 5, Entries: []*quorumpb.Entry{
 			{Index: 5, Term: 5, Type: quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP, Data: []byte{0xff}},
 		}}), quorum.ErrMalformed},
-		{"snapshot of nothing", newMessage(snapshot, 5, &quorumpb.Message{}), quorum.ErrMalformed},
+		{"snapshot without metadata", newMessage(snapshot, 5, &quorumpb.Message{}), quorum.ErrMalformed},
 		{"commit index beyond the log", newMessage(heartbeat, 5, &quorumpb.Message{Commit: 5}), quorum.ErrLostLog},
 	}
 	for _, c := range cases {
@@ -164,11 +172,14 @@
 	}
 }
 
+// A leader must advance its commit index only on a valid acknowledgement, and
+// step down only for a leader or a rejection of a later term.
 func TestLeaderHandlesMessages(t *testing.T) {
 	cases := []struct {
 		name string
 		in   *quorumpb.Message
-		// commit and role after the message; the leader's own entry is 2.
+		// commit and role are the state after the message; the entry of the
+		// leader's term has index 2.
 		commit uint64
 		role   quorum.Role
 	}{
@@ -176,15 +187,15 @@
 		{"acknowledgement of an older entry", &quorumpb.Message{Type: appendReply, Index: 1}, 1, quorum.RoleLeader},
 		{"acknowledgement beyond the log", &quorumpb.Message{Type: appendReply, Index: 9}, 1, quorum.RoleLeader},
 		{"rejection", &quorumpb.Message{Type: appendReply, Index: 1, Reject: true}, 1, quorum.RoleLeader},
-		{"heartbeat's answer", &quorumpb.Message{Type: heartbeatReply}, 1, quorum.RoleLeader},
-		{"old vote", &quorumpb.Message{Type: voteReply}, 1, quorum.RoleLeader},
-		{"old pre-vote", &quorumpb.Message{Type: preVoteReply}, 1, quorum.RoleLeader},
+		{"heartbeat reply", &quorumpb.Message{Type: heartbeatReply}, 1, quorum.RoleLeader},
+		{"vote reply of an earlier election", &quorumpb.Message{Type: voteReply}, 1, quorum.RoleLeader},
+		{"pre-vote reply of an earlier election", &quorumpb.Message{Type: preVoteReply}, 1, quorum.RoleLeader},
 		{"old term", &quorumpb.Message{Type: appendReply, Index: 2, Term: 1}, 1, quorum.RoleLeader},
 		{"newer term", &quorumpb.Message{Type: heartbeatReply, Term: 9, Reject: true}, 1, quorum.RoleFollower},
 		{"newer leader", &quorumpb.Message{Type: heartbeat, Term: 9}, 1, quorum.RoleFollower},
-		{"another's vote", &quorumpb.Message{Type: vote, Term: 9, Index: 9, IndexTerm: 8}, 1, quorum.RoleLeader},
-		{"another's pre-vote", &quorumpb.Message{Type: preVote, Term: 9, Index: 9, IndexTerm: 8}, 1, quorum.RoleLeader},
-		{"reply of a stranger", &quorumpb.Message{Type: appendReply, Index: 2, From: "x/disk1"}, 1, quorum.RoleLeader},
+		{"vote request of another candidate", &quorumpb.Message{Type: vote, Term: 9, Index: 9, IndexTerm: 8}, 1, quorum.RoleLeader},
+		{"pre-vote request of another candidate", &quorumpb.Message{Type: preVote, Term: 9, Index: 9, IndexTerm: 8}, 1, quorum.RoleLeader},
+		{"reply from a replica outside the group", &quorumpb.Message{Type: appendReply, Index: 2, From: "x/disk1"}, 1, quorum.RoleLeader},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -12,29 +12,32 @@
 // Errors of Step.
 var (
 	// ErrMisaddressed: the message is for another replica, for an earlier disk
-	// of this instance or from another group. It was dropped.
+	// of this instance, or from another group. The message was dropped.
 	ErrMisaddressed = errors.New("quorum: message for another replica or group")
-	// ErrMalformed: the message breaks the protocol. It was dropped.
+	// ErrMalformed: the message violates the protocol. It was dropped.
 	ErrMalformed = errors.New("quorum: malformed message")
-	// ErrLostLog: a leader says that this replica acknowledged or committed
-	// entries that its log does not hold. Its disk lost synced data, so its
-	// votes and acknowledgements are worth nothing: stop it and wipe it.
+	// ErrLostLog: a leader's message shows that this replica acknowledged or
+	// committed entries that its log does not hold. The disk lost synced data,
+	// so the replica's votes and acknowledgements are not reliable: it must be
+	// stopped and its disk wiped.
 	ErrLostLog error = result.New(result.JournalDamaged, "quorum: log lost entries that it had acknowledged")
 )
 
-// Counters count events since the Node was made.
+// Counters count events since New returned the Node.
 type Counters struct {
-	// ElectionsStarted counts real elections begun here, without pre-votes.
+	// ElectionsStarted counts elections started by this replica, without
+	// pre-votes.
 	ElectionsStarted uint64
-	// Elected counts elections won here.
+	// Elected counts elections won by this replica.
 	Elected uint64
-	// SteppedDown counts leaderships that ended because no quorum was heard.
+	// SteppedDown counts how often this replica gave up leadership because no
+	// quorum was active.
 	SteppedDown uint64
-	// SnapshotsSent counts snapshots begun towards followers.
+	// SnapshotsSent counts snapshot transfers started to followers.
 	SnapshotsSent uint64
 }
 
-// Node is one replica's part in the protocol. It is not safe for concurrent
+// Node is the Raft state machine of one replica. It is not safe for concurrent
 // use.
 type Node struct {
 	cfg      Config
@@ -43,42 +46,46 @@
 	term uint64
 	vote ID
 	role Role
-	// leader of the term as far as known.
+	// leader of the term; NoID if not known.
 	leader ID
 	log    *entryLog
-	// history of memberships; the current one is in force.
+	// history of the memberships; the newest one is in force.
 	history membershipHistory
 
-	// tickCount counts ticks.
+	// tickCount is the number of ticks since New.
 	tickCount uint64
-	// electionElapsed counts ticks since a leader, or a vote granted, was last
-	// heard; electionTimeout is drawn anew at each change of role.
+	// electionElapsed is the number of ticks since the last message of a
+	// leader, or the last vote granted. electionTimeout is drawn at random
+	// whenever the timer restarts.
 	electionElapsed, electionTimeout int
 
-	// votes of the running pre-vote or election.
+	// votes received in the current pre-vote or election.
 	votes map[ID]bool
 
 	leaderState
 	output
 }
 
-// leaderState is only valid while the replica leads.
+// leaderState is valid only while the replica is the leader.
 type leaderState struct {
 	// peers are all other members, sorted by ID.
 	peers []*peer
 	// heartbeatElapsed counts ticks since the last heartbeat.
 	heartbeatElapsed int
-	// unappliedBytes is the payload in bytes of proposals that are not applied yet.
+	// unappliedBytes is the payload size of the proposals that are not applied
+	// yet.
 	unappliedBytes int
 	reads          readQueue
-	// transferee is to become the leader; transferElapsed counts ticks.
+	// transferee is the target of a leadership transfer, NoID if there is none;
+	// transferElapsed is the number of ticks since its start.
 	transferee      ID
 	transferElapsed int
 }
 
-// New returns a Node in the state that its disk holds: hard state, newest
-// snapshot and the entries after it, all of them possibly empty. It fails where
-// the config is incomplete or the entries do not follow each other.
+// New returns a Node with the state recovered from disk: the hard state, the
+// newest snapshot and the entries after it, each of which may be empty. It
+// fails if the config is invalid, the entries are not contiguous, a membership
+// cannot be decoded, or the hard state is older than the last entry.
 func New(cfg Config, hard *quorumpb.HardState, snapshot *quorumpb.SnapshotMeta, entries []*quorumpb.Entry) (*Node, error) {
 	if err := cfg.setDefaultsAndValidate(); err != nil {
 		return nil, err
@@ -96,7 +103,7 @@
 	}
 	n.term = hard.GetTerm()
 	if last := log.lastTerm(); last > n.term {
-		return nil, errors.Errorf("quorum: hard state of term %d is older than the log's %d", n.term, last)
+		return nil, errors.Errorf("quorum: hard state has term %d, but the last log entry has later term %d", n.term, last)
 	}
 	n.persistedHardState = hardState{term: n.term, vote: n.vote}
 	n.becomeFollower(n.term, NoID)
@@ -107,7 +114,7 @@
 	return n, nil
 }
 
-// Tick advances the time by one tick.
+// Tick advances the Node's logical clock by one tick.
 func (n *Node) Tick() {
 	n.tickCount++
 	if n.role == RoleLeader {
@@ -120,8 +127,8 @@
 	}
 }
 
-// Step takes up a message from another replica. Errors: ErrMisaddressed,
-// ErrMalformed, ErrLostLog; only the last one must stop the replica.
+// Step processes a message from another replica. It returns ErrMisaddressed,
+// ErrMalformed or ErrLostLog; only the last one requires stopping the replica.
 func (n *Node) Step(m *quorumpb.Message) error {
 	if err := n.checkMessage(m); err != nil {
 		return err
@@ -163,12 +170,13 @@
 	return nil
 }
 
-// handleNewerTerm handles the term of a message from a later term (thesis 3.3). It
-// returns false if the message must be ignored.
+// handleNewerTerm processes a message whose term is later than the current one
+// (thesis 3.3). It reports whether the message still has to be processed in the
+// new term.
 func (n *Node) handleNewerTerm(m *quorumpb.Message) bool {
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE:
-		// A pre-vote names a term that may never begin.
+		// The term of a pre-vote may never start, so it is not adopted.
 		n.handlePreVote(m)
 		return false
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE_REPLY:
@@ -179,8 +187,8 @@
 		n.becomeFollower(m.GetTerm(), NoID)
 		return false
 	case quorumpb.MessageType_MESSAGE_TYPE_VOTE:
-		// A replica that was removed, or cut off, would otherwise depose a
-		// leader that everyone else hears (thesis 4.2.3).
+		// Otherwise a replica that was removed or partitioned would depose a
+		// leader that all others receive heartbeats from (thesis 4.2.3).
 		if n.hasActiveLeader() && !m.GetTransfer() {
 			return false
 		}
@@ -195,9 +203,9 @@
 	return true
 }
 
-// rejectOlderTerm answers a message from an earlier term so that its sender learns
-// of the newer one. Without this, a leader of an older term and a replica that
-// has moved on would ignore each other for ever.
+// rejectOlderTerm replies to a message from an earlier term so that its sender
+// learns the newer one. Otherwise a leader of an older term and a replica in a
+// later term would ignore each other indefinitely.
 func (n *Node) rejectOlderTerm(m *quorumpb.Message) {
 	reply := &quorumpb.Message{To: m.GetFrom(), Reject: true}
 	switch m.GetType() {
@@ -215,13 +223,13 @@
 	n.sendAfterPersist(reply)
 }
 
-// handleInTerm handles a message of the own term.
+// handleInTerm processes a message of the current term.
 func (n *Node) handleInTerm(m *quorumpb.Message) error {
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE:
 		n.handlePreVote(m)
 	case quorumpb.MessageType_MESSAGE_TYPE_PRE_VOTE_REPLY:
-		// The rejection of a pre-vote for the next term.
+		// A rejection of a pre-vote for the next term.
 		n.handlePreVoteReply(m)
 	case quorumpb.MessageType_MESSAGE_TYPE_VOTE:
 		n.handleVote(m)
@@ -249,7 +257,8 @@
 
 func (n *Node) membership() *quorumpb.Membership { return n.history.current().membership }
 
-// becomeFollower enters term, or stays in it, under leader.
+// becomeFollower makes the replica a follower in term, which may be the current
+// one. leader is NoID if it is not known.
 func (n *Node) becomeFollower(term uint64, leader ID) {
 	if term > n.term {
 		n.term = term
@@ -262,10 +271,12 @@
 	n.restartElectionTimer()
 }
 
-// restartElectionTimer draws a new timeout. Equal timeouts would split the
-// votes again and again (thesis 3.4).
+// restartElectionTimer draws a new random election timeout. With equal timeouts
+// the candidates would split the votes repeatedly (thesis 3.4).
 //
-// A replica that asks for pre-votes asks again soon: its links may not have been open yet, and it disturbs nobody.
+// A pre-candidate uses the shorter FirstElectionTicks: its pre-votes may have
+// been lost because no connection was open yet, and repeating them does not
+// disturb a leader.
 func (n *Node) restartElectionTimer() {
 	n.electionElapsed = 0
 	if n.role == RolePreCandidate {
@@ -275,15 +286,18 @@
 	n.electionTimeout = n.cfg.ElectionTicks + n.cfg.Rand.IntN(n.cfg.ElectionTicks)
 }
 
-// hasActiveLeader tells whether a leader of this term is alive as far as this
-// replica knows. A leader steps down itself when it hears no quorum.
+// hasActiveLeader reports whether this replica leads, or has received a message
+// from the leader of this term within the minimum election timeout. A leader
+// checks its own quorum and steps down without one.
 func (n *Node) hasActiveLeader() bool {
 	return n.role == RoleLeader || n.leader != NoID && n.electionElapsed < n.cfg.ElectionTicks
 }
 
-// Compact takes up a snapshot of the own state machine, at an applied index,
-// that is on disk. The entries up to its index are dropped but for the last
-// keep ones, which serve followers that lag a little.
+// Compact records a durable snapshot of the caller's state machine at an
+// applied index. It removes the entries up to the snapshot's index except for
+// the last keep ones, which lets slightly lagging followers catch up without a
+// snapshot. It ignores a snapshot that is not newer than the current one or not
+// applied yet.
 func (n *Node) Compact(meta *quorumpb.SnapshotMeta, keep int) {
 	if meta.GetIndex() <= n.log.snapshot.GetIndex() || meta.GetIndex() > n.log.applied {
 		return
@@ -295,8 +309,9 @@
 	n.history.compact(n.log.prevIndex)
 }
 
-// SnapshotMeta describes a snapshot taken at index; ok is false where the log
-// does not hold that entry, or no longer.
+// SnapshotMeta returns the metadata for a snapshot taken at index; ok is false
+// if the log does not hold that entry, it was not delivered in a Batch yet, or
+// no membership is known at index.
 func (n *Node) SnapshotMeta(index uint64) (meta *quorumpb.SnapshotMeta, ok bool) {
 	term, ok := n.log.term(index)
 	if !ok || index > n.log.delivered {
@@ -309,20 +324,20 @@
 	return &quorumpb.SnapshotMeta{Index: index, Term: term, Membership: proto.Clone(m).(*quorumpb.Membership)}, true
 }
 
-// NodeStatus is a Node's view of itself and of its group.
+// NodeStatus is a Node's view of its own state and of its group.
 type NodeStatus struct {
 	ID     ID
 	Leader ID
 	Role   Role
 	Term   uint64
-	// Last, Commit and Applied are indexes of entries, Snapshot is the index
-	// of the newest snapshot.
+	// Last, Commit and Applied are indexes of entries. Snapshot is the index of
+	// the newest snapshot, 0 if there is none.
 	Last, Commit, Applied, Snapshot uint64
-	// Membership in force; nil where none is known. It must not be changed.
+	// Membership in force, nil if none is known. It must not be modified.
 	Membership *quorumpb.Membership
-	// Progress of the other members, sorted by ID; only at the leader.
+	// Progress of the other members, sorted by ID; set only on the leader.
 	Progress []Progress
-	// Transferee is to become the leader; NoID while none is.
+	// Transferee is the target of a leadership transfer; NoID if there is none.
 	Transferee ID
 	Counters   Counters
 }
@@ -353,6 +368,7 @@
 	return s
 }
 
+// peer returns the peer with the given ID, or nil if there is none.
 func (n *Node) peer(id ID) *peer {
 	i, found := slices.BinarySearchFunc(n.peers, id, func(p *peer, id ID) int { return compareIDs(p.id, id) })
 	if !found {
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -2,48 +2,50 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// peerState says how a leader sends to a peer.
+// peerState is the mode in which a leader sends to a peer.
 type peerState uint8
 
 const (
-	// peerProbe sends one message at a time until the peer's log is known to
-	// match.
+	// peerProbe sends one message at a time until a position is known at which
+	// the peer's log matches.
 	peerProbe peerState = iota
-	// peerReplicate sends ahead of the acknowledgements, up to the bounds.
+	// peerReplicate sends without waiting for acknowledgements, within
+	// Config.MaxInflight and Config.MaxInflightBytes.
 	peerReplicate
-	// peerSnapshot sends nothing until the peer reports the snapshot.
+	// peerSnapshot sends no entries until the peer has acknowledged the
+	// snapshot or the transfer is retried.
 	peerSnapshot
 )
 
-// inflight is a sent message that is not acknowledged.
+// inflight is a sent message with entries that is not acknowledged yet.
 type inflight struct {
 	last  uint64
 	bytes int
 }
 
-// peer is what a leader knows of another replica.
+// peer is a leader's state for another replica.
 type peer struct {
 	id    ID
 	state peerState
-	// match is the highest index known to be on the peer's disk, next the
-	// first one to send.
+	// match is the highest index known to be on the peer's disk, next is the
+	// index of the next entry to send.
 	match, next uint64
-	// lastHeardTick is the tick of the peer's latest message.
+	// lastHeardTick is the tick of the last message from the peer.
 	lastHeardTick uint64
-	// probePending is set between a probe and its answer.
+	// probePending is true between sending a probe and its reply.
 	probePending bool
-	// progressTick is the tick at which the oldest unacknowledged send, or the
-	// snapshot, left.
+	// progressTick is the tick of the last acknowledgement or, if later, of the
+	// send that started the unacknowledged messages or the snapshot.
 	progressTick        uint64
 	unacknowledged      []inflight
 	unacknowledgedBytes int
 	sentCommit          uint64
 	snapshotIndex       uint64
-	// readRound is the newest read round that the peer answered.
+	// readRound is the newest read round that the peer has confirmed.
 	readRound uint64
 }
 
-// startProbing goes back to the last known match.
+// startProbing sends again from the last known match, one message at a time.
 func (p *peer) startProbing() {
 	p.state = peerProbe
 	p.next = p.match + 1
@@ -56,7 +58,7 @@
 	p.unacknowledgedBytes = 0
 }
 
-// recordAcknowledged takes up that the peer holds the log up to index.
+// recordAcknowledged records that the peer has the log up to index on disk.
 func (p *peer) recordAcknowledged(index, now uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
@@ -88,6 +90,8 @@
 	p.next = last + 1
 }
 
+// inflightFull reports whether the limits of unacknowledged messages to p are
+// reached.
 func (p *peer) inflightFull(c *Config) bool {
 	return len(p.unacknowledged) >= c.MaxInflight || p.unacknowledgedBytes >= c.MaxInflightBytes
 }
--- a/quorum/random_test.go
+++ b/quorum/random_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Size of the random test. A walk takes about 20 ms.
+// Size of the random test. One walk takes about 20 ms.
 const (
 	walks        = 60
 	walkSteps    = 2000
@@ -18,16 +18,16 @@
 	maxInstances = 5
 )
 
-// randomCluster runs a cluster under randomCluster events. The cluster checks election
-// safety, that a leader holds what is committed, and that committed entries
-// never change; check adds log matching.
+// randomCluster runs a cluster under random events. The cluster checks election
+// safety, that a leader has all committed entries, and that committed entries
+// never change. checkLogMatching checks the log matching property.
 type randomCluster struct {
 	*cluster
 	proposed   int
 	disksAdded int
 }
 
-// pickReplica draws a replica; nil where none fits.
+// pickReplica returns a random eligible replica, or nil if there is none.
 func (m *randomCluster) pickReplica(eligible func(*replica) bool) *replica {
 	var candidates []*replica
 	for _, r := range m.replicas {
@@ -46,15 +46,16 @@
 func isWriting(r *replica) bool { return !r.down && r.pendingWrite != nil }
 func isLeader(r *replica) bool  { return !r.down && r.node.Status().Role == quorum.RoleLeader }
 
-// action is an event that happens to a replica, if one fits.
+// action is an event that is applied to a random eligible replica, if there is
+// one.
 type action struct {
 	weight   int
 	eligible func(*replica) bool
 	do       func(*replica)
 }
 
-// actions are weighted so that a walk mends more than it breaks; otherwise it
-// commits next to nothing.
+// actions are weighted so that a walk repairs more faults than it causes;
+// otherwise hardly any entry would be committed.
 func (m *randomCluster) actions() []action {
 	return []action{
 		{30, isUp, func(*replica) { m.advance() }},
@@ -79,6 +80,7 @@
 	}
 }
 
+// runAction runs one action, chosen at random by weight.
 func (m *randomCluster) runAction(actions []action) {
 	total := 0
 	for _, a := range actions {
@@ -102,7 +104,7 @@
 	}
 }
 
-// dropOrDuplicateMessage loses or repeats a message.
+// dropOrDuplicateMessage drops or duplicates a random message.
 func (m *randomCluster) dropOrDuplicateMessage() {
 	if len(m.network) == 0 {
 		return
@@ -115,7 +117,8 @@
 	m.network = append(m.network, m.network[i])
 }
 
-// advance lets time pass for all, and most messages arrive.
+// advance runs a random number of ticks on all replicas and delivers most
+// messages.
 func (m *randomCluster) advance() {
 	for range 1 + m.rng.IntN(quorum.DefaultElectionTicks) {
 		for _, r := range m.replicas {
@@ -128,7 +131,7 @@
 	}
 }
 
-// restoreReplicas starts what is down and finishes what is slow.
+// restoreReplicas restarts the crashed replicas and completes pending writes.
 func (m *randomCluster) restoreReplicas() {
 	for _, r := range m.replicas {
 		if r.down && !r.disk.lost {
@@ -160,13 +163,14 @@
 	m.processReady(r)
 }
 
-// crashAfterWrite crashes a replica whose write reached the disk, although nobody
-// heard of it.
+// crashAfterWrite crashes a replica after its write is durable but before the
+// Node is told so.
 func (m *randomCluster) crashAfterWrite(r *replica) {
 	r.disk.write(*r.pendingWrite, m.states[r.pendingWrite.Snapshot.GetMeta().GetIndex()])
 	m.crash(r)
 }
 
+// partition splits the replicas into two random groups.
 func (m *randomCluster) partition() {
 	side := map[quorum.ID]bool{}
 	for _, r := range m.replicas {
@@ -175,9 +179,9 @@
 	m.blocked = func(from, to quorum.ID) bool { return side[from] != side[to] }
 }
 
-// replaceDisk replaces the disk of an instance, or adds an instance. At most one disk
-// of three or more voters may be gone at a time: otherwise nothing could be
-// promised.
+// replaceDisk replaces the disk of a random instance, or adds an instance. At
+// most one voter's disk may be lost at a time, and only in a group of three or
+// more voters; otherwise committed entries may be lost.
 func (m *randomCluster) replaceDisk() {
 	m.disksAdded++
 	instance := string(rune('a' + m.rng.IntN(maxInstances)))
@@ -194,8 +198,8 @@
 	m.addReplica(quorum.MakeID(instance, fmt.Sprintf("disk%d", m.disksAdded+1)), disk{})
 }
 
-// anyVoterDiskLost tells whether some membership that may be in force counts a
-// disk that is gone.
+// anyVoterDiskLost reports whether a membership that may be in force has a
+// voter whose disk is lost.
 func (m *randomCluster) anyVoterDiskLost() bool {
 	for _, lostReplica := range m.replicas {
 		if !lostReplica.disk.lost {
@@ -215,7 +219,8 @@
 	return false
 }
 
-// anyGroupBelowThreeVoters tells whether some membership has too few voters to lose one.
+// anyGroupBelowThreeVoters reports whether a membership has too few voters to
+// lose one.
 func (m *randomCluster) anyGroupBelowThreeVoters() bool {
 	for _, r := range m.replicas {
 		voters := 0
@@ -238,8 +243,9 @@
 	m.processReady(l)
 }
 
-// repairMembership does the next step that an operator would, which few random walks do:
-// remove what is gone, add what is new, promote the learners.
+// repairMembership proposes the next change that an operator would make: remove
+// a replica with a lost disk, add a new replica, or promote a learner. Random
+// changes alone seldom complete such a sequence.
 func (m *randomCluster) repairMembership(l *replica) {
 	m.advance()
 	if change, ok := m.nextRepairChange(l); ok && isLeader(l) {
@@ -249,6 +255,8 @@
 	}
 }
 
+// nextRepairChange returns the next change for repairMembership and reports
+// whether one is needed.
 func (m *randomCluster) nextRepairChange(l *replica) (quorum.Change, bool) {
 	member := map[quorum.ID]quorumpb.Role{}
 	for _, x := range l.node.Status().Membership.GetMembers() {
@@ -268,8 +276,9 @@
 	return quorum.Change{}, false
 }
 
-// checkLogMatching is log matching: disks that hold an entry of the same index and term
-// hold the same entry, and the same one before it.
+// checkLogMatching checks the log matching property: disks that hold an entry
+// with the same index and term hold the same data and the same preceding entry.
+// It also drops the oldest messages beyond maxNetwork.
 func (m *randomCluster) checkLogMatching() {
 	if len(m.network) > maxNetwork {
 		m.network = m.network[len(m.network)-maxNetwork:]
@@ -282,8 +291,8 @@
 		for _, e := range r.disk.entries {
 			at := position{e.GetIndex(), e.GetTerm()}
 			if known, ok := previous[at]; ok {
-				require.Equal(m.t, known, before, "%s: logs differ before %v", r.id, at)
-				require.Equal(m.t, data[at], string(e.GetData()), "%s: entry %v", r.id, at)
+				require.Equal(m.t, known, before, "%s: entries preceding %v differ", r.id, at)
+				require.Equal(m.t, data[at], string(e.GetData()), "%s: data of entry %v differs", r.id, at)
 			}
 			previous[at], data[at] = before, string(e.GetData())
 			before = at
@@ -291,10 +300,10 @@
 	}
 }
 
-// Symptom: whatever breaks the promises of the log.
-// Sequence: random; messages are lost, repeated, reordered, links cut, writes
-// slow, replicas crash without what they had not synced, disks are replaced.
-// Cause: the seed in the failed subtest's name repeats the walk.
+// The safety properties of the log must hold under random faults: lost,
+// duplicated and reordered messages, partitions, slow writes, crashes that lose
+// unsynced data, and replaced disks. The subtest name is the seed that
+// reproduces the walk.
 func TestRandomWalk(t *testing.T) {
 	for seed := range uint64(walks) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -310,8 +319,8 @@
 	}
 }
 
-// checkRecovery checks that a healed group goes on, whatever happened, if no
-// voter's disk is gone.
+// checkRecovery checks that the group commits a proposal once all faults end,
+// unless a voter's disk is lost.
 func (m *randomCluster) checkRecovery() {
 	m.heal()
 	for _, r := range m.replicas {
@@ -321,7 +330,7 @@
 	if m.anyVoterDiskLost() {
 		return
 	}
-	// Enough for a transfer to be given up.
+	// Long enough for a leadership transfer to time out.
 	for range 2 * quorum.DefaultElectionTicks {
 		m.tick()
 	}
--- a/quorum/read.go
+++ b/quorum/read.go
@@ -1,29 +1,31 @@
 package quorum
 
-// ReadState is the outcome of a ReadIndex.
+// ReadState is the result of a ReadIndex.
 type ReadState struct {
-	// ID given to ReadIndex.
+	// ID is the ID that was passed to ReadIndex.
 	ID uint64
-	// Index that the state machine must have applied before it is read.
+	// Index is the index that the state machine must have applied before the
+	// read.
 	Index uint64
-	// Lost is true where leadership ended before the read was confirmed; Index
-	// is then 0.
+	// Lost is true if leadership ended before the read was confirmed; Index is
+	// then 0.
 	Lost bool
 }
 
-// readQueue holds reads that wait for a quorum's confirmation.
+// readQueue holds the reads that are not confirmed by a quorum yet.
 type readQueue struct {
-	// waiting have no round yet, running belong to round.
+	// waiting holds the IDs of reads that no round includes yet, running those
+	// of the current round.
 	waiting, running []uint64
-	// round is the number of the newest round, index the commit index at its
-	// start.
+	// round is the number of the newest round, index is the commit index when
+	// it started.
 	round, index uint64
 }
 
-// ReadIndex asks for an index such that a state machine that has applied it
-// reflects every write completed before the call (thesis 6.4). The answer
-// comes as a ReadState of a later Batch. It returns a *RefusedError with the
-// reasons ReasonNotLeader or ReasonTooManyReads.
+// ReadIndex requests an index for a linearizable read: a state machine that has
+// applied it reflects every write completed before the call (thesis 6.4). The
+// result is returned as a ReadState with the given id in a later Batch. It
+// returns a *RefusedError with ReasonNotLeader or ReasonTooManyReads.
 func (n *Node) ReadIndex(id uint64) error {
 	if n.role != RoleLeader {
 		return &RefusedError{Reason: ReasonNotLeader, Leader: n.leader}
@@ -35,13 +37,13 @@
 	return nil
 }
 
-// startReadRound puts the waiting reads into a round of heartbeats. One round
+// startReadRound assigns the waiting reads to a round of heartbeats. One round
 // runs at a time, so that many reads share its messages.
 func (n *Node) startReadRound() {
 	q := &n.reads
 	if len(q.waiting) == 0 || len(q.running) > 0 || !n.committedInTerm() {
-		// Before an entry of the own term is committed the commit index may
-		// lag behind what an earlier leader acknowledged.
+		// Until an entry of the current term is committed, the commit index may
+		// be lower than what an earlier leader acknowledged.
 		return
 	}
 	q.running, q.waiting = q.waiting, nil
@@ -51,9 +53,9 @@
 	n.confirmReads()
 }
 
-// confirmReads answers the running round once a quorum has answered its
-// heartbeats, which proves that no later leader had been elected when the
-// round began.
+// confirmReads completes the reads of the current round once a quorum has
+// replied to its heartbeats. The replies prove that no later leader had been
+// elected when the round started.
 func (n *Node) confirmReads() {
 	q := &n.reads
 	if len(q.running) == 0 {
@@ -71,6 +73,7 @@
 	q.running = nil
 }
 
+// failReads returns all unconfirmed reads as lost.
 func (n *Node) failReads() {
 	for _, id := range n.reads.running {
 		n.readStates = append(n.readStates, ReadState{ID: id, Lost: true})
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -2,63 +2,68 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// Batch is what the caller must do next.
+// Batch holds the actions that the caller must perform next.
 type Batch struct {
-	// Early messages promise nothing that must be on disk first; send them at
-	// once, before or while the batch is persisted.
+	// Early messages do not depend on unpersisted state. Send them immediately,
+	// before or while the batch is persisted.
 	Early []*quorumpb.Message
-	// Snapshot, received from the leader, replaces the log. Persist it before
-	// HardState and Entries, and restore the state machine from it after.
+	// Snapshot was received from the leader and replaces the log; nil if there
+	// is none. Persist it before HardState and Entries, then restore the state
+	// machine from it.
 	Snapshot *quorumpb.Snapshot
 	// HardState to persist; nil if it has not changed.
 	HardState *quorumpb.HardState
-	// Entries to persist. They replace those on disk from the index of the
-	// first one on.
+	// Entries to persist. They replace the entries on disk starting at the
+	// index of the first one.
 	Entries []*quorumpb.Entry
 	// Messages to send after Snapshot, HardState and Entries are durable.
 	Messages []*quorumpb.Message
-	// Committed entries to apply in order; all are on disk here. Report them
-	// with AppliedTo.
+	// Committed entries to apply in order. All of them are durable on this
+	// replica. Report them with AppliedTo.
 	Committed []*quorumpb.Entry
-	// Reads that were confirmed or lost.
+	// Reads that were confirmed, or lost with the leadership.
 	Reads []ReadState
 	// Change of role, term or leader; nil if there is none.
 	Change *StateChange
 
+	// needsAdvance is true if the batch has a persistent part.
 	needsAdvance bool
 }
 
-// MustPersist tells whether the batch has something to make durable.
+// MustPersist reports whether the batch has a persistent part.
 func (b *Batch) MustPersist() bool {
 	return b.Snapshot != nil || b.HardState != nil || len(b.Entries) > 0
 }
 
-// StateChange is the state after a change.
+// StateChange holds a Node's role, term and leader after a change.
 type StateChange struct {
 	Role   Role
 	Term   uint64
 	Leader ID
 }
 
-// hardState is the comparable part of a quorumpb.HardState; the commit index
+// hardState is the comparable part of a quorumpb.HardState. The commit index
 // need not be durable (thesis 3.8).
 type hardState struct {
 	term uint64
 	vote ID
 }
 
-// output collects what the next Batch will hold.
+// output collects the content of the next Batch.
 type output struct {
 	early, afterPersist []*quorumpb.Message
 	snapshot            *quorumpb.Snapshot
 	readStates          []ReadState
 	reportedChange      StateChange
-	// persistedHardState is the hard state known to be on disk.
+	// persistedHardState is the hard state known to be durable.
 	persistedHardState hardState
-	// persisting is set while a tracked batch waits for Advance.
+	// persisting is true while a batch with a persistent part waits for
+	// Advance.
 	persisting bool
 }
 
+// setSender sets m's sender and group, and the current term unless m already
+// has a term.
 func (n *Node) setSender(m *quorumpb.Message) *quorumpb.Message {
 	m.From = string(n.cfg.ID)
 	m.Group = n.group()
@@ -68,13 +73,14 @@
 	return m
 }
 
-// sendEarly is for messages that hold true whatever the own disk loses.
+// sendEarly queues a message that remains valid even if the local disk loses
+// unsynced state.
 func (n *Node) sendEarly(m *quorumpb.Message) {
 	n.early = append(n.early, n.setSender(m))
 }
 
-// sendAfterPersist is for messages that promise something: a vote, an
-// acknowledgement, a term.
+// sendAfterPersist queues a message that depends on durable state: a vote, an
+// acknowledgement or a term.
 func (n *Node) sendAfterPersist(m *quorumpb.Message) {
 	n.afterPersist = append(n.afterPersist, n.setSender(m))
 }
@@ -84,8 +90,8 @@
 }
 
 // Ready returns the next batch; ok is false if there is nothing to do. Every
-// batch must be given to Advance when its persistent part is durable, in
-// order. In between, Ready returns batches without a persistent part.
+// batch must be passed to Advance once its persistent part is durable, in
+// order. Until then, Ready returns batches without a persistent part.
 func (n *Node) Ready() (b Batch, ok bool) {
 	if n.role == RoleLeader {
 		n.replicate()
@@ -105,9 +111,10 @@
 	return b, ok
 }
 
-// takeCommitted hands out committed entries, as long as the caller has applied
-// the ones before. Entries not on the own disk wait, so that after a restart
-// no state machine is ahead of its log.
+// takeCommitted returns the next committed entries to apply once the caller has
+// applied the earlier ones. Entries that are not durable on this replica are
+// held back; otherwise the state machine could be ahead of the log after a
+// restart.
 func (n *Node) takeCommitted() []*quorumpb.Entry {
 	if n.log.applied < n.log.delivered {
 		return nil
@@ -123,7 +130,8 @@
 	if n.persistedHardState != (hardState{term: n.term, vote: n.vote}) {
 		b.HardState = &quorumpb.HardState{Term: n.term, Vote: string(n.vote), Commit: n.log.commit}
 	}
-	// The replies speak for all entries: they wait for the last part.
+	// The replies cover all entries, so they wait for the write of the last
+	// one.
 	includesLast := len(b.Entries) == 0 || b.Entries[len(b.Entries)-1].GetIndex() == n.log.last()
 	if includesLast {
 		b.Messages, n.afterPersist = n.afterPersist, nil
@@ -132,7 +140,8 @@
 	n.persisting = b.needsAdvance
 }
 
-// Advance reports that the batch's persistent part is durable.
+// Advance reports that the persistent part of b is durable. It has no effect if
+// b has none.
 func (n *Node) Advance(b Batch) {
 	if !b.needsAdvance {
 		return
@@ -143,7 +152,8 @@
 	}
 	if len(b.Entries) > 0 {
 		last := b.Entries[len(b.Entries)-1]
-		// The log may have been overwritten while the entries were written.
+		// The entries may have been overwritten in the log while they were
+		// written to disk.
 		if n.log.matches(last.GetIndex(), last.GetTerm()) {
 			n.log.persisted = max(n.log.persisted, last.GetIndex())
 		}
@@ -156,8 +166,8 @@
 	}
 }
 
-// AppliedTo reports that the state machine has applied the entries, or
-// restored the snapshot, up to index.
+// AppliedTo reports that the state machine has applied the entries, or restored
+// the snapshot, up to index.
 func (n *Node) AppliedTo(index uint64) {
 	index = min(index, n.log.delivered)
 	if index <= n.log.applied {
--- a/quorum/repair_test.go
+++ b/quorum/repair_test.go
@@ -9,10 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/quorum"
 )
 
-// Symptom: a committed entry is gone after a repair and one more failure.
-// Sequence: an entry is on a and c only; c's disk is replaced and c comes back
-// empty; then a is lost, and b stands for election.
-// Cause: c votes for b although c no longer holds what it acknowledged.
+// A replica with a wiped disk must not vote: it no longer holds the entries
+// that it acknowledged. The entries are on a and c only; c's disk is replaced
+// and a crashes, so that c's vote could elect b and lose them.
 func TestReplicaWithWipedDiskDoesNotVote(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	a, b, old := c.replicas[0], c.replicas[1], c.replicas[2]
@@ -26,7 +25,7 @@
 	for range 10 * quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.Nil(t, c.leader(), "%s leads with the vote of an empty disk", b.id)
+	require.Nil(t, c.leader(), "%s was elected by the vote of a replica with an empty log", b.id)
 	require.Zero(t, wiped.node.Status().Last)
 	c.restart(a)
 	l := c.elect()
@@ -35,8 +34,9 @@
 	require.Equal(t, l.state, wiped.state)
 }
 
-// Symptom, sequence and cause as above, but the identity file came back from a
-// backup without the log, so c answers to its old name.
+// A replica whose disk identity was restored from a backup without the log must
+// not vote. It has its old ID, but not the entries that it acknowledged, and
+// its vote could elect a candidate without them.
 func TestReplicaWithEmptyLogDoesNotVote(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	a, b, old := c.replicas[0], c.replicas[1], c.replicas[2]
@@ -50,14 +50,14 @@
 	for range 10 * quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.Nil(t, c.leader(), "%s leads with the vote of an empty disk", b.id)
+	require.Nil(t, c.leader(), "%s was elected by the vote of a replica with an empty log", b.id)
 }
 
 // replaceReplica replaces a lost replica by a new one on the same instance.
 func (c *cluster) replaceReplica(l, old, replacement *replica) {
 	c.changeMembership(l, quorum.Change{Kind: quorum.AddLearner, ID: replacement.id})
 	_, err := l.node.ProposeMembership(quorum.Change{Kind: quorum.Promote, ID: replacement.id})
-	require.Error(c.t, err, "two voters on one instance")
+	require.Error(c.t, err, "two voters on one instance were accepted")
 	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: old.id})
 	c.tick()
 	c.tick()
@@ -66,11 +66,9 @@
 	c.tick()
 }
 
-// Symptom: committed state is gone when a second instance is lost right after
-// the repair of the first.
-// Sequence: c's disk is lost; c returns as a new replica and is repaired from
-// a snapshot; at once the leader's disk is lost as well.
-// Cause: the new replica was made a voter before it held the log.
+// Committed state must survive the loss of a second replica right after the
+// first was replaced and repaired from a snapshot. It would be lost if the new
+// replica became a voter before it holds the log.
 func TestSecondReplicaLossAfterRepair(t *testing.T) {
 	for _, lost := range []int{0, 1} {
 		c := newCluster(t, 3, 8)
@@ -89,10 +87,9 @@
 	}
 }
 
-// Symptom: a promotion takes away the quorum, or lets entries be committed by
-// a voter that lacks the earlier ones.
-// Sequence: a learner that was cut off is promoted.
-// Cause: the leader did not ask how far the learner is.
+// A learner that is partitioned and behind must not be promoted. As a voter it
+// could cost the group its quorum, or count towards commits without holding the
+// earlier entries.
 func TestPromotionRequiresCaughtUpLearner(t *testing.T) {
 	c := newCluster(t, 3, 9)
 	l := c.elect()
@@ -110,11 +107,10 @@
 	require.Equal(t, l.state, learner.state)
 }
 
-// Symptom: two leaders commit in disjoint majorities.
-// Sequence: a leader removes one replica, is cut off before that is committed,
-// and the others remove another one.
-// Cause: two uncommitted changes at once, or a change by a leader that has not
-// committed in its term.
+// Two leaders must not commit in disjoint majorities. A leader removes one
+// replica and is partitioned before that is committed, while the others remove
+// another one; two uncommitted changes, or a change before a commit in the
+// leader's term, would allow it.
 func TestMembershipChangeUnderPartition(t *testing.T) {
 	c := newCluster(t, 4, 10)
 	a := c.replicas[0]
@@ -137,7 +133,7 @@
 	for range quorum.DefaultElectionTicks {
 		c.tick()
 	}
-	require.Len(t, a.node.Status().Membership.GetMembers(), 4, "the overwritten change is still in force")
+	require.Len(t, a.node.Status().Membership.GetMembers(), 4, "overwritten membership change still in force")
 	c.isolate(a.id)
 	c.changeMembership(l, quorum.Change{Kind: quorum.Remove, ID: a.id})
 	c.propose(l, 3)
@@ -147,15 +143,13 @@
 	}
 	require.NotContains(t, l.state, "minority")
 	require.Len(t, l.node.Status().Membership.GetMembers(), 3)
-	// The removed replica goes on asking for votes; nobody listens.
+	// The removed replica keeps requesting votes, and the others ignore it.
 	require.Equal(t, l, c.leader())
 }
 
-// Symptom: a change of membership is proposed by a leader that does not know of
-// its predecessor's change; their majorities need not meet.
-// Sequence: a new leader, whose first entry is not committed, is asked for a
-// change.
-// Cause: the rule of Ongaro's correction of 2015 is missing.
+// A new leader must refuse a membership change until its first entry is
+// committed (Ongaro's correction of 2015). It may not know its predecessor's
+// change, and the majorities of the two changes may be disjoint.
 func TestNoMembershipChangeBeforeCommitInCurrentTerm(t *testing.T) {
 	c := newCluster(t, 4, 11)
 	a := c.replicas[0]
@@ -175,11 +169,9 @@
 	require.ErrorIs(t, err, quorum.ErrMembershipPending)
 }
 
-// Symptom: a replica that restarts after hundreds of changes never catches up,
-// or with wrong state.
-// Sequence: a follower is down while the leader commits and compacts its log;
-// the follower restarts, and again while the snapshot arrives.
-// Cause: the entries it needs are gone from the leader's log.
+// A restarted follower must catch up by snapshot if the leader's log is
+// compacted beyond the entries it needs, even if it restarts again while it
+// receives the snapshot.
 func TestCatchUpBySnapshot(t *testing.T) {
 	c := newCluster(t, 3, 12)
 	l := c.elect()
@@ -196,7 +188,7 @@
 			c.finishWrite(behind, *behind.pendingWrite)
 		}
 	}
-	// Power is lost before the snapshot is on disk.
+	// The replica crashes before the snapshot is durable.
 	behind.slowDisk = false
 	c.restart(behind)
 	for range 5 * quorum.DefaultElectionTicks {
@@ -208,9 +200,9 @@
 	require.Equal(t, l.state, behind.state)
 }
 
-// Symptom: a group stands still after an operator removed the wrong replica.
-// Sequence: one of three is down; another one is removed.
-// Cause: the two that are left need each other, and one of them is down.
+// Removing an active replica while another one is down must be refused: the
+// remaining two would need each other for a quorum, and one of them is down.
+// Removing the crashed replica is allowed.
 func TestRemovalRequiresActiveQuorum(t *testing.T) {
 	c := newCluster(t, 3, 18)
 	l := c.elect()
@@ -226,9 +218,8 @@
 	c.propose(l, 1)
 }
 
-// Symptom: a replica that was removed goes on leading.
-// Sequence: the leader is removed from the group.
-// Cause: it does not step down once its removal is committed.
+// A leader that is removed from the group must step down once its removal is
+// committed, so that another replica can lead.
 func TestRemovedLeaderStepsDown(t *testing.T) {
 	c := newCluster(t, 3, 19)
 	l := c.elect()
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -2,8 +2,8 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// replicate sends to every peer what it lacks. Ready calls it, so that all
-// proposals since the last batch leave together.
+// replicate sends the missing entries to every peer. Ready calls it, so that
+// all proposals since the last batch are sent together.
 func (n *Node) replicate() {
 	for _, p := range n.peers {
 		n.replicateTo(p)
@@ -50,8 +50,8 @@
 	}
 }
 
-// sendSnapshot starts a snapshot towards a peer that needs entries which the
-// log no longer holds.
+// sendSnapshot starts a snapshot transfer to an active peer that needs entries
+// which the log no longer holds.
 func (n *Node) sendSnapshot(p *peer) {
 	if p.state == peerSnapshot || !n.isActive(p) {
 		return
@@ -68,8 +68,8 @@
 	})
 }
 
-// SnapshotFailed reports that the snapshot for id could not be handed to the
-// transport; the leader tries again after a heartbeat's answer.
+// SnapshotFailed reports that the snapshot for id could not be passed to the
+// transport. The leader retries after the next heartbeat reply.
 func (n *Node) SnapshotFailed(id ID) {
 	if p := n.peer(id); p != nil && p.state == peerSnapshot {
 		p.startProbing()
@@ -77,8 +77,8 @@
 	}
 }
 
-// SnapshotProgress reports that a part of the snapshot for id was
-// acknowledged, which puts off the next attempt.
+// SnapshotProgress reports that id acknowledged a part of the snapshot. It
+// postpones the retry of the transfer.
 func (n *Node) SnapshotProgress(id ID) {
 	if p := n.peer(id); p != nil && p.state == peerSnapshot {
 		p.progressTick = n.tickCount
@@ -92,7 +92,7 @@
 		n.sendEarly(&quorumpb.Message{
 			Type: quorumpb.MessageType_MESSAGE_TYPE_HEARTBEAT,
 			To:   string(p.id),
-			// Not past match: beyond it the peer's log may differ.
+			// Limited to match: the peer's log may differ after it.
 			Commit:    min(p.match, n.log.commit),
 			ReadRound: n.reads.round,
 		})
@@ -110,7 +110,8 @@
 		return
 	}
 	if m.GetIndex() > n.log.last() {
-		// Nobody can hold what this leader has not sent in this term.
+		// The peer cannot hold entries that this leader has not sent in this
+		// term.
 		return
 	}
 	p.recordAcknowledged(m.GetIndex(), n.tickCount)
@@ -120,7 +121,8 @@
 	}
 }
 
-// handleRejection goes back to where the logs may agree (thesis 3.5).
+// handleRejection moves next back to a position where the logs may match
+// (thesis 3.5).
 func (n *Node) handleRejection(p *peer, m *quorumpb.Message) {
 	stale := m.GetIndex() <= p.match ||
 		p.state == peerSnapshot ||
@@ -144,9 +146,10 @@
 	n.resendIfOverdue(p)
 }
 
-// resendIfOverdue repeats what must have been lost: the peer answers heartbeats but has
-// acknowledged nothing for a while. Without it one lost message would stop
-// replication to a peer until the next election.
+// resendIfOverdue resends messages that were probably lost: the peer replies to
+// heartbeats but has acknowledged nothing for half an election timeout, or a
+// snapshot for snapshotRetryTimeouts. Otherwise one lost message would stop
+// replication to the peer until the next election.
 func (n *Node) resendIfOverdue(p *peer) {
 	overdue := n.tickCount-p.progressTick >= uint64(n.cfg.ElectionTicks)/2
 	switch p.state {
@@ -163,6 +166,6 @@
 	}
 }
 
-// snapshotRetryTimeouts is how many election timeouts a snapshot may go
-// without progress before it is sent again.
+// snapshotRetryTimeouts is the number of election timeouts without progress
+// after which a snapshot is sent again.
 const snapshotRetryTimeouts = 2
--- a/quorum/sim_test.go
+++ b/quorum/sim_test.go
@@ -12,17 +12,19 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
-// disk is what a crash leaves.
+// disk is the durable state that remains after a crash.
 type disk struct {
 	hard     *quorumpb.HardState
 	snapshot *quorumpb.SnapshotMeta
-	// state machine at the snapshot.
+	// state of the state machine at the snapshot.
 	state   []string
 	entries []*quorumpb.Entry
-	// lost is set for a disk that was replaced.
+	// lost is true for a disk that was replaced.
 	lost bool
 }
 
+// write makes the persistent part of b durable; state is the state of the state
+// machine at b's snapshot.
 func (d *disk) write(b quorum.Batch, state []string) {
 	if b.Snapshot != nil {
 		d.snapshot, d.entries, d.state = b.Snapshot.GetMeta(), nil, state
@@ -38,42 +40,43 @@
 	d.entries = append(d.entries, b.Entries...)
 }
 
-// replica is a Node with its disk and its state machine, a list of payloads.
+// replica is a Node with its disk and its state machine, which is a list of
+// payloads.
 type replica struct {
 	id      quorum.ID
 	node    *quorum.Node
 	disk    disk
 	state   []string
 	applied uint64
-	// pendingWrite is the batch that the disk works on.
+	// pendingWrite is the batch that is being written to disk; nil if none.
 	pendingWrite *quorum.Batch
-	// slowDisk disks finish a batch only when finish is called.
+	// slowDisk is true if a write completes only when finishWrite is called.
 	slowDisk bool
 	reads    []quorum.ReadState
 	down     bool
 }
 
-// cluster runs replicas over a network of which the test decides everything.
+// cluster runs replicas over a simulated network that the test controls.
 type cluster struct {
 	t        require.TestingT
 	rng      *rand.Rand
 	cfg      quorum.Config
 	replicas []*replica
 	network  []*quorumpb.Message
-	// blocked tells whether messages between two replicas are lost.
+	// blocked reports whether messages between two replicas are lost.
 	blocked func(from, to quorum.ID) bool
-	// committed is what any state machine has applied, by index; it must
-	// never change.
+	// committed holds the entries that any state machine has applied, by index.
+	// They must never change.
 	committed map[uint64]*quorumpb.Entry
-	// states of the state machine by index, for snapshots.
+	// states holds the state of the state machine by index, for snapshots.
 	states map[uint64][]string
-	// leaders by term.
+	// leaders holds the leader of each term.
 	leaders map[uint64]quorum.ID
 }
 
 func replicaID(i int) quorum.ID { return quorum.MakeID(string(rune('a'+i)), "disk1") }
 
-// newCluster starts size voters.
+// newCluster starts a group of size voters.
 func newCluster(t require.TestingT, size int, seed uint64) *cluster {
 	c := &cluster{
 		t:         t,
@@ -98,7 +101,7 @@
 	return c
 }
 
-// addReplica starts a replica from what is on its disk.
+// addReplica starts a replica with the state of disk d.
 func (c *cluster) addReplica(id quorum.ID, d disk) *replica {
 	r := &replica{id: id, disk: d}
 	c.replicas = append(c.replicas, r)
@@ -117,7 +120,7 @@
 	r.applied = r.disk.snapshot.GetIndex()
 }
 
-// crash loses what is not on the disk.
+// crash stops the replica; it loses all state that is not durable.
 func (c *cluster) crash(r *replica) { r.down = true }
 
 func (c *cluster) restart(r *replica) {
@@ -125,7 +128,8 @@
 	c.start(r)
 }
 
-// runningOn finds the present replica of an instance, as a transport does.
+// runningOn returns the running replica on an instance, or nil if there is
+// none, as a transport that addresses instances would.
 func (c *cluster) runningOn(instance string) *replica {
 	for _, r := range c.replicas {
 		if r.id.Instance() == instance && !r.down {
@@ -135,7 +139,8 @@
 	return nil
 }
 
-// processReady does what the Node wants.
+// processReady handles all batches that r's Node returns. The write of a slow
+// disk stays pending.
 func (c *cluster) processReady(r *replica) {
 	for !r.down {
 		b, ok := r.node.Ready()
@@ -154,7 +159,7 @@
 	}
 }
 
-// finishWrite completes the write of a batch.
+// finishWrite makes the persistent part of b durable and sends its messages.
 func (c *cluster) finishWrite(r *replica, b quorum.Batch) {
 	if b.MustPersist() {
 		r.pendingWrite = nil
@@ -169,12 +174,13 @@
 	}
 }
 
-// applyCommitted checks that state machines agree: a committed entry never changes.
+// applyCommitted applies entries and checks that state machines agree: a
+// committed entry never changes.
 func (c *cluster) applyCommitted(r *replica, entries []*quorumpb.Entry) {
 	for _, e := range entries {
-		require.Equal(c.t, r.applied+1, e.GetIndex(), "%s skips an entry", r.id)
+		require.Equal(c.t, r.applied+1, e.GetIndex(), "%s skipped an entry", r.id)
 		if known := c.committed[e.GetIndex()]; known != nil {
-			require.True(c.t, proto.Equal(known, e), "%s applies %v where %v was committed", r.id, e, known)
+			require.True(c.t, proto.Equal(known, e), "%s applied %v but %v was committed", r.id, e, known)
 		}
 		c.committed[e.GetIndex()] = e
 		r.applied = e.GetIndex()
@@ -186,8 +192,8 @@
 	}
 }
 
-// checkLeader checks election safety and, for a new leader, that it holds
-// every committed entry.
+// checkLeader checks election safety and that a new leader has every committed
+// entry.
 func (c *cluster) checkLeader(r *replica) {
 	s := r.node.Status()
 	if s.Role != quorum.RoleLeader {
@@ -199,14 +205,15 @@
 	}
 	c.leaders[s.Term] = r.id
 	for index, e := range c.committed {
-		require.LessOrEqual(c.t, index, s.Last, "%s leads without entry %d", r.id, index)
+		require.LessOrEqual(c.t, index, s.Last, "leader %s lacks committed entry %d", r.id, index)
 		if meta, ok := r.node.SnapshotMeta(index); ok {
-			require.Equal(c.t, e.GetTerm(), meta.GetTerm(), "%s leads with another entry %d", r.id, index)
+			require.Equal(c.t, e.GetTerm(), meta.GetTerm(), "leader %s has a different entry %d", r.id, index)
 		}
 	}
 }
 
-// deliver hands the i-th message over and removes it.
+// deliver removes the i-th message from the network and delivers it unless its
+// path is blocked or its target is down.
 func (c *cluster) deliver(i int) {
 	m := c.network[i]
 	c.network = slices.Delete(c.network, i, i+1)
@@ -231,7 +238,7 @@
 	}
 }
 
-// tick lets one tick pass everywhere and settles.
+// tick advances all running replicas by one tick and delivers all messages.
 func (c *cluster) tick() {
 	for _, r := range c.replicas {
 		if !r.down {
@@ -241,7 +248,8 @@
 	c.deliverAll()
 }
 
-// leader returns the replica that leads the newest term; nil if none.
+// leader returns the running leader with the latest term, or nil if there is
+// none.
 func (c *cluster) leader() *replica {
 	var best *replica
 	for _, r := range c.replicas {
@@ -255,7 +263,9 @@
 	return best
 }
 
-// elect ticks until there is a leader that has committed in its term.
+// elect advances the cluster until a leader has committed and applied an entry
+// of its term, and returns that leader. It returns nil after 20 election
+// timeouts.
 func (c *cluster) elect() *replica {
 	for range 20 * quorum.DefaultElectionTicks {
 		if l := c.leader(); l != nil {
@@ -273,7 +283,7 @@
 	return nil
 }
 
-// makeLeader makes r the leader by cutting the clocks of the others.
+// makeLeader makes r the leader by ticking only r.
 func (c *cluster) makeLeader(r *replica) {
 	for range 4 * quorum.DefaultElectionTicks {
 		if r.node.Status().Role == quorum.RoleLeader {
@@ -285,7 +295,8 @@
 	require.Fail(c.t, "not elected", "%s", r.id)
 }
 
-// propose commits n payloads at the leader.
+// propose proposes n payloads to r, which must be the leader, and delivers all
+// messages after each.
 func (c *cluster) propose(r *replica, n int) {
 	for i := range n {
 		_, err := r.node.Propose(fmt.Appendf(nil, "%s-%d-%d", r.id, len(c.committed), i))
@@ -294,21 +305,24 @@
 	}
 }
 
+// changeMembership proposes a change to r, which must be the leader and accept
+// it, and delivers all messages.
 func (c *cluster) changeMembership(r *replica, change quorum.Change) {
 	_, err := r.node.ProposeMembership(change)
 	require.NoError(c.t, err)
 	c.deliverAll()
 }
 
-// isolate cuts the given replicas off from all others; they still reach each
-// other.
+// isolate partitions the given replicas from all others; they can still reach
+// each other.
 func (c *cluster) isolate(ids ...quorum.ID) {
 	c.blocked = func(from, to quorum.ID) bool { return slices.Contains(ids, from) != slices.Contains(ids, to) }
 }
 
 func (c *cluster) heal() { c.blocked = func(quorum.ID, quorum.ID) bool { return false } }
 
-// compact takes a snapshot of r's state machine and keeps few entries.
+// compact takes a snapshot of r's state machine and keeps the last keep entries
+// before it.
 func (c *cluster) compact(r *replica, keep int) {
 	meta, ok := r.node.SnapshotMeta(r.applied)
 	if !ok || meta.GetIndex() <= r.disk.snapshot.GetIndex() {
--- a/quorum/status.go
+++ b/quorum/status.go
@@ -1,9 +1,9 @@
 package quorum
 
-// Role is what a replica does in its term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
-// Roles of a replica. A learner is a RoleFollower that is no voter.
+// Roles of a replica. A learner has RoleFollower, but is not a voter.
 const (
 	RoleFollower Role = iota
 	RolePreCandidate
@@ -27,13 +27,14 @@
 	}
 }
 
-// Progress is what a leader knows of another replica.
+// Progress is the leader's view of the replication to another replica.
 type Progress struct {
 	ID ID
 	// Match is the highest index known to be on the replica's disk.
 	Match uint64
-	// Active is true if the replica was heard within an election timeout.
+	// Active is true if a message from the replica arrived within the last
+	// election timeout.
 	Active bool
-	// Snapshot is true while the replica needs a snapshot.
+	// Snapshot is true while a snapshot is being sent to the replica.
 	Snapshot bool
 }
