--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum"
 )
 
-// BenchmarkElection reports the ticks from the loss of a leader to the next
-// leader's first commit, without network delay.
+// BenchmarkElection reports the number of ticks from the crash of a leader
+// until another replica is the leader, without network delay.
 func BenchmarkElection(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(string(rune('0'+size)), func(b *testing.B) {
@@ -17,15 +17,15 @@
 				c := newCluster(b, size, uint64(i))
 				old := c.elect()
 				c.crash(old)
-				n := 0
+				elapsed := 0
 				for {
 					c.tick()
-					n++
+					elapsed++
 					if l := c.leader(); l != nil && l.node.Status().Role == quorum.RoleLeader {
 						break
 					}
 				}
-				ticks = append(ticks, n)
+				ticks = append(ticks, elapsed)
 			}
 			slices.Sort(ticks)
 			b.ReportMetric(float64(ticks[len(ticks)/2]), "ticks-p50")
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -2,11 +2,13 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// followLeader takes up that m's sender leads this term.
+// followLeader records m's sender as the leader of this term and resets the
+// election timer. It returns ErrMalformed if the term already has another
+// leader.
 func (n *Node) followLeader(m *quorumpb.Message) error {
 	from := ID(m.GetFrom())
 	if n.role == RoleLeader || n.leader != NoID && n.leader != from {
-		// Two leaders in one term: a voter voted twice.
+		// Two leaders in one term: a voter has voted twice.
 		return ErrMalformed
 	}
 	if n.role != RoleFollower {
@@ -17,34 +19,34 @@
 	return nil
 }
 
-// handleAppend takes entries up after the point where both logs agree (thesis
-// 3.5). The reply leaves when the entries are on disk.
+// handleAppend appends the entries after the position where both logs match
+// (thesis 3.5). The reply is sent after the entries are durable.
 func (n *Node) handleAppend(m *quorumpb.Message) error {
 	if err := n.followLeader(m); err != nil {
 		return err
 	}
 	if m.GetIndex() < n.log.commit {
-		n.acknowledge(m, n.log.commit)
+		n.acknowledgeAppend(m, n.log.commit)
 		return nil
 	}
 	if !n.log.matches(m.GetIndex(), m.GetIndexTerm()) {
-		n.reject(m)
+		n.rejectAppend(m)
 		return nil
 	}
-	if err := n.takeEntries(m.GetEntries()); err != nil {
+	if err := n.mergeEntries(m.GetEntries()); err != nil {
 		return err
 	}
 	last := m.GetIndex() + uint64(len(m.GetEntries()))
 	n.log.commit = max(n.log.commit, min(m.GetCommit(), last))
-	n.acknowledge(m, last)
+	n.acknowledgeAppend(m, last)
 	return nil
 }
 
-// takeEntries replaces the log's end from the first entry that differs. What
-// already matches stays: the message may be an old one, and the entries after
-// its last may be acknowledged.
-func (n *Node) takeEntries(entries []*quorumpb.Entry) error {
-	first := n.log.conflict(entries)
+// mergeEntries replaces the end of the log, starting at the first entry that
+// differs. Matching entries stay: the message may be delayed, and entries after
+// its last one may already be acknowledged.
+func (n *Node) mergeEntries(entries []*quorumpb.Entry) error {
+	first := n.log.firstConflict(entries)
 	if first == 0 {
 		return nil
 	}
@@ -55,15 +57,15 @@
 		n.log.truncate(first)
 		n.history.truncate(first)
 	}
-	fresh := entries[first-entries[0].GetIndex():]
-	if err := n.history.add(fresh); err != nil {
+	added := entries[first-entries[0].GetIndex():]
+	if err := n.history.addFromEntries(added); err != nil {
 		return ErrMalformed
 	}
-	n.log.append(fresh...)
+	n.log.append(added...)
 	return nil
 }
 
-func (n *Node) acknowledge(m *quorumpb.Message, index uint64) {
+func (n *Node) acknowledgeAppend(m *quorumpb.Message, index uint64) {
 	n.sendAfterPersist(&quorumpb.Message{
 		Type:  quorumpb.MessageType_MESSAGE_TYPE_APPEND_REPLY,
 		To:    m.GetFrom(),
@@ -71,8 +73,8 @@
 	})
 }
 
-func (n *Node) reject(m *quorumpb.Message) {
-	index, term := n.log.hint(m.GetIndex(), m.GetIndexTerm())
+func (n *Node) rejectAppend(m *quorumpb.Message) {
+	index, term := n.log.conflictHint(m.GetIndex(), m.GetIndexTerm())
 	n.sendAfterPersist(&quorumpb.Message{
 		Type:      quorumpb.MessageType_MESSAGE_TYPE_APPEND_REPLY,
 		To:        m.GetFrom(),
@@ -88,7 +90,8 @@
 		return err
 	}
 	if m.GetCommit() > n.log.last() {
-		// The leader only sends what this replica acknowledged in this term.
+		// A leader sends only a commit index that this replica has acknowledged
+		// in this term.
 		return ErrLostLog
 	}
 	n.log.commit = max(n.log.commit, m.GetCommit())
@@ -96,22 +99,24 @@
 	return nil
 }
 
-// sendHeartbeatReply answers at once where that promises nothing new, so that
-// a slow disk does not look like a cut link.
+// sendHeartbeatReply replies without waiting for the disk if the current term
+// is already durable. Otherwise a slow disk would look like a network partition
+// to the leader.
 func (n *Node) sendHeartbeatReply(m *quorumpb.Message) {
 	reply := &quorumpb.Message{
 		Type:      quorumpb.MessageType_MESSAGE_TYPE_HEARTBEAT_REPLY,
 		To:        m.GetFrom(),
 		ReadRound: m.GetReadRound(),
 	}
-	if n.written.term == n.term {
+	if n.persistedHardState.term == n.term {
 		n.sendEarly(reply)
 		return
 	}
 	n.sendAfterPersist(reply)
 }
 
-// handleSnapshot replaces the log by a snapshot that goes beyond it (thesis 5).
+// handleSnapshot replaces the log with a snapshot that is ahead of it (thesis
+// 5).
 func (n *Node) handleSnapshot(m *quorumpb.Message) error {
 	if err := n.followLeader(m); err != nil {
 		return err
@@ -119,22 +124,22 @@
 	meta := m.GetSnapshot().GetMeta()
 	switch {
 	case meta.GetIndex() <= n.log.commit:
-		n.acknowledge(m, n.log.commit)
+		n.acknowledgeAppend(m, n.log.commit)
 		return nil
 	case n.log.matches(meta.GetIndex(), meta.GetTerm()):
 		n.log.commit = meta.GetIndex()
-		n.acknowledge(m, meta.GetIndex())
+		n.acknowledgeAppend(m, meta.GetIndex())
 		return nil
 	}
 	n.log.reset(meta)
-	n.history = history{{index: meta.GetIndex(), membership: meta.GetMembership()}}
+	n.history = membershipHistory{{index: meta.GetIndex(), membership: meta.GetMembership()}}
 	n.snapshot = m.GetSnapshot()
-	n.acknowledge(m, meta.GetIndex())
+	n.acknowledgeAppend(m, meta.GetIndex())
 	return nil
 }
 
-// handleTimeoutNow starts an election at once on the leader's wish (thesis
-// 3.10).
+// handleTimeoutNow starts an election immediately at the leader's request
+// (thesis 3.10).
 func (n *Node) handleTimeoutNow(m *quorumpb.Message) {
 	if n.role != RoleFollower || n.leader != ID(m.GetFrom()) || !n.mayCampaign() {
 		return
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -22,34 +22,35 @@
 	Remove
 )
 
-// Change is a change of one replica.
+// Change is a membership change of one replica.
 type Change struct {
 	Kind ChangeKind
 	ID   ID
-	// Address is kept for the transport; only for AddLearner.
+	// Address is stored in the membership for the transport; used only by
+	// AddLearner.
 	Address string
 }
 
-// configuration is a membership and the entry that it came with.
+// configuration is a membership and the index of the entry that holds it.
 type configuration struct {
 	index      uint64
 	membership *quorumpb.Membership
 }
 
-// history holds the memberships of the log, oldest first. The newest is in
-// force, committed or not (thesis 4.1). The others are kept for a truncation,
-// and for the snapshots taken at their time.
-type history []configuration
+// membershipHistory holds the memberships of the log, oldest first. The newest
+// is in force even if it is not committed (thesis 4.1). The earlier ones are
+// needed when the log is truncated and for snapshots at an earlier index.
+type membershipHistory []configuration
 
-func (h history) current() configuration {
+func (h membershipHistory) current() configuration {
 	if len(h) == 0 {
 		return configuration{}
 	}
 	return h[len(h)-1]
 }
 
-// at returns the membership in force at index.
-func (h history) at(index uint64) *quorumpb.Membership {
+// at returns the membership in force at index, or nil if none is known.
+func (h membershipHistory) at(index uint64) *quorumpb.Membership {
 	var found *quorumpb.Membership
 	for _, c := range h {
 		if c.index <= index {
@@ -59,41 +60,43 @@
 	return found
 }
 
-// add takes up the membership entries among entries.
-func (h *history) add(entries []*quorumpb.Entry) error {
+// addFromEntries adds the memberships that entries contain. It fails if one
+// cannot be decoded.
+func (h *membershipHistory) addFromEntries(entries []*quorumpb.Entry) error {
 	for _, e := range entries {
 		if e.GetType() != quorumpb.EntryType_ENTRY_TYPE_MEMBERSHIP {
 			continue
 		}
 		m := &quorumpb.Membership{}
 		if err := proto.Unmarshal(e.GetData(), m); err != nil {
-			return errors.Wrapf(err, "quorum: membership of entry %d", e.GetIndex())
+			return errors.Wrapf(err, "quorum: decode membership in entry %d", e.GetIndex())
 		}
 		*h = append(*h, configuration{index: e.GetIndex(), membership: m})
 	}
 	return nil
 }
 
-// truncate drops the memberships of entries from index on.
-func (h *history) truncate(index uint64) {
+// truncate removes the memberships of entries at or after index.
+func (h *membershipHistory) truncate(index uint64) {
 	for len(*h) > 0 && h.current().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
-// compact drops the memberships that were replaced at or before index.
-func (h *history) compact(index uint64) {
+// compact removes the memberships that were replaced at or before index.
+func (h *membershipHistory) compact(index uint64) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
 	}
 }
 
-// lists tells whether a kept membership names the replica.
-func (h history) lists(id ID) bool {
-	return slices.ContainsFunc(h, func(c configuration) bool { return find(c.membership, id) != nil })
+// contains reports whether any retained membership lists the replica.
+func (h membershipHistory) contains(id ID) bool {
+	return slices.ContainsFunc(h, func(c configuration) bool { return findMember(c.membership, id) != nil })
 }
 
-func find(m *quorumpb.Membership, id ID) *quorumpb.Member {
+// findMember returns the member with the given ID, or nil if there is none.
+func findMember(m *quorumpb.Membership, id ID) *quorumpb.Member {
 	for _, member := range m.GetMembers() {
 		if member.GetId() == string(id) {
 			return member
@@ -103,7 +106,7 @@
 }
 
 func isVoter(m *quorumpb.Membership, id ID) bool {
-	return find(m, id).GetRole() == quorumpb.Role_ROLE_VOTER
+	return findMember(m, id).GetRole() == quorumpb.Role_ROLE_VOTER
 }
 
 // voters returns the IDs of the voters, sorted.
@@ -117,7 +120,7 @@
 	return ids
 }
 
-// hasQuorum tells whether more than half of the voters satisfy ok.
+// hasQuorum reports whether more than half of the voters satisfy ok.
 func hasQuorum(m *quorumpb.Membership, ok func(ID) bool) bool {
 	ids := voters(m)
 	count := 0
@@ -129,10 +132,11 @@
 	return count > len(ids)/2
 }
 
-// change returns the membership after c; detail says why c does not fit.
-func change(m *quorumpb.Membership, c Change) (next *quorumpb.Membership, detail string) {
+// applyChange returns the membership after c. If c is not valid, next is nil
+// and detail says why.
+func applyChange(m *quorumpb.Membership, c Change) (next *quorumpb.Membership, detail string) {
 	next = proto.Clone(m).(*quorumpb.Membership)
-	member := find(next, c.ID)
+	member := findMember(next, c.ID)
 	switch c.Kind {
 	case AddLearner:
 		if member != nil {
@@ -147,7 +151,7 @@
 		if member == nil || member.GetRole() == quorumpb.Role_ROLE_VOTER {
 			return nil, "not a learner"
 		}
-		if other := otherVoter(next, c.ID); other != NoID {
+		if other := otherVoterOnInstance(next, c.ID); other != NoID {
 			return nil, "remove the instance's earlier replica first: " + string(other)
 		}
 		member.Role = quorumpb.Role_ROLE_VOTER
@@ -165,9 +169,10 @@
 	return next, ""
 }
 
-// otherVoter returns the voter on the same instance as id. With both as voters
-// the loss of one instance would take two votes.
-func otherVoter(m *quorumpb.Membership, id ID) ID {
+// otherVoterOnInstance returns the voter other than id on id's instance, or
+// NoID if there is none. If both were voters, the loss of one instance would
+// remove two votes.
+func otherVoterOnInstance(m *quorumpb.Membership, id ID) ID {
 	for _, v := range voters(m) {
 		if v != id && v.Instance() == id.Instance() {
 			return v
@@ -180,24 +185,24 @@
 	slices.SortFunc(m.Members, func(a, b *quorumpb.Member) int { return strings.Compare(a.GetId(), b.GetId()) })
 }
 
-// FirstEntry returns the entry that starts a group with the given voters. All
-// of them must begin with the same entry. It fails where a voter is not listed
-// or listed twice.
+// FirstEntry returns the log entry that bootstraps a group with the given
+// members. All voters must start with the same entry. It fails if the group has
+// no name or no voter, or if a member is listed twice.
 func FirstEntry(group string, members []*quorumpb.Member) (*quorumpb.Entry, error) {
 	m := &quorumpb.Membership{Group: group}
 	for _, member := range members {
-		if find(m, ID(member.GetId())) != nil {
-			return nil, errors.Errorf("quorum: %s is listed twice", member.GetId())
+		if findMember(m, ID(member.GetId())) != nil {
+			return nil, errors.Errorf("quorum: member %s is listed twice", member.GetId())
 		}
 		m.Members = append(m.Members, proto.Clone(member).(*quorumpb.Member))
 	}
 	if group == "" || len(voters(m)) == 0 {
-		return nil, errors.New("quorum: a group needs an identity and a voter")
+		return nil, errors.New("quorum: a group requires a name and at least one voter")
 	}
 	sortMembers(m)
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, errors.Wrap(err, "quorum: membership")
+		return nil, errors.Wrap(err, "quorum: encode membership")
 	}
 	return &quorumpb.Entry{
 		Index: 1,
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -2,92 +2,96 @@
 
 import "github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 
-// peerState says how a leader sends to a peer.
+// peerState is the mode in which a leader sends to a peer.
 type peerState uint8
 
 const (
-	// peerProbe sends one message at a time until the peer's log is known to
-	// match.
+	// peerProbe sends one message at a time until a position is known at which
+	// the peer's log matches.
 	peerProbe peerState = iota
-	// peerReplicate sends ahead of the acknowledgements, up to the bounds.
+	// peerReplicate sends without waiting for acknowledgements, within
+	// Config.MaxInflight and Config.MaxInflightBytes.
 	peerReplicate
-	// peerSnapshot sends nothing until the peer reports the snapshot.
+	// peerSnapshot sends no entries until the peer has acknowledged the
+	// snapshot or the transfer is retried.
 	peerSnapshot
 )
 
-// inflight is a sent message that is not acknowledged.
+// inflight is a sent message with entries that is not acknowledged yet.
 type inflight struct {
 	last  uint64
 	bytes int
 }
 
-// peer is what a leader knows of another replica.
+// peer is a leader's state for another replica.
 type peer struct {
 	id    ID
 	state peerState
-	// match is the highest index known to be on the peer's disk, next the
-	// first one to send.
+	// match is the highest index known to be on the peer's disk, next is the
+	// index of the next entry to send.
 	match, next uint64
-	// heard is the tick of the peer's latest message.
-	heard uint64
-	// waiting is set between a probe and its answer.
-	waiting bool
-	// sentAt is the tick at which the oldest unacknowledged send, or the
-	// snapshot, left.
-	sentAt        uint64
-	sent          []inflight
-	sentBytes     int
-	sentCommit    uint64
-	snapshotIndex uint64
-	// readRound is the newest read round that the peer answered.
+	// lastHeardTick is the tick of the last message from the peer.
+	lastHeardTick uint64
+	// probePending is true between sending a probe and its reply.
+	probePending bool
+	// progressTick is the tick of the last acknowledgement or, if later, of the
+	// send that started the unacknowledged messages or the snapshot.
+	progressTick        uint64
+	unacknowledged      []inflight
+	unacknowledgedBytes int
+	sentCommit          uint64
+	snapshotIndex       uint64
+	// readRound is the newest read round that the peer has confirmed.
 	readRound uint64
 }
 
-// probe goes back to the last known match.
-func (p *peer) probe() {
+// startProbing sends again from the last known match, one message at a time.
+func (p *peer) startProbing() {
 	p.state = peerProbe
 	p.next = p.match + 1
-	p.waiting = false
-	p.clearSent()
+	p.probePending = false
+	p.clearUnacknowledged()
 }
 
-func (p *peer) clearSent() {
-	p.sent = nil
-	p.sentBytes = 0
+func (p *peer) clearUnacknowledged() {
+	p.unacknowledged = nil
+	p.unacknowledgedBytes = 0
 }
 
-// acknowledge takes up that the peer holds the log up to index.
-func (p *peer) acknowledge(index, now uint64) {
+// recordAcknowledged records that the peer has the log up to index on disk.
+func (p *peer) recordAcknowledged(index, now uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
-	for len(p.sent) > 0 && p.sent[0].last <= index {
-		p.sentBytes -= p.sent[0].bytes
-		p.sent = p.sent[1:]
+	for len(p.unacknowledged) > 0 && p.unacknowledged[0].last <= index {
+		p.unacknowledgedBytes -= p.unacknowledged[0].bytes
+		p.unacknowledged = p.unacknowledged[1:]
 	}
-	p.sentAt = now
-	p.waiting = false
+	p.progressTick = now
+	p.probePending = false
 	if p.state == peerProbe || p.state == peerSnapshot && p.match >= p.snapshotIndex {
 		p.state = peerReplicate
 		p.next = p.match + 1
-		p.clearSent()
+		p.clearUnacknowledged()
 	}
 }
 
-// track records a message with entries that was just sent.
-func (p *peer) track(entries []*quorumpb.Entry, now uint64) {
-	if len(p.sent) == 0 {
-		p.sentAt = now
+// recordSent records a message with entries that was just sent.
+func (p *peer) recordSent(entries []*quorumpb.Entry, now uint64) {
+	if len(p.unacknowledged) == 0 {
+		p.progressTick = now
 	}
 	size := 0
 	for _, e := range entries {
 		size += len(e.GetData())
 	}
 	last := entries[len(entries)-1].GetIndex()
-	p.sent = append(p.sent, inflight{last: last, bytes: size})
-	p.sentBytes += size
+	p.unacknowledged = append(p.unacknowledged, inflight{last: last, bytes: size})
+	p.unacknowledgedBytes += size
 	p.next = last + 1
 }
 
-func (p *peer) full(c *Config) bool {
-	return len(p.sent) >= c.MaxInflight || p.sentBytes >= c.MaxInflightBytes
+// inflightFull reports whether the limits of unacknowledged messages to p are
+// reached.
+func (p *peer) inflightFull(c *Config) bool {
+	return len(p.unacknowledged) >= c.MaxInflight || p.unacknowledgedBytes >= c.MaxInflightBytes
 }
