--- a/agent/follow.go
+++ b/agent/follow.go
@@ -46,17 +46,17 @@
 	}
 }
 
-// Unattended selects the model servers that no agent of the directory lists, once that has been so for some time. Only one
+// WithoutAgent selects the model servers that no agent of the directory lists, once that has been so for some time. Only one
 // goroutine may call what it returns.
 //
 // A deployment may have model servers with no agent's machine beside them, or lose agents for good. Their servers announce
 // themselves, so they are there, and would get no request at all. One would notice by refusals with "no server" while
 // servers are idle. The wait is for agents that have just started and haven't told of their servers yet.
-func Unattended(wait time.Duration) func(*session.View) []*wire.Announcement {
+func WithoutAgent(wait time.Duration) func(*session.View) []*wire.Announcement {
 	alone := make(map[string]time.Time) // since when each run has had no agent
 	models := OfKind(engine.KindModel)
 	return func(view *session.View) []*wire.Announcement {
-		now, attended := time.Now(), Attended(view)
+		now, attended := time.Now(), ListedByAgents(view)
 		before := alone
 		alone = make(map[string]time.Time)
 		var found []*wire.Announcement
@@ -78,8 +78,8 @@
 	}
 }
 
-// Attended are the runs of servers that agents of the directory list.
-func Attended(view *session.View) map[string]bool {
+// ListedByAgents are the runs of servers that agents of the directory list.
+func ListedByAgents(view *session.View) map[string]bool {
 	attended := make(map[string]bool)
 	for _, agent := range view.Agents {
 		for _, server := range agent.GetServers() {
@@ -89,8 +89,8 @@
 	return attended
 }
 
-// Either selects what any of the selections does.
-func Either(selections ...func(*session.View) []*wire.Announcement) func(*session.View) []*wire.Announcement {
+// AnyOf selects what any of the selections does.
+func AnyOf(selections ...func(*session.View) []*wire.Announcement) func(*session.View) []*wire.Announcement {
 	return func(view *session.View) []*wire.Announcement {
 		var found []*wire.Announcement
 		for _, selects := range selections {
--- a/agent/follow_test.go
+++ b/agent/follow_test.go
@@ -57,7 +57,7 @@
 // where no agent runs, or an agent is gone for good. Cause: only an agent beside it took a model server.
 func TestServersWithoutAnAgentAreSelected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		selects := Either(OfKind(engine.KindService), Unattended(time.Second))
+		selects := AnyOf(OfKind(engine.KindService), WithoutAgent(time.Second))
 		view := followView(1, announced("m1", "models", followedAddress), announced("m2", "models", "10.0.0.9:1"),
 			announced("d1", "desk", "10.0.0.8:1"))
 		view.Agents = map[string]*wire.AgentRecord{"agent-1": {Servers: []*wire.ServerRecord{{Server: announced("m1", "", "").Run().String()}}}}
--- a/entry/local_agent.go
+++ b/entry/local_agent.go
@@ -95,7 +95,7 @@
 		Log:       e.log,
 		NewEngine: e.options.NewEngine,
 		Control:   localControl{l},
-		Select: agent.Either(
+		Select: agent.AnyOf(
 			agent.OfKind(engine.KindService),
 			newUnattended(e.settings.Instance, e.settings.AvailabilityZone, localAttendWait).choose,
 		),
@@ -117,7 +117,7 @@
 
 // record is the agent as the directory would have it. A server that an agent of the directory lists is that agent's.
 func (l *localAgent) record(view *session.View) *wire.AgentRecord {
-	attended := agent.Attended(view)
+	attended := agent.ListedByAgents(view)
 	return &wire.AgentRecord{
 		Agent:            l.name,
 		AvailabilityZone: l.entry.settings.AvailabilityZone,
--- a/entry/unattended.go
+++ b/entry/unattended.go
@@ -32,7 +32,7 @@
 }
 
 func newUnattended(entry, zone string, wait time.Duration) *unattended {
-	return &unattended{entry: entry, zone: zone, all: agent.Unattended(wait)}
+	return &unattended{entry: entry, zone: zone, all: agent.WithoutAgent(wait)}
 }
 
 // choose returns the servers that this entry takes. Only one goroutine may call it.
