--- a/agent/duties.go
+++ b/agent/actors.go
@@ -17,8 +17,8 @@
 	base, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer a.tasks.Wait()
 	defer end()
-	a.base = base
-	a.end = end
+	a.baseContext = base
+	a.cancelBase = end
 	a.log.WithField("instance", a.settings.Instance).
 		WithField("incarnation", a.incarnation).
 		WithField("http", a.HTTPAddr()).
@@ -26,28 +26,28 @@
 		Info("agent_started")
 
 	var group run.Group
-	a.addDuty(&group, base, a.releaseDuty)
-	a.addDuty(&group, base, a.controlDuty)
-	a.addDuty(&group, base, a.viewDuty)
-	if a.follow.selects != nil {
-		a.addDuty(&group, base, a.followDuty)
+	a.addActor(&group, base, a.recoveryLoop)
+	a.addActor(&group, base, a.runSession)
+	a.addActor(&group, base, a.viewLoop)
+	if a.follow.selectServers != nil {
+		a.addActor(&group, base, a.followLoop)
 	}
-	a.addDuty(&group, base, a.directoryDuty)
-	a.addDuty(&group, base, a.orderDuty)
-	a.addDuty(&group, base, a.reports.Run)
-	a.addDuty(&group, base, a.linkDuty)
-	a.addDuty(&group, base, func(ctx context.Context) error { return a.httpDuty(ctx, a.httpListener) })
-	a.addDuty(&group, base, func(own context.Context) error { return a.stopDuty(ctx, own) })
+	a.addActor(&group, base, a.directoryLoop)
+	a.addActor(&group, base, a.orderLoop)
+	a.addActor(&group, base, a.reports.Run)
+	a.addActor(&group, base, a.serveLinks)
+	a.addActor(&group, base, func(ctx context.Context) error { return a.serveHTTP(ctx, a.httpListener) })
+	a.addActor(&group, base, func(own context.Context) error { return a.shutdown(ctx, own) })
 	err := group.Run()
 	a.log.WithField("result", errorText(err)).Info("agent_stopped")
 	return err
 }
 
-// addDuty adds a duty that ends with ctx or when another duty has returned.
-func (a *Agent) addDuty(group *run.Group, ctx context.Context, duty func(context.Context) error) {
+// addActor adds a duty that ends with ctx or when another duty has returned.
+func (a *Agent) addActor(group *run.Group, ctx context.Context, actor func(context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group.Add(
-		func() error { return duty(ctx) },
+		func() error { return actor(ctx) },
 		func(error) { cancel() },
 	)
 }
@@ -59,32 +59,32 @@
 	return err.Error()
 }
 
-// linkDuty serves the links to entries. The hello names this incarnation, so it waits for the release.
-func (a *Agent) linkDuty(ctx context.Context) error {
-	if !a.awaitRelease(ctx) {
+// serveLinks serves the links to entries. The hello names this incarnation, so it waits for the release.
+func (a *Agent) serveLinks(ctx context.Context) error {
+	if !a.awaitRecovery(ctx) {
 		return a.linkListener.Close()
 	}
-	if err := link.ServeAndTell(ctx, a.linkListener, a.linkTLS, a.links.Register, a.peerRefused); err != nil {
+	if err := link.ServeAndTell(ctx, a.linkListener, a.linkTLS, a.links.Register, a.logRefusedPeer); err != nil {
 		return errors.Wrap(err, "agent: links")
 	}
 	return nil
 }
 
-// peerRefused notes a process without a certificate of the deployment.
-func (a *Agent) peerRefused(peer net.Addr, err error) {
+// logRefusedPeer notes a process without a certificate of the deployment.
+func (a *Agent) logRefusedPeer(peer net.Addr, err error) {
 	a.meter.add(metricPeersRefused, 1)
 	a.log.WithField("peer", peer.String()).WithError(err).Warn("link_peer_refused")
 }
 
 // spawn runs a task that ends with the agent. Once the agent has ended it runs none.
 func (a *Agent) spawn(task func(ctx context.Context)) {
-	if a.base.Err() != nil {
+	if a.baseContext.Err() != nil {
 		return
 	}
-	a.tasks.Go(func() { task(a.base) })
+	a.tasks.Go(func() { task(a.baseContext) })
 }
 
-// beginServer starts the gate duty of a server.
-func (a *Agent) beginServer(s *server) {
-	a.spawn(s.runUntilForgotten)
+// startServer starts the gate duty of a server.
+func (a *Agent) startServer(s *server) {
+	a.spawn(s.runUntilRemoved)
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -76,18 +76,18 @@
 	orders  *orders
 	reports *outbox.Outbox
 
-	// base ends when the agent is to let go of everything, after the drain. It is set by Run.
-	base  context.Context
-	end   context.CancelFunc
-	tasks sync.WaitGroup // goroutines that are no duties of the group
+	// baseContext ends when the agent is to let go of everything, after the drain. It is set by Run.
+	baseContext context.Context
+	cancelBase  context.CancelFunc
+	tasks       sync.WaitGroup // goroutines that are no duties of the group
 
-	confirmed      atomic.Bool   // a quorum has confirmed the directory
-	released       chan struct{} // closed when this incarnation may show itself
-	serversChanged chan struct{} // holds one note
-	viewChanged    chan struct{} // holds one note
+	directoryConfirmed atomic.Bool   // a quorum has confirmed the directory
+	recovered          chan struct{} // closed when this incarnation may show itself
+	serversChanged     chan struct{} // holds one note
+	viewChanged        chan struct{} // holds one note
 
 	senders   func(*session.View) int
-	follow    follow               // the follow duty's own
+	follow    followState          // the follow duty's own
 	directory []*wire.ServerRecord // what control was told last; the directory duty's own
 }
 
@@ -101,7 +101,7 @@
 		incarnation:    uint64(time.Now().UnixNano()),
 		started:        time.Now(),
 		meter:          newMeter(),
-		released:       make(chan struct{}),
+		recovered:      make(chan struct{}),
 		serversChanged: make(chan struct{}, 1),
 		viewChanged:    make(chan struct{}, 1),
 	}
@@ -109,7 +109,7 @@
 		a.network = network.TCP{}
 	}
 	if a.log == nil {
-		a.log = noLog()
+		a.log = discardLog()
 	}
 	newEngine := options.NewEngine
 	if newEngine == nil {
@@ -134,15 +134,15 @@
 	if a.senders = options.Senders; a.senders == nil {
 		a.senders = func(*session.View) int { return 1 }
 	}
-	a.follow = follow{selects: options.Select, ended: make(map[string]time.Time)}
+	a.follow = followState{selectServers: options.Select, endedAt: make(map[string]time.Time)}
 	if a.session = options.Control; a.session == nil {
 		a.session = options.newSession(a.sessionConfig(clientTLS, options.ServerAddress))
 	}
-	a.assemble(newEngine, options.MaxServers)
+	a.initComponents(newEngine, options.MaxServers)
 	return a, nil
 }
 
-func noLog() log.Interface {
+func discardLog() log.Interface {
 	silent := log.HandlerFunc(func(*log.Entry) error { return nil })
 	return &log.Logger{Handler: silent, Level: log.FatalLevel}
 }
@@ -183,10 +183,10 @@
 	a.session.AddControls(addresses)
 }
 
-// assemble makes the parts and joins them.
-func (a *Agent) assemble(newEngine func(*wire.ServerRecord) (engine.Client, error), most int) {
+// initComponents makes the parts and joins them.
+func (a *Agent) initComponents(newEngine func(*wire.ServerRecord) (engine.Client, error), serverLimit int) {
 	a.ready = &readiness{control: a.session.Ready}
-	a.links = a.entryServer()
+	a.links = a.newEntryServer()
 	a.reports = outbox.New(outbox.Options{
 		Log:       a.log,
 		Propose:   a.session.Propose,
@@ -194,21 +194,21 @@
 		OnRefused: a.meter.ringRefused,
 	})
 	a.servers = newServers(serverDeps{
-		log:       a.log,
-		meter:     a.meter,
-		timing:    a.settings.Timing,
-		ready:     a.ready,
-		links:     linkSender{a.links},
-		newEngine: newEngine,
-		newGate:   a.newGate,
-		spawn:     a.spawn,
-		changed:   a.serverChanged,
-		report:    a.reports.Put,
-		propose:   a.session.Propose,
-		advice:    func(server string) *wire.ServerAdvice { return a.session.View().Advice[server] },
-		runNames:  a.follow.selects != nil,
-		senders:   func() int { return a.senders(a.session.View()) },
-	}, a.beginServer, most)
+		log:                a.log,
+		meter:              a.meter,
+		timing:             a.settings.Timing,
+		ready:              a.ready,
+		links:              linkSender{a.links},
+		newEngine:          newEngine,
+		newGate:            a.newGate,
+		spawn:              a.spawn,
+		onChange:           a.signalServerChanged,
+		report:             a.reports.Put,
+		propose:            a.session.Propose,
+		advice:             func(server string) *wire.ServerAdvice { return a.session.View().Advice[server] },
+		uniqueNamePerStart: a.follow.selectServers != nil,
+		senderCount:        func() int { return a.senders(a.session.View()) },
+	}, a.startServer, serverLimit)
 	a.orders = newOrders(orderDeps{
 		log:     a.log,
 		meter:   a.meter,
@@ -220,7 +220,7 @@
 	})
 }
 
-func (a *Agent) newGate() admission {
+func (a *Agent) newGate() serverGate {
 	timing, limits := a.settings.Timing, a.settings.Limits
 	return gate.New(gate.Config{
 		OfferTimeout:      timing.Offer,
@@ -233,7 +233,7 @@
 		SlotsFloor:        limits.SlotsFloor,
 
 		Reporter:           a.settings.Instance,
-		UniqueNamePerStart: a.follow.selects != nil,
+		UniqueNamePerStart: a.follow.selectServers != nil,
 		UnlistedSettle:     timing.UnlistedSettle,
 		ProcessStarted:     a.started,
 		TrialAtStart:       true,
@@ -254,7 +254,7 @@
 		Role:        wire.Role_ROLE_AGENT,
 		Incarnation: a.incarnation,
 		Zone:        a.settings.AvailabilityZone,
-		LinkAddress: a.advertised(),
+		LinkAddress: a.advertisedAddress(),
 
 		ServerAddress: serverAddress,
 		Controls:      a.settings.Controls,
@@ -265,14 +265,14 @@
 		Log:           a.log,
 		Metrics:       a.meter.set,
 	}
-	if a.follow.selects != nil {
-		config.Released = a.released
+	if a.follow.selectServers != nil {
+		config.Released = a.recovered
 	}
 	return config
 }
 
-// advertised returns the address that entries dial. One with port 0 gets the port that the listener took.
-func (a *Agent) advertised() string {
+// advertisedAddress returns the address that entries dial. One with port 0 gets the port that the listener took.
+func (a *Agent) advertisedAddress() string {
 	host, port, err := net.SplitHostPort(a.settings.Advertise)
 	if err != nil {
 		return a.LinkAddr()
@@ -280,9 +280,9 @@
 	if port != "0" {
 		return a.settings.Advertise
 	}
-	_, taken, err := net.SplitHostPort(a.LinkAddr())
+	_, listenPort, err := net.SplitHostPort(a.LinkAddr())
 	if err != nil {
 		return a.LinkAddr()
 	}
-	return net.JoinHostPort(host, taken)
+	return net.JoinHostPort(host, listenPort)
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -12,16 +12,16 @@
 )
 
 func TestServiceCall(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		options := standin.ServiceDefaults()
 		options.Server = "server-1"
 		service := w.startEngine(options)
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 
-		entry.dispatch(issue("r1", 1))
+		entry.dispatch(serviceDispatch("r1", 1))
 		over := entry.awaitOver("r1", 1)
 
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, over.GetProof())
@@ -35,16 +35,16 @@
 }
 
 func TestCompletion(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		options := standin.ModelDefaults()
 		options.Server = "server-1"
 		w.startEngine(options)
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 
-		entry.dispatch(completion("r1", 1))
+		entry.dispatch(completionDispatch("r1", 1))
 		over := entry.awaitOver("r1", 1)
 
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, over.GetProof())
--- a/agent/announcement.go
+++ b/agent/announcement.go
@@ -64,13 +64,13 @@
 	if name == "" || len(name) > maxNameBytes {
 		return malformed("%s: want 1 to %d bytes, got %d", field, maxNameBytes, len(name))
 	}
-	if strings.ContainsFunc(name, notInName) {
+	if strings.ContainsFunc(name, isForbiddenInName) {
 		return malformed("%s: want printable ASCII without spaces, quotes and slashes, got %q", field, name)
 	}
 	return nil
 }
 
-func notInName(r rune) bool {
+func isForbiddenInName(r rune) bool {
 	return r <= ' ' || r > '~' || strings.ContainsRune(`"'\/?#%`, r)
 }
 
--- a/agent/follow.go
+++ b/agent/announcement_selection.go
@@ -13,10 +13,10 @@
 // the shortest silence after which a gate suspects a server.
 const followInterval = time.Second
 
-// follow is what the follow duty knows of the servers that announce themselves to control.
-type follow struct {
-	selects func(*session.View) []*wire.Announcement
-	ended   map[string]time.Time // servers whose end was passed on, and when
+// followState is what the followState duty knows of the servers that announce themselves to control.
+type followState struct {
+	selectServers func(*session.View) []*wire.Announcement
+	endedAt       map[string]time.Time // servers whose end was passed on, and when
 }
 
 // AtAddress selects the servers that announced themselves at an address, which is that of the one beside this agent.
@@ -53,23 +53,23 @@
 // themselves, so they are there, and would get no request at all. One would notice by refusals with "no server" while
 // servers are idle. The wait is for agents that have just started and haven't told of their servers yet.
 func WithoutAgent(wait time.Duration) func(*session.View) []*wire.Announcement {
-	alone := make(map[string]time.Time) // since when each run has had no agent
+	unlistedSince := make(map[string]time.Time) // since when each run has had no agent
 	models := OfKind(engine.KindModel)
 	return func(view *session.View) []*wire.Announcement {
-		now, attended := time.Now(), ListedByAgents(view)
-		before := alone
-		alone = make(map[string]time.Time)
+		now, listed := time.Now(), ListedByAgents(view)
+		previous := unlistedSince
+		unlistedSince = make(map[string]time.Time)
 		var found []*wire.Announcement
 		for _, announcement := range models(view) {
 			run := announcement.Run().String()
-			if attended[run] {
+			if listed[run] {
 				continue
 			}
-			since, known := before[run]
+			since, known := previous[run]
 			if !known {
 				since = now
 			}
-			alone[run] = since
+			unlistedSince[run] = since
 			if now.Sub(since) >= wait {
 				found = append(found, announcement)
 			}
@@ -80,13 +80,13 @@
 
 // ListedByAgents are the runs of servers that agents of the directory list.
 func ListedByAgents(view *session.View) map[string]bool {
-	attended := make(map[string]bool)
+	listed := make(map[string]bool)
 	for _, agent := range view.Agents {
 		for _, server := range agent.GetServers() {
-			attended[server.GetServer()] = true
+			listed[server.GetServer()] = true
 		}
 	}
-	return attended
+	return listed
 }
 
 // AnyOf selects what any of the selections does.
@@ -108,8 +108,8 @@
 	return pools
 }
 
-// followDuty takes the servers of this agent from what control says.
-func (a *Agent) followDuty(ctx context.Context) error {
+// followLoop takes the servers of this agent from what control says.
+func (a *Agent) followLoop(ctx context.Context) error {
 	changed := make(chan struct{}, 1)
 	a.session.Subscribe(func(*session.View) {
 		select {
@@ -120,7 +120,7 @@
 	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for {
-		a.followOnce(ctx)
+		a.syncServers(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -130,52 +130,52 @@
 	}
 }
 
-func (a *Agent) followOnce(ctx context.Context) {
+func (a *Agent) syncServers(ctx context.Context) {
 	view := a.session.View()
 	pools := poolsByName(view)
 	announced := make(map[string]bool)
-	for _, announcement := range a.follow.selects(view) {
+	for _, announcement := range a.follow.selectServers(view) {
 		pool := pools[announcement.GetPool()]
 		if pool == nil {
 			continue
 		}
 		announced[announcement.Run().String()] = true
-		a.followServer(ctx, announcement, pool)
+		a.followAnnouncement(ctx, announcement, pool)
 	}
 	for _, s := range a.servers.all() {
-		if s.view.Load().announced() && !announced[s.name] && a.follow.noteEnd(s.name) {
+		if s.view.Load().announced() && !announced[s.name] && a.follow.recordEnd(s.name) {
 			_ = s.leave(ctx, "ended")
 		}
 	}
-	a.retire(announced, time.Now())
+	a.removeEndedServers(announced, time.Now())
 }
 
-// noteEnd notes a server's end, and tells whether it is news.
-func (f *follow) noteEnd(server string) bool {
-	if _, known := f.ended[server]; known {
+// recordEnd notes a server's end, and tells whether it is news.
+func (f *followState) recordEnd(server string) bool {
+	if _, known := f.endedAt[server]; known {
 		return false
 	}
-	f.ended[server] = time.Now()
+	f.endedAt[server] = time.Now()
 	return true
 }
 
-// followServer passes one announcement on. A server that leaves is announced first: its gate must know it.
-func (a *Agent) followServer(ctx context.Context, announcement *wire.Announcement, pool *wire.Pool) {
+// followAnnouncement passes one announcement on. A server that leaves is announced first: its gate must know it.
+func (a *Agent) followAnnouncement(ctx context.Context, announcement *wire.Announcement, pool *wire.Pool) {
 	run := announcement.Run().String()
-	s, err := a.servers.admit(run)
+	s, err := a.servers.getOrCreateAnnounced(run)
 	if err == nil {
-		err = s.announce(ctx, recordOf(announcement, pool))
+		err = s.announce(ctx, newServerRecord(announcement, pool))
 	}
 	if err != nil {
 		a.log.WithField("server", run).WithError(err).Warn("announcement_refused")
 		return
 	}
-	if announcement.GetDraining() && a.follow.noteEnd(run) {
+	if announcement.GetDraining() && a.follow.recordEnd(run) {
 		_ = s.leave(ctx, "draining")
 	}
 }
 
-func recordOf(announcement *wire.Announcement, pool *wire.Pool) *wire.ServerRecord {
+func newServerRecord(announcement *wire.Announcement, pool *wire.Pool) *wire.ServerRecord {
 	return &wire.ServerRecord{
 		Server:  announcement.Run().String(),
 		Kind:    pool.GetKind(),
--- a/agent/follow_test.go
+++ b/agent/announcement_selection_test.go
@@ -33,14 +33,14 @@
 	return view
 }
 
-func announced(server, pool, address string) *wire.Announcement {
+func newAnnouncement(server, pool, address string) *wire.Announcement {
 	return &wire.Announcement{Server: server, Pool: pool, Address: address, Slots: 4, Sequence: 1}
 }
 
 func TestServersAreSelected(t *testing.T) {
 	view := followView(1,
-		announced("m1", "models", followedAddress), announced("m2", "models", "10.0.0.9:1"),
-		announced("d1", "desk", "10.0.0.8:1"), announced("x1", "unknown", "10.0.0.7:1"))
+		newAnnouncement("m1", "models", followedAddress), newAnnouncement("m2", "models", "10.0.0.9:1"),
+		newAnnouncement("d1", "desk", "10.0.0.8:1"), newAnnouncement("x1", "unknown", "10.0.0.7:1"))
 	names := func(found []*wire.Announcement) []string {
 		var list []string
 		for _, a := range found {
@@ -55,12 +55,12 @@
 
 // Symptom: requests for models are refused with idle servers there. Sequence: a deployment has model servers on machines
 // where no agent runs, or an agent is gone for good. Cause: only an agent beside it took a model server.
-func TestServersWithoutAnAgentAreSelected(t *testing.T) {
+func TestServersWithoutAgentAreSelected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		selects := AnyOf(OfKind(engine.KindService), WithoutAgent(time.Second))
-		view := followView(1, announced("m1", "models", followedAddress), announced("m2", "models", "10.0.0.9:1"),
-			announced("d1", "desk", "10.0.0.8:1"))
-		view.Agents = map[string]*wire.AgentRecord{"agent-1": {Servers: []*wire.ServerRecord{{Server: announced("m1", "", "").Run().String()}}}}
+		view := followView(1, newAnnouncement("m1", "models", followedAddress), newAnnouncement("m2", "models", "10.0.0.9:1"),
+			newAnnouncement("d1", "desk", "10.0.0.8:1"))
+		view.Agents = map[string]*wire.AgentRecord{"agent-1": {Servers: []*wire.ServerRecord{{Server: newAnnouncement("m1", "", "").Run().String()}}}}
 		names := func() []string {
 			var list []string
 			for _, a := range selects(view) {
@@ -72,21 +72,21 @@
 		require.Equal(t, []string{"d1"}, names(), "its agent may be starting")
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"d1", "m2"}, names())
-		lone := view.Agents
+		agents := view.Agents
 		view.Agents = nil
 		require.Equal(t, []string{"d1", "m2"}, names(), "its agent may be restarting")
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"d1", "m1", "m2"}, names())
-		view.Agents = lone
+		view.Agents = agents
 		require.Equal(t, []string{"d1", "m2"}, names(), "it is the agent's at once")
 	})
 }
 
-// startFollowing starts an agent that takes its servers from control, beside a stand-in engine.
-func (w *world) startFollowing() {
+// startFollowingAgent starts an agent that takes its servers from control, beside a stand-in engine.
+func (w *testEnv) startFollowingAgent() {
 	w.t.Helper()
 	w.startStandin(standin.Options{Server: "m1", Kind: engine.KindModel, Models: []string{"models"}, Slots: 4, Listen: followedAddress})
-	w.control.begin()
+	w.control.reset()
 	agent, err := New(w.settings(), Options{
 		Network: w.network.Host(agentHost),
 		Control: w.control,
@@ -99,20 +99,20 @@
 
 // Symptom: a model server gets no work any more after its 64th start. Sequence: each start has a new name; the agent keeps
 // what it knows of the earlier ones. Cause: servers that are gone counted against the bound for ever.
-func TestAgentForgetsServersThatHaveEnded(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.startFollowing()
+func TestEndedServersAreRemoved(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
+		w.startFollowingAgent()
 		for i := range uint64(maxServers + 6) {
 			name := fmt.Sprint("start-", i)
-			w.control.setView(followView(i+2, announced(name, "models", followedAddress)))
-			w.until("it is known", func() bool {
+			w.control.setView(followView(i+2, newAnnouncement(name, "models", followedAddress)))
+			w.waitUntil("it is known", func() bool {
 				s := w.agent.servers.get(name)
 				return s != nil && s.view.Load().announced()
 			})
-			time.Sleep(retireAfter / 8)
+			time.Sleep(endedServerRetention / 8)
 		}
 		w.control.setView(followView(1000))
-		time.Sleep(retireAfter + 10*time.Second)
+		time.Sleep(endedServerRetention + 10*time.Second)
 		require.Empty(t, w.agent.servers.all())
 	})
 }
@@ -120,12 +120,12 @@
 // Symptom: an agent never shows itself. Sequence: its server announces itself to control and not to the agent; the agent
 // waits for an announcement before it opens its session, over which alone it could hear of one. Cause: the two wait for
 // each other.
-func TestAgentHearsOfItsServerFromControl(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.startFollowing()
+func TestAgentTakesServerFromControl(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
+		w.startFollowingAgent()
 		require.Nil(t, w.control.registered())
-		w.control.setView(followView(2, announced("m1", "models", followedAddress)))
-		w.until("the server is registered", func() bool {
+		w.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
+		w.waitUntil("the server is registered", func() bool {
 			records := w.control.registered()
 			return len(records) == 1 && records[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
 		})
@@ -140,17 +140,17 @@
 
 // Symptom: a server that leaves gets new work. Sequence: control says that it drains, or has it no longer. Cause: an
 // agent that only listens for new servers.
-func TestServerThatControlLostIsDrained(t *testing.T) {
-	drains := announced("m1", "models", followedAddress)
+func TestServerEndedInDirectoryIsDrained(t *testing.T) {
+	drains := newAnnouncement("m1", "models", followedAddress)
 	drains.Draining = true
 	for name, after := range map[string]*session.View{"drains": followView(3, drains), "ended": followView(3)} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				w.startFollowing()
-				w.control.setView(followView(2, announced("m1", "models", followedAddress)))
-				w.until("ready", func() bool { return len(w.control.registered()) == 1 })
+			withEnv(t, func(w *testEnv) {
+				w.startFollowingAgent()
+				w.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
+				w.waitUntil("ready", func() bool { return len(w.control.registered()) == 1 })
 				w.control.setView(after)
-				w.until("drained", func() bool {
+				w.waitUntil("drained", func() bool {
 					records := w.control.registered()
 					return len(records) == 1 && records[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_DRAINED
 				})
--- a/agent/announcement_test.go
+++ b/agent/announcement_test.go
@@ -11,8 +11,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// goodAnnouncement is one that the checks accept.
-func goodAnnouncement() *engine.Announcement {
+// validAnnouncement is one that the checks accept.
+func validAnnouncement() *engine.Announcement {
 	return &engine.Announcement{
 		Server:  "server-1",
 		Kind:    engine.KindModel,
@@ -29,7 +29,7 @@
 
 func TestCheckAnnouncementAccepts(t *testing.T) {
 	for _, address := range []string{"10.0.0.7:9000", "http://10.0.0.7:9000", "http://10.0.0.7:9000/"} {
-		announcement := goodAnnouncement()
+		announcement := validAnnouncement()
 		announcement.Address = address
 		record, err := checkAnnouncement(announcement)
 		require.NoError(t, err, address)
@@ -64,10 +64,10 @@
 		"capabilities.fencing":       func(a *engine.Announcement) { a.Capabilities.Fencing = "maybe" },
 		"capabilities.on_disconnect": func(a *engine.Announcement) { a.Capabilities.OnDisconnect = "" },
 	}
-	for message, spoil := range tests {
+	for message, invalidate := range tests {
 		t.Run(message, func(t *testing.T) {
-			announcement := goodAnnouncement()
-			spoil(announcement)
+			announcement := validAnnouncement()
+			invalidate(announcement)
 			_, err := checkAnnouncement(announcement)
 			require.Error(t, err)
 			assert.True(t, result.Is(err, result.MalformedBody))
--- a/agent/attempts_test.go
+++ b/agent/attempts_test.go
@@ -15,13 +15,13 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// modelWorld is a world with a slow model engine, a linked entry and room.
-func modelWorld(t *testing.T, test func(w *world, model *standin.Server, entry *fakeEntry)) {
+// withModelEnv is a world with a slow model engine, a linked entry and room.
+func withModelEnv(t *testing.T, test func(w *testEnv, model *standin.Server, entry *fakeEntry)) {
 	t.Helper()
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		model := w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 		test(w, model, entry)
@@ -32,10 +32,10 @@
 // Sequence: the connection to the engine is lost; the engine goes on and, for a while, ignores cancels; the entry hears
 // that the attempt is over and starts the next one elsewhere.
 // Cause: the lost connection was taken for the end of the stream.
-func TestLostConnectionIsNoProof(t *testing.T) {
-	modelWorld(t, func(w *world, model *standin.Server, entry *fakeEntry) {
-		entry.dispatch(longCompletion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+func TestLostConnectionDoesNotProveEnd(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, model *standin.Server, entry *fakeEntry) {
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		require.NoError(t, model.SetFaults(standin.Faults{IgnoreCancel: true}))
 		w.network.Reset(engineHost)
 
@@ -55,45 +55,45 @@
 // Cause: the agent forgot what it had said of an attempt that it had never run.
 func TestCancelAndDispatchInAnyOrder(t *testing.T) {
 	tests := map[string]struct {
-		act    func(w *world, e *fakeEntry)
+		act    func(w *testEnv, e *fakeEntry)
 		starts int
 	}{
 		"late dispatch": {
-			act: func(w *world, e *fakeEntry) {
+			act: func(w *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
-				e.dispatch(completion("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 			},
 		},
 		"lost dispatch": {
-			act: func(w *world, e *fakeEntry) {
+			act: func(w *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
 			},
 		},
 		"doubled dispatch": {
-			act: func(w *world, e *fakeEntry) {
-				e.dispatch(completion("r1", 1))
-				e.dispatch(completion("r1", 1))
+			act: func(w *testEnv, e *fakeEntry) {
+				e.dispatch(completionDispatch("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 				e.awaitOver("r1", 1)
-				e.dispatch(completion("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 			},
 			starts: 1,
 		},
 		"dispatch again after its cancel": {
-			act: func(w *world, e *fakeEntry) {
-				e.dispatch(longCompletion("r1", 1))
-				w.until("it runs", func() bool { return e.eventCount("r1", 1) > 1 })
+			act: func(w *testEnv, e *fakeEntry) {
+				e.dispatch(longCompletionDispatch("r1", 1))
+				w.waitUntil("it runs", func() bool { return e.eventCount("r1", 1) > 1 })
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
-				e.dispatch(longCompletion("r1", 1))
+				e.dispatch(longCompletionDispatch("r1", 1))
 			},
 			starts: 1,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
+			withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
 				test.act(w, entry)
 				time.Sleep(10 * time.Second)
 				assert.Equal(t, test.starts, w.ledger.Starts()["r1.1"])
@@ -103,13 +103,13 @@
 	}
 }
 
-// stepRecorder is an admission that keeps its events and does what the test says.
-type stepRecorder struct {
+// gateRecorder is an admission that keeps its events and does what the test says.
+type gateRecorder struct {
 	events  []gate.Event
 	actions []gate.Action // of the next step
 }
 
-func (r *stepRecorder) Step(_ time.Time, event gate.Event) []gate.Action {
+func (r *gateRecorder) Step(_ time.Time, event gate.Event) []gate.Action {
 	r.events = append(r.events, event)
 	actions := r.actions
 	r.actions = nil
@@ -117,10 +117,10 @@
 }
 
 // NextTick implements admission.
-func (r *stepRecorder) NextTick() time.Duration { return gate.TickInterval }
+func (r *gateRecorder) NextTick() time.Duration { return gate.TickInterval }
 
 // cancels returns the answers to cancels that the gate got.
-func (r *stepRecorder) cancels() []gate.EngineCancelled {
+func (r *gateRecorder) cancels() []gate.EngineCancelled {
 	var list []gate.EngineCancelled
 	for _, event := range r.events {
 		if answer, ok := event.(gate.EngineCancelled); ok {
@@ -130,18 +130,18 @@
 	return list
 }
 
-// bareServer is a server with a scripted engine, without an agent around it. Its duty doesn't run: drain applies what
+// newTestServer is a server with a scripted engine, without an agent around it. Its duty doesn't run: drain applies what
 // is on its ring.
-func bareServer(ctx context.Context, client engine.Client) (*server, *stepRecorder) {
-	recorder := new(stepRecorder)
+func newTestServer(ctx context.Context, client engine.Client) (*server, *gateRecorder) {
+	recorder := new(gateRecorder)
 	s := newServer("server-1", serverDeps{
-		log:     noLog(),
-		meter:   newMeter(),
-		ready:   &readiness{control: func() error { return nil }},
-		newGate: func() admission { return recorder },
-		spawn:   func(task func(context.Context)) { go task(ctx) },
-		changed: func(*server) {},
-		linked:  func() []gate.EntryID { return nil },
+		log:           discardLog(),
+		meter:         newMeter(),
+		ready:         &readiness{control: func() error { return nil }},
+		newGate:       func() serverGate { return recorder },
+		spawn:         func(task func(context.Context)) { go task(ctx) },
+		onChange:      func(*server) {},
+		linkedEntries: func() []gate.EntryID { return nil },
 	})
 	s.base = ctx
 	s.client = client
@@ -154,10 +154,10 @@
 	return s, recorder
 }
 
-func (s *server) drain() {
+func (s *server) applyInputs() {
 	synctest.Wait()
 	for s.inputs.Len() > 0 {
-		s.take(<-s.inputs.C())
+		s.applyBatch(<-s.inputs.C())
 		synctest.Wait()
 	}
 }
@@ -166,7 +166,7 @@
 // Sequence: an attempt is cancelled before its dispatch reached the engine, or just after its connection was closed;
 // the engine says that it has no such stream, which passes for a proof; then the dispatch arrives and the stream runs.
 // Cause: "no such stream" proves an end only if the dispatch can't arrive any more.
-func TestUnknownStreamIsNoProofWhileTheDispatchMayArrive(t *testing.T) {
+func TestUnknownStreamIsNoProofWhileDispatchMayArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		returns := make(chan struct{})
 		client := &scriptedEngine{
@@ -176,12 +176,12 @@
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelUnknownID, nil },
 		}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 1)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 1)
 		cancel := func() gate.EngineCancelled {
 			recorder.actions = []gate.Action{gate.CancelEngine{Attempt: dispatch.GetAttempt(), Stream: "r1.1"}}
 			s.step(time.Now(), gate.Tick{})
-			s.drain()
+			s.applyInputs()
 			answers := recorder.cancels()
 			return answers[len(answers)-1]
 		}
@@ -190,9 +190,9 @@
 
 		assert.Error(t, cancel().Err, "the call goes on")
 		close(returns)
-		s.drain()
+		s.applyInputs()
 		assert.Error(t, cancel().Err, "what the call left in the network may not be read yet")
-		time.Sleep(settleTime)
+		time.Sleep(maxDispatchDelay)
 		answer := cancel()
 		assert.NoError(t, answer.Err)
 		assert.Equal(t, engine.CancelUnknownID, answer.Result)
@@ -212,16 +212,16 @@
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelConfirmed, nil },
 		}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 1)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 1)
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
 		recorder.actions = []gate.Action{gate.CancelEngine{Attempt: dispatch.GetAttempt(), Stream: "r1.1", Try: 7}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		assert.Equal(t, uint32(7), recorder.cancels()[0].Try)
 		time.Sleep(cancelledRunGrace)
-		s.drain()
+		s.applyInputs()
 		assert.IsType(t, gate.EngineEnded{}, recorder.events[len(recorder.events)-1])
 	})
 }
@@ -229,19 +229,19 @@
 // Symptom: a cancel at the engine misses a resumed attempt, which then runs beside the next one.
 // Sequence: an attempt resumes the stream of an earlier one; whoever cancels it names the later attempt.
 // Cause: the engine knew the resumed stream under the earlier attempt's identity.
-func TestResumeKeepsTheAttemptsOwnIdentity(t *testing.T) {
+func TestResumeUsesItsOwnAttemptID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
 			return engine.Outcome{End: engine.EndCompleted}, nil
 		}}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 2)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 2)
 		dispatch.ResumeFrom = 4 // the role event and 3 tokens
 		dispatch.ResumeTokens = 3
 		dispatch.ResumeAttempt = "r1.1"
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		assert.Equal(t, []engine.AttemptID{"r1.2"}, client.imported)
 		assert.Equal(t, []engine.AttemptID{"r1.2"}, client.resumed)
 	})
@@ -250,19 +250,19 @@
 // Symptom: a caller gets an answer put together from two different ones.
 // Sequence: an attempt that should go on at token 3 is dispatched to an engine that can't resume.
 // Cause: it was run from its beginning, and only the tokens after the third were passed on.
-func TestResumeIsRefusedWithoutTheEnginesSupport(t *testing.T) {
+func TestResumeIsRefusedWithoutEngineSupport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
 			return engine.Outcome{End: engine.EndCompleted}, nil
 		}}
-		s, recorder := bareServer(t.Context(), client)
+		s, recorder := newTestServer(t.Context(), client)
 		s.record.Capabilities = &wire.Capabilities{}
-		dispatch := completion("r1", 2)
+		dispatch := completionDispatch("r1", 2)
 		dispatch.ResumeFrom = 4 // the role event and 3 tokens
 		dispatch.ResumeTokens = 3
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		ended, ok := recorder.events[len(recorder.events)-1].(gate.EngineEnded)
 		require.True(t, ok)
 		assert.ErrorIs(t, ended.Err, engine.ErrNeverSent)
--- a/agent/control.go
+++ b/agent/control.go
@@ -24,11 +24,11 @@
 
 var _ Control = (*session.Session)(nil)
 
-// controlDuty keeps the session with control. The session registers this incarnation at once, so it waits for the
+// runSession keeps the session with control. The session registers this incarnation at once, so it waits for the
 // release. An agent that hears of its servers from control needs the session before; the session then holds the
 // registration back.
-func (a *Agent) controlDuty(ctx context.Context) error {
-	if a.follow.selects == nil && !a.awaitRelease(ctx) {
+func (a *Agent) runSession(ctx context.Context) error {
+	if a.follow.selectServers == nil && !a.awaitRecovery(ctx) {
 		return nil
 	}
 	err := a.session.Run(ctx)
@@ -38,16 +38,16 @@
 	return err
 }
 
-// serverChanged says that the directory record may have changed. It is called by gate duties.
-func (a *Agent) serverChanged(*server) {
+// signalServerChanged says that the directory record may have changed. It is called by gate duties.
+func (a *Agent) signalServerChanged(*server) {
 	select {
 	case a.serversChanged <- struct{}{}:
 	default:
 	}
 }
 
-// directoryDuty keeps the directory record as the servers are. Announcements that change nothing lead to no commit.
-func (a *Agent) directoryDuty(ctx context.Context) error {
+// directoryLoop keeps the directory record as the servers are. Announcements that change nothing lead to no commit.
+func (a *Agent) directoryLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -67,8 +67,8 @@
 	a.session.SetServers(records)
 }
 
-// viewDuty takes what control committed.
-func (a *Agent) viewDuty(ctx context.Context) error {
+// viewLoop takes what control committed.
+func (a *Agent) viewLoop(ctx context.Context) error {
 	a.session.Subscribe(func(*session.View) {
 		select {
 		case a.viewChanged <- struct{}{}:
@@ -76,8 +76,8 @@
 		}
 	})
 	incarnations := entryIncarnations{}
-	drains := drainWatch{}
-	advice := adviceWatch{}
+	drains := drainDetector{}
+	advice := forwardedAdvice{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -85,7 +85,7 @@
 		case <-a.viewChanged:
 		}
 		view := a.session.View()
-		a.tellAdvice(ctx, &advice, view)
+		a.forwardAdvice(ctx, &advice, view)
 		own := view.Agents[a.settings.Instance]
 		if own.GetIncarnation() > a.incarnation {
 			return ErrSuperseded
@@ -94,41 +94,41 @@
 			own = nil
 		}
 		a.drainServers(ctx, drains.update(own))
-		a.endEntries(ctx, incarnations.update(view.Entries))
+		a.forwardEndedEntries(ctx, incarnations.update(view.Entries))
 	}
 }
 
-// adviceWatch is what the gates were told of the advice of their servers. A gate that begins reads it itself.
-type adviceWatch struct {
+// forwardedAdvice is what the gates were told of the advice of their servers. A gate that begins reads it itself.
+type forwardedAdvice struct {
 	senders  int
 	versions map[string]uint64
 }
 
-// tellAdvice tells the gates what has changed in the directory's advice, and how many agents share it.
-func (a *Agent) tellAdvice(ctx context.Context, told *adviceWatch, view *session.View) {
-	if senders := a.senders(view); senders != told.senders {
-		told.senders = senders
-		a.servers.tellAll(ctx, gateEvent{gate.SendersChanged{Count: senders}})
+// forwardAdvice tells the gates what has changed in the directory's advice, and how many agents share it.
+func (a *Agent) forwardAdvice(ctx context.Context, forwarded *forwardedAdvice, view *session.View) {
+	if senders := a.senders(view); senders != forwarded.senders {
+		forwarded.senders = senders
+		a.servers.broadcast(ctx, gateEvent{gate.SendersChanged{Count: senders}})
 	}
 	versions := make(map[string]uint64, len(view.Advice))
 	for name, record := range view.Advice {
 		versions[name] = record.GetVersion()
 	}
 	for _, s := range a.servers.all() {
-		if versions[s.name] == told.versions[s.name] {
+		if versions[s.name] == forwarded.versions[s.name] {
 			continue
 		}
-		if s.push(ctx, recordedAdvice{view.Advice[s.name]}) != nil {
+		if s.push(ctx, directoryAdvice{view.Advice[s.name]}) != nil {
 			return
 		}
 	}
-	told.versions = versions
+	forwarded.versions = versions
 }
 
-func (a *Agent) endEntries(ctx context.Context, ended []gate.EntryID) {
+func (a *Agent) forwardEndedEntries(ctx context.Context, ended []gate.EntryID) {
 	for _, id := range ended {
 		a.log.WithField("entry", id.Name).WithField("incarnation", id.Incarnation).Info("entry_ended")
-		a.servers.tellAll(ctx, gateEvent{gate.EntryEnded{Entry: id}})
+		a.servers.broadcast(ctx, gateEvent{gate.EntryEnded{Entry: id}})
 	}
 }
 
@@ -153,14 +153,14 @@
 	return ended
 }
 
-// orderDuty takes orders.
-func (a *Agent) orderDuty(ctx context.Context) error {
+// orderLoop takes orders.
+func (a *Agent) orderLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case order := <-a.session.Orders():
-			a.orders.take(ctx, order)
+			a.orders.handle(ctx, order)
 		}
 	}
 }
--- a/agent/drain.go
+++ b/agent/drain_detector.go
@@ -6,18 +6,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// drainWatch finds in the committed directory which servers of this agent an operator drained. Control marks such a
+// drainDetector finds in the committed directory which servers of this agent an operator drained. Control marks such a
 // server as draining although its agent registered it as ready.
 //
 // Only a change to draining counts. A server that left and came back is still draining in the directory until its new
 // registration is committed; taken by itself that would drain it again.
-type drainWatch struct {
+type drainDetector struct {
 	conditions map[string]wire.ServerCondition // of the last directory, by server
 }
 
 // update takes this agent's record, nil if the directory has none of this incarnation, and returns the servers that
 // are draining in it and weren't before.
-func (d *drainWatch) update(record *wire.AgentRecord) []string {
+func (d *drainDetector) update(record *wire.AgentRecord) []string {
 	conditions := make(map[string]wire.ServerCondition, len(record.GetServers()))
 	var drained []string
 	for _, server := range record.GetServers() {
--- a/agent/run.go
+++ b/agent/engine_run.go
@@ -36,39 +36,39 @@
 // the engine's connection: an engine that goes on after that would run an attempt that nobody reads, and one would
 // notice it as an outcome that stays unknown although the engine finished.
 type engineRun struct {
-	dispatch   *wire.Dispatch
-	key        attemptKey
-	client     engine.Client
-	service    bool // a plain service and no model
-	resumes    bool // the engine can resume
-	exports    bool // the engine can export and import KV cache
-	wantsUsage bool
-	stop       context.CancelFunc // drops the engine's connection
-
-	arrived  time.Time // when the dispatch came
-	beside   int       // other runs at that time
-	returned time.Time // when the engine call returned, zero while it goes on; the gate duty's own
-
-	mu          sync.Mutex
-	changed     *sync.Cond
-	events      [][]byte
-	tokens      []uint32 // in each of events
-	bytes       int
-	announced   bool // the gate duty was told that there are events
-	closed      bool // nobody takes events any more
-	contentType string
+	dispatch      *wire.Dispatch
+	key           attemptKey
+	client        engine.Client
+	isService     bool // a plain service and no model
+	canResume     bool // the engine can resume
+	canTransferKV bool // the engine can export and import KV cache
+	wantsUsage    bool
+	disconnect    context.CancelFunc // drops the engine's connection
+
+	arrivedAt      time.Time // when the dispatch came
+	concurrentRuns int       // other runs at that time
+	returnedAt     time.Time // when the engine call returned, zero while it goes on; the gate duty's own
+
+	mu            sync.Mutex
+	changed       *sync.Cond
+	events        [][]byte
+	tokens        []uint32 // in each of events
+	bufferedBytes int
+	notified      bool // the gate duty was told that there are events
+	closed        bool // nobody takes events any more
+	contentType   string
 }
 
 func newRun(d *wire.Dispatch, client engine.Client, capabilities *wire.Capabilities) *engineRun {
 	r := &engineRun{
-		dispatch:   d,
-		key:        keyOf(d.GetAttempt()),
-		client:     client,
-		arrived:    time.Now(),
-		service:    d.GetWork().GetService(),
-		resumes:    capabilities.GetResume(),
-		exports:    capabilities.GetKv(),
-		wantsUsage: !d.GetVerbatim() && wantsUsage(d.GetBody()),
+		dispatch:      d,
+		key:           keyOf(d.GetAttempt()),
+		client:        client,
+		arrivedAt:     time.Now(),
+		isService:     d.GetWork().GetService(),
+		canResume:     capabilities.GetResume(),
+		canTransferKV: capabilities.GetKv(),
+		wantsUsage:    !d.GetVerbatim() && wantsUsage(d.GetBody()),
 	}
 	r.changed = sync.NewCond(&r.mu)
 	return r
@@ -88,7 +88,7 @@
 func (r *engineRun) call(ctx context.Context, sink engine.Sink) (engine.Outcome, error) {
 	d := r.dispatch
 	if d.GetVerbatim() {
-		return r.client.Run(ctx, r.verbatim(), sink)
+		return r.client.Run(ctx, r.verbatimRequest(), sink)
 	}
 	if d.GetResumeTokens() > 0 || d.GetResumeAttempt() != "" {
 		return r.resume(ctx, sink)
@@ -101,7 +101,7 @@
 		Body:           d.GetBody(),
 		IdempotencyKey: d.GetIdempotencyKey(),
 	}
-	if r.service {
+	if r.isService {
 		request.Kind = engine.KindService
 	}
 	if contentType := d.GetContentType(); contentType != "" {
@@ -110,8 +110,8 @@
 	return r.client.Run(ctx, request, sink)
 }
 
-// verbatim makes the request of a dispatch that is passed on as its caller wrote it.
-func (r *engineRun) verbatim() engine.Request {
+// verbatimRequest makes the request of a dispatch that is passed on as its caller wrote it.
+func (r *engineRun) verbatimRequest() engine.Request {
 	d := r.dispatch
 	work := d.GetWork()
 	header := make(http.Header, len(d.GetHeaders()))
@@ -129,13 +129,13 @@
 			Host:         d.GetHost(),
 			Organisation: work.GetOrganisation(),
 			Server:       d.GetServer(),
-			Remaining:    time.Duration(work.GetRemainingMs())*time.Millisecond - time.Since(r.arrived),
+			Remaining:    time.Duration(work.GetRemainingMs())*time.Millisecond - time.Since(r.arrivedAt),
 			Repeatable:   work.GetRepeatable(),
 			LastEvent:    d.GetLastEvent(),
 			SkipHead:     d.GetResumeFrom() > 0,
 		},
 	}
-	if r.service {
+	if r.isService {
 		request.Kind = engine.KindService
 	}
 	return request
@@ -146,7 +146,7 @@
 func (r *engineRun) resume(ctx context.Context, sink engine.Sink) (engine.Outcome, error) {
 	d := r.dispatch
 	id := engineID(d.GetAttempt())
-	if !r.resumes {
+	if !r.canResume {
 		return engine.Outcome{}, &engine.CallError{
 			Call:  "resume",
 			ID:    id,
@@ -154,15 +154,15 @@
 			Err:   engine.ErrUnsupported,
 		}
 	}
-	if d.GetResumeAttempt() != "" && r.exports {
-		r.moveCache(ctx, engine.AttemptID(d.GetResumeAttempt()), id)
+	if d.GetResumeAttempt() != "" && r.canTransferKV {
+		r.transferKVCache(ctx, engine.AttemptID(d.GetResumeAttempt()), id)
 	}
 	return r.client.Resume(ctx, id, int(d.GetResumeTokens()), d.GetBody(), sink)
 }
 
-// moveCache gives the KV cache of an earlier attempt to this one. A failure costs only a second prefill: the engine
+// transferKVCache gives the KV cache of an earlier attempt to this one. A failure costs only a second prefill: the engine
 // then begins anew from the body.
-func (r *engineRun) moveCache(ctx context.Context, from, to engine.AttemptID) {
+func (r *engineRun) transferKVCache(ctx context.Context, from, to engine.AttemptID) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	cache, err := r.client.ExportKV(ctx, from)
@@ -172,7 +172,7 @@
 	_ = r.client.ImportKV(ctx, to, cache)
 }
 
-// proven says whether a returned call proves that the attempt is over.
-func proven(err error) bool {
+// provesEnd says whether a returned call proves that the attempt is over.
+func provesEnd(err error) bool {
 	return err == nil || errors.Is(err, engine.ErrNeverSent)
 }
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -12,13 +12,13 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// entryServer makes the link server whose messages go to the gate duties.
-func (a *Agent) entryServer() *link.EntryServer {
+// newEntryServer makes the link server whose messages go to the gate duties.
+func (a *Agent) newEntryServer() *link.EntryServer {
 	return &link.EntryServer{
 		Hello:   a.hello,
 		Admit:   a.admitEntry,
-		Up:      a.entryUp,
-		Down:    a.entryDown,
+		Up:      a.entryConnected,
+		Down:    a.entryDisconnected,
 		Receive: a.receive,
 		Timing:  link.Timing{Heartbeat: a.settings.Timing.Heartbeat},
 	}
@@ -31,11 +31,11 @@
 // an agent restarts; the ended entry links to it and dispatches, beside the new owner's attempt. One would notice by two
 // engines at one request.
 func (a *Agent) admitEntry(hello *wire.EntryHello) error {
-	if !a.confirmed.Load() {
+	if !a.directoryConfirmed.Load() {
 		if err := a.session.Ready(); err != nil {
 			return err
 		}
-		a.confirmed.Store(true)
+		a.directoryConfirmed.Store(true)
 	}
 	listed := a.session.View().Entries[hello.GetEntry()]
 	if listed.GetIncarnation() != hello.GetIncarnation() {
@@ -54,40 +54,40 @@
 	}
 }
 
-func (a *Agent) entryUp(ctx context.Context, hello *wire.EntryHello) {
+func (a *Agent) entryConnected(ctx context.Context, hello *wire.EntryHello) {
 	id := gate.EntryID{Name: hello.GetEntry(), Incarnation: hello.GetIncarnation()}
 	a.log.WithField("entry", id.Name).WithField("incarnation", id.Incarnation).Info("entry_up")
 	a.session.ObserveVersion(hello.GetConfigVersion())
-	a.servers.entryUp(ctx, id)
+	a.servers.entryConnected(ctx, id)
 }
 
-func (a *Agent) entryDown(id link.EntryID, cause error) {
+func (a *Agent) entryDisconnected(id link.EntryID, cause error) {
 	a.log.WithField("entry", id.Name).WithField("incarnation", id.Incarnation).WithError(cause).Warn("entry_down")
-	a.servers.entryDown(a.base, gate.EntryID(id))
+	a.servers.entryDisconnected(a.baseContext, gate.EntryID(id))
 }
 
 // receive passes a message of an entry to the gate of its server, a heartbeat to all gates.
 func (a *Agent) receive(ctx context.Context, id link.EntryID, message *wire.EntryMessage) error {
 	entry := gate.EntryID(id)
-	if beat := message.GetHeartbeat(); beat != nil {
-		a.session.ObserveVersion(beat.GetConfigVersion())
-		a.servers.tellAll(ctx, gateEvent{gate.MessageReceived{Entry: entry, Message: message}})
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil {
+		a.session.ObserveVersion(heartbeat.GetConfigVersion())
+		a.servers.broadcast(ctx, gateEvent{gate.MessageReceived{Entry: entry, Message: message}})
 		return nil
 	}
-	name, attempt := addressee(message)
+	name, attempt := serverAndAttempt(message)
 	if attempt == nil {
 		return nil
 	}
-	s := a.servers.expect(name)
+	s := a.servers.getOrCreate(name)
 	if s == nil {
-		a.unknownServer(entry, name, attempt, message)
+		a.answerUnknownServer(entry, name, attempt, message)
 		return nil
 	}
-	return s.push(ctx, received{entry: entry, message: message})
+	return s.push(ctx, entryMessage{entry: entry, message: message})
 }
 
-// addressee returns the server and the attempt that a message is about; no attempt if it is about none.
-func addressee(message *wire.EntryMessage) (string, *wire.AttemptID) {
+// serverAndAttempt returns the server and the attempt that a message is about; no attempt if it is about none.
+func serverAndAttempt(message *wire.EntryMessage) (string, *wire.AttemptID) {
 	switch kind := message.GetKind().(type) {
 	case *wire.EntryMessage_Reserve:
 		return kind.Reserve.GetServer(), kind.Reserve.GetAttempt()
@@ -104,9 +104,9 @@
 	}
 }
 
-// unknownServer answers for a server that the agent has no gate for and no room to make one. Without a gate there is
+// answerUnknownServer answers for a server that the agent has no gate for and no room to make one. Without a gate there is
 // no tombstone, so the answer is no proof.
-func (a *Agent) unknownServer(entry gate.EntryID, name string, id *wire.AttemptID, message *wire.EntryMessage) {
+func (a *Agent) answerUnknownServer(entry gate.EntryID, name string, id *wire.AttemptID, message *wire.EntryMessage) {
 	if message.GetDispatch() == nil && message.GetCancel() == nil {
 		return
 	}
@@ -121,28 +121,28 @@
 	a.links.Send(link.EntryID(entry), &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}})
 }
 
-// received is a message of an entry for one server.
-type received struct {
+// entryMessage is a message of an entry for one server.
+type entryMessage struct {
 	entry   gate.EntryID
 	message *wire.EntryMessage
 }
 
-func (in received) apply(s *server, now time.Time) {
+func (in entryMessage) apply(s *server, now time.Time) {
 	reserve := in.message.GetReserve()
-	code := s.ready.closed()
+	code := s.ready.refusalCode()
 	if reserve == nil || code == 0 {
 		s.step(now, gate.MessageReceived{Entry: in.entry, Message: in.message})
 		return
 	}
-	s.stepRefusing(now, gate.MessageReceived{Entry: in.entry, Message: unservable(reserve)}, refusal{
+	s.stepWithRefusal(now, gate.MessageReceived{Entry: in.entry, Message: withoutTarget(reserve)}, refusal{
 		key:  keyOf(reserve.GetAttempt()),
 		code: code,
 	})
 }
 
-// unservable returns a reservation of something that no server has. The gate refuses it with a tombstone, which is
+// withoutTarget returns a reservation of something that no server has. The gate refuses it with a tombstone, which is
 // how an agent without admission answers at once; a dispatch is refused where it would start.
-func unservable(reserve *wire.Reserve) *wire.EntryMessage {
+func withoutTarget(reserve *wire.Reserve) *wire.EntryMessage {
 	reserve = proto.CloneOf(reserve)
 	if reserve.Work == nil {
 		reserve.Work = new(wire.Work)
--- a/agent/admit_test.go
+++ b/agent/entry_admission_test.go
@@ -12,21 +12,21 @@
 // Symptom: two engines run one request. Sequence: control ends an entry that is cut off from it but not from the agents;
 // its request is taken over; an agent restarts; the ended entry links to it and dispatches. Cause: an agent that starts
 // knows of no ended entries and took any for a living one. Found by the specification (docs/SPEC.md, ended_at_restart).
-func TestRestartedAgentAdmitsNoEndedEntry(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestRestartedAgentRefusesEndedEntry(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		ended := w.startEntry("10.0.1.9", "ended")
-		w.until("the entry is linked", func() bool { n, _ := ended.links(); return n == 1 })
+		w.waitUntil("the entry is linked", func() bool { n, _ := ended.links(); return n == 1 })
 		w.control.setView(&session.View{ConfigVersion: 2, Fence: 5})
 		w.killAgent()
 		w.startAgent()
-		w.ready()
+		w.waitReady()
 		time.Sleep(10 * time.Second)
 		n, _ := ended.links()
 		require.Equal(t, 1, n, "the restarted agent let the ended entry in")
-		w.control.list("ended", 1)
-		w.until("a listed entry is linked", func() bool { n, _ := ended.links(); return n == 2 })
+		w.control.addEntry("ended", 1)
+		w.waitUntil("a listed entry is linked", func() bool { n, _ := ended.links(); return n == 2 })
 	})
 }
--- a/agent/entryloss_test.go
+++ b/agent/entry_loss_test.go
@@ -16,12 +16,12 @@
 // Symptom: an engine works for nobody, and a caller's retry at another entry runs beside it.
 // Sequence: an entry dies while its repeatable attempt runs.
 // Cause: nobody cancelled the attempt when its entry stopped renewing the lease.
-func TestEntryDiesWhileARepeatableAttemptRuns(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-		entry.dispatch(longCompletion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
-		entry.die()
-		w.until("the engine is free", func() bool { return w.ledger.Running() == 0 })
+func TestEntryCrashCancelsRepeatableAttempt(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		entry.kill()
+		w.waitUntil("the engine is free", func() bool { return w.ledger.Running() == 0 })
 		_, metrics := w.call("GET", "/metrics", nil)
 		assert.Contains(t, metrics, metricLeases+" 1")
 		assert.Empty(t, w.control.completed())
@@ -32,25 +32,25 @@
 // Sequence: an entry dies while its non-repeatable call runs; the service finishes it; control can't be reached at
 // first.
 // Cause: the call was tied to its entry's link, or its outcome was proposed only once.
-func TestEntryDiesWhileANonRepeatableAttemptRuns(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestEntryCrashReportsNonRepeatableOutcome(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		service := w.startEngine(slowService())
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 		w.control.setView(&session.View{
 			ConfigVersion: 1,
 			Entries:       map[string]*wire.EntryRecord{"entry-1": {Entry: "entry-1", Incarnation: 1}},
 		})
-		entry.dispatch(issue("r1", 1))
-		w.until("the call runs", func() bool { return w.ledger.Running() == 1 })
+		entry.dispatch(serviceDispatch("r1", 1))
+		w.waitUntil("the call runs", func() bool { return w.ledger.Running() == 1 })
 		w.control.setFailures(3)
-		entry.die()
+		entry.kill()
 		time.Sleep(time.Second)
 		w.control.setView(&session.View{ConfigVersion: 1})
 
-		w.until("the outcome is committed", func() bool {
+		w.waitUntil("the outcome is committed", func() bool {
 			return len(w.control.completed()) == 4 && w.agent.reports.Pending() == 0
 		})
 		outcome := w.control.completed()[3]
@@ -68,10 +68,10 @@
 // Symptom: a stream stops in the middle, or an engine is cancelled, because of a blink of the network.
 // Sequence: the link of an entry is lost and comes back while its attempt runs.
 // Cause: the run was tied to the link instead of the lease.
-func TestRunOutlivesALostLink(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-		entry.dispatch(completion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+func TestRunSurvivesLostLink(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+		entry.dispatch(completionDispatch("r1", 1))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		w.network.Reset(entryHost)
 		over := entry.awaitOver("r1", 1)
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, over.GetProof())
--- a/agent/entry_test.go
+++ b/agent/fake_entry_test.go
@@ -11,7 +11,7 @@
 
 // fakeEntry is an entry that does what the test says, over a real link.
 type fakeEntry struct {
-	w           *world
+	w           *testEnv
 	name        string
 	incarnation uint64
 	dialer      *link.AgentDialer
@@ -27,7 +27,7 @@
 }
 
 // startEntry starts an entry that links itself to the agent.
-func (w *world) startEntry(host, name string) *fakeEntry {
+func (w *testEnv) startEntry(host, name string) *fakeEntry {
 	e := &fakeEntry{
 		w:           w,
 		name:        name,
@@ -48,19 +48,19 @@
 		Receive: e.receive,
 		Jitter:  func() float64 { return 0 },
 	}
-	w.control.list(name, e.incarnation)
+	w.control.addEntry(name, e.incarnation)
 	ctx, stop := context.WithCancel(w.t.Context())
 	e.stop = stop
 	go func() {
 		defer close(e.done)
 		_ = e.dialer.Run(ctx)
 	}()
-	w.t.Cleanup(e.die)
+	w.t.Cleanup(e.kill)
 	return e
 }
 
-// die ends the entry as a crash does.
-func (e *fakeEntry) die() {
+// kill ends the entry as a crash does.
+func (e *fakeEntry) kill() {
 	e.stop()
 	<-e.done
 }
@@ -131,7 +131,7 @@
 // awaitOver waits for a proof that an attempt is over.
 func (e *fakeEntry) awaitOver(request string, number uint64) *wire.Over {
 	e.w.t.Helper()
-	e.w.until("proof for "+request, func() bool {
+	e.w.waitUntil("proof for "+request, func() bool {
 		over := e.over(request, number)
 		return over != nil && over.GetProof() != wire.Proof_PROOF_UNPROVEN
 	})
@@ -159,13 +159,13 @@
 // awaitRoom waits until the server takes work straight away.
 func (e *fakeEntry) awaitRoom(server string) {
 	e.w.t.Helper()
-	e.w.until("room at "+server, func() bool { return e.room(server).GetFree() > 0 })
+	e.w.waitUntil("room at "+server, func() bool { return e.room(server).GetFree() > 0 })
 }
 
 const chatBody = `{"model":"sample","messages":[{"role":"user","content":"May I appeal the refusal of my permit?"}],"max_tokens":20}`
 
-// completion is a dispatch of a repeatable model request.
-func completion(request string, number uint64) *wire.Dispatch {
+// completionDispatch is a dispatch of a repeatable model request.
+func completionDispatch(request string, number uint64) *wire.Dispatch {
 	return withBody(&wire.Dispatch{
 		Attempt: &wire.AttemptID{Request: request, Number: number},
 		Server:  "server-1",
@@ -185,8 +185,8 @@
 	}, chatBody)
 }
 
-// issue is a dispatch of a service call that may not be repeated.
-func issue(request string, number uint64) *wire.Dispatch {
+// serviceDispatch is a dispatch of a service call that may not be repeated.
+func serviceDispatch(request string, number uint64) *wire.Dispatch {
 	return withBody(&wire.Dispatch{
 		Attempt: &wire.AttemptID{Request: request, Number: number},
 		Server:  "server-1",
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -32,14 +32,14 @@
 	entryHost2 = "10.0.0.4"
 )
 
-// longWait bounds waits in bubble time; a test that reaches it has failed.
-const longWait = 2 * time.Minute
+// waitTimeout bounds waits in bubble time; a test that reaches it has failed.
+const waitTimeout = 2 * time.Minute
 
-// settleDown is longer than net/http goes on dialling for a call that was given up.
-const settleDown = 5 * time.Second
+// dialDrainTime is longer than net/http goes on dialling for a call that was given up.
+const dialDrainTime = 5 * time.Second
 
-// world is an agent with stand-in engines, entries and a fake of control. It lives in a synctest bubble.
-type world struct {
+// testEnv is an agent with stand-in engines, entries and a fake of control. It lives in a synctest bubble.
+type testEnv struct {
 	t       *testing.T
 	network *memory.Network
 	ledger  *standin.Ledger
@@ -51,11 +51,11 @@
 	senders int // of the agent's servers; 0 is the default
 }
 
-// inWorld runs a test in a bubble.
-func inWorld(t *testing.T, test func(w *world)) {
+// withEnv runs a test in a bubble.
+func withEnv(t *testing.T, test func(w *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		w := &testEnv{
 			t:       t,
 			network: memory.New(),
 			ledger:  standin.NewLedger(1000),
@@ -69,12 +69,12 @@
 		w.http = &http.Client{Transport: transport}
 		test(w)
 		_ = w.stopAgent()
-		time.Sleep(settleDown)
+		time.Sleep(dialDrainTime)
 		transport.CloseIdleConnections()
 	})
 }
 
-func (w *world) settings() settings.Agent {
+func (w *testEnv) settings() settings.Agent {
 	s := settings.DefaultAgent()
 	s.Instance = "agent-1"
 	s.AvailabilityZone = "zone-1"
@@ -86,14 +86,14 @@
 }
 
 // startAgent starts an incarnation of the agent. The one before must have ended.
-func (w *world) startAgent(change ...func(*settings.Agent)) {
+func (w *testEnv) startAgent(change ...func(*settings.Agent)) {
 	w.t.Helper()
 	s := w.settings()
 	for _, f := range change {
 		f(&s)
 	}
 	time.Sleep(time.Millisecond) // so that the incarnations differ
-	w.control.begin()
+	w.control.reset()
 	options := Options{
 		Network:    w.network.Host(agentHost),
 		newSession: func(session.Config) Control { return w.control },
@@ -106,7 +106,7 @@
 	w.run(agent)
 }
 
-func (w *world) run(agent *Agent) {
+func (w *testEnv) run(agent *Agent) {
 	ctx, stop := context.WithCancel(w.t.Context())
 	w.agent = agent
 	w.stop = stop
@@ -115,7 +115,7 @@
 }
 
 // stopAgent stops the agent gracefully.
-func (w *world) stopAgent() error {
+func (w *testEnv) stopAgent() error {
 	if w.stop == nil {
 		return nil
 	}
@@ -125,7 +125,7 @@
 }
 
 // supersede has control list a newer incarnation of the agent.
-func (w *world) supersede() {
+func (w *testEnv) supersede() {
 	view := *w.control.View()
 	view.Agents = map[string]*wire.AgentRecord{
 		"agent-1": {Agent: "agent-1", Incarnation: w.agent.incarnation + 1},
@@ -134,23 +134,23 @@
 }
 
 // killAgent ends the agent as a crash does: nobody hears of it but by its closed connections.
-func (w *world) killAgent() {
+func (w *testEnv) killAgent() {
 	w.t.Helper()
-	w.agent.end()
+	w.agent.cancelBase()
 	<-w.ended
 	w.stop()
 	w.stop = nil
 }
 
 // startEngine starts a stand-in that announces itself to the agent.
-func (w *world) startEngine(options standin.Options) *standin.Server {
+func (w *testEnv) startEngine(options standin.Options) *standin.Server {
 	options.Listen = engineHost + ":0"
 	options.Agent = "http://" + agentHost + ":9100"
 	return w.startStandin(options)
 }
 
 // startStandin starts a stand-in as it is.
-func (w *world) startStandin(options standin.Options) *standin.Server {
+func (w *testEnv) startStandin(options standin.Options) *standin.Server {
 	options.Network = w.network.Host(engineHost)
 	options.Ledger = w.ledger
 	if options.LeaveTimeout == 0 {
@@ -171,13 +171,13 @@
 	return server
 }
 
-// until waits until the condition holds.
-func (w *world) until(what string, holds func() bool) {
+// waitUntil waits waitUntil the condition holds.
+func (w *testEnv) waitUntil(what string, condition func() bool) {
 	w.t.Helper()
-	end := time.Now().Add(longWait)
+	end := time.Now().Add(waitTimeout)
 	for {
 		synctest.Wait()
-		if holds() {
+		if condition() {
 			return
 		}
 		if time.Now().After(end) {
@@ -187,13 +187,13 @@
 	}
 }
 
-func (w *world) ready() {
+func (w *testEnv) waitReady() {
 	w.t.Helper()
-	w.until("agent is ready", func() bool { return w.agent.notReady() == nil })
+	w.waitUntil("agent is ready", func() bool { return w.agent.notReady() == nil })
 }
 
 // call makes an HTTP call to the agent and returns status and body.
-func (w *world) call(method, path string, body any) (int, string) {
+func (w *testEnv) call(method, path string, body any) (int, string) {
 	w.t.Helper()
 	var text []byte
 	switch b := body.(type) {
@@ -217,16 +217,16 @@
 
 // fakeControl is a session whose control does what the test says.
 type fakeControl struct {
-	mu         sync.Mutex
-	running    bool
-	readyErr   error
-	view       *session.View
-	subscriber func(*session.View)
-	sets       [][]*wire.ServerRecord
-	proposed   []*wire.Command
-	failures   int // proposals that fail before one is committed
-	orders     chan *wire.Order
-	results    []*wire.OrderResult
+	mu            sync.Mutex
+	running       bool
+	readyErr      error
+	view          *session.View
+	subscriber    func(*session.View)
+	serverUpdates [][]*wire.ServerRecord
+	proposed      []*wire.Command
+	failures      int // proposals that fail before one is committed
+	orders        chan *wire.Order
+	results       []*wire.OrderResult
 }
 
 func newFakeControl() *fakeControl {
@@ -236,8 +236,8 @@
 	}
 }
 
-// begin prepares the fake for another incarnation of the agent.
-func (c *fakeControl) begin() {
+// reset prepares the fake for another incarnation of the agent.
+func (c *fakeControl) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running = false
@@ -255,7 +255,7 @@
 func (c *fakeControl) SetServers(servers []*wire.ServerRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sets = append(c.sets, servers)
+	c.serverUpdates = append(c.serverUpdates, servers)
 }
 
 func (c *fakeControl) Propose(_ context.Context, command *wire.Command) (*wire.CommandResult, error) {
@@ -304,8 +304,8 @@
 
 func (c *fakeControl) ObserveVersion(uint64) bool { return true }
 
-// list puts an entry into the directory.
-func (c *fakeControl) list(name string, incarnation uint64) {
+// addEntry puts an entry into the directory.
+func (c *fakeControl) addEntry(name string, incarnation uint64) {
 	view := *c.View()
 	view.Entries = maps.Clone(view.Entries)
 	if view.Entries == nil {
@@ -348,16 +348,16 @@
 func (c *fakeControl) registered() []*wire.ServerRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.sets) == 0 {
+	if len(c.serverUpdates) == 0 {
 		return nil
 	}
-	return c.sets[len(c.sets)-1]
+	return c.serverUpdates[len(c.serverUpdates)-1]
 }
 
-func (c *fakeControl) setCount() int {
+func (c *fakeControl) serverUpdateCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.sets)
+	return len(c.serverUpdates)
 }
 
 func (c *fakeControl) commands() []*wire.Command {
--- a/agent/http.go
+++ b/agent/http.go
@@ -20,12 +20,12 @@
 	httpHeaderTimeout = 5 * time.Second
 	httpReadTimeout   = 10 * time.Second
 	httpIdleTimeout   = time.Minute
-	// httpStopTimeout bounds how long calls in progress may take when the agent ends.
-	httpStopTimeout = time.Second
+	// httpShutdownTimeout bounds how long calls in progress may take when the agent ends.
+	httpShutdownTimeout = time.Second
 )
 
-// httpDuty serves HTTP until ctx ends.
-func (a *Agent) httpDuty(ctx context.Context, listener net.Listener) error {
+// serveHTTP serves HTTP until ctx ends.
+func (a *Agent) serveHTTP(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           a.routes(),
 		ReadHeaderTimeout: httpHeaderTimeout,
@@ -33,9 +33,9 @@
 		IdleTimeout:       httpIdleTimeout,
 	}
 	stop := context.AfterFunc(ctx, func() {
-		ended, cancel := context.WithTimeout(context.WithoutCancel(ctx), httpStopTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), httpShutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(ended)
+		_ = server.Shutdown(shutdownCtx)
 	})
 	defer stop()
 	err := server.Serve(listener)
@@ -46,15 +46,15 @@
 }
 
 func (a *Agent) routes() *echo.Echo {
-	e := process.NewRouter(process.Process{Ready: a.readyError, WriteMetrics: a.meter.write}, a.httpError)
+	e := process.NewRouter(process.Process{Ready: a.readinessError, WriteMetrics: a.meter.write}, a.handleError)
 	e.POST("/v1/announce", a.postAnnounce)
 	e.POST("/v1/leave", a.postLeave)
 	e.GET("/v1/leave/:server", a.getLeave)
 	return e
 }
 
-// httpError answers with the numbered code of an error.
-func (a *Agent) httpError(err error, c echo.Context) {
+// handleError answers with the numbered code of an error.
+func (a *Agent) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
--- a/agent/http_announce.go
+++ b/agent/http_announce.go
@@ -9,8 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// announceAnswer is the answer to an announcement.
-type announceAnswer struct {
+// announceResponse is the answer to an announcement.
+type announceResponse struct {
 	Server    string `json:"server"`
 	Condition string `json:"condition"`
 }
@@ -28,14 +28,14 @@
 	if err != nil {
 		return err
 	}
-	s, err := a.servers.admit(record.GetServer())
+	s, err := a.servers.getOrCreateAnnounced(record.GetServer())
 	if err != nil {
 		return err
 	}
 	if err := s.announce(c.Request().Context(), record); err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, announceAnswer{
+	return c.JSON(http.StatusOK, announceResponse{
 		Server:    s.name,
 		Condition: conditionName(s.view.Load().condition),
 	})
--- a/agent/http_leave.go
+++ b/agent/http_leave.go
@@ -9,8 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// leaveAnswer says where a graceful leave stands.
-type leaveAnswer struct {
+// leaveResponse says where a graceful leave stands.
+type leaveResponse struct {
 	Server string            `json:"server"`
 	State  engine.LeaveState `json:"state"`
 }
@@ -28,7 +28,7 @@
 	if err := s.leave(c.Request().Context(), "server"); err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, leaveAnswer{Server: s.name, State: engine.LeaveDraining})
+	return c.JSON(http.StatusOK, leaveResponse{Server: s.name, State: engine.LeaveDraining})
 }
 
 // getLeave serves GET /v1/leave/{server}.
@@ -44,11 +44,11 @@
 	state := engine.LeaveDraining
 	if view.drained {
 		state = engine.LeaveDrained
-		if err := s.push(c.Request().Context(), drainHeard{}); err != nil {
+		if err := s.push(c.Request().Context(), drainedStateRead{}); err != nil {
 			return err
 		}
 	}
-	return c.JSON(http.StatusOK, leaveAnswer{Server: s.name, State: state})
+	return c.JSON(http.StatusOK, leaveResponse{Server: s.name, State: state})
 }
 
 // announcedServer returns a server that has announced itself. Errors have the code unknown_server.
--- a/agent/http_ready.go
+++ b/agent/http_ready.go
@@ -2,8 +2,8 @@
 
 import "github.com/carawaypitch/carawaypitch/result"
 
-// readyError is notReady as an error.
-func (a *Agent) readyError() error {
+// readinessError is notReady as an error.
+func (a *Agent) readinessError() error {
 	if err := a.notReady(); err != nil {
 		return err
 	}
@@ -15,7 +15,7 @@
 	if a.ready.isStopping() {
 		return result.New(result.Stopping, "")
 	}
-	working := false
+	hasReadyServer := false
 	for _, s := range a.servers.all() {
 		view := s.view.Load()
 		switch {
@@ -23,10 +23,10 @@
 		case !view.recovered:
 			return result.New(result.Starting, "backend server %s: streams of an earlier incarnation are being cancelled", s.name)
 		default:
-			working = true
+			hasReadyServer = true
 		}
 	}
-	if !working {
+	if !hasReadyServer {
 		return result.New(result.NoServer, "no backend server announces itself, or all are leaving")
 	}
 	if err := a.session.Ready(); err != nil {
--- a/agent/http_test.go
+++ b/agent/http_test.go
@@ -15,7 +15,7 @@
 
 func announcementText(t *testing.T, change map[string]any) string {
 	t.Helper()
-	encoded, err := json.Marshal(goodAnnouncement())
+	encoded, err := json.Marshal(validAnnouncement())
 	require.NoError(t, err)
 	fields := make(map[string]any)
 	require.NoError(t, json.Unmarshal(encoded, &fields))
@@ -30,8 +30,8 @@
 // Symptom: an agent answers a faulty call with a page, a success, or a crash.
 // Sequence: a server of another version, or a stranger, calls the agent.
 // Cause: the call was not checked, or its refusal has no number.
-func TestFaultyCalls(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestInvalidHTTPCalls(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		tests := []struct {
 			method, path string
@@ -75,7 +75,7 @@
 // Sequence: a stranger announces one server after another.
 // Cause: the number of servers had no bound.
 func TestTooManyServersAreRefused(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		for i := range maxServers {
 			status, _ := w.call("POST", "/v1/announce", announcementText(t, map[string]any{"server": fmt.Sprint("s", i)}))
@@ -91,18 +91,18 @@
 // Sequence: a server announces another address while the engine at the first one runs an attempt; cancels go to the new
 // engine, which has no such stream, and that passes for a proof.
 // Cause: the agent changed to the new address while attempts at the old one were not over.
-func TestMoveWaitsForTheOldEngine(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestAddressChangeWaitsForPreviousEngine(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		text := announcementText(t, map[string]any{"address": "10.0.0.8:9000"})
 		status, body := w.call("POST", "/v1/announce", text)
 		assert.Equal(t, 409, status)
 		assert.Contains(t, body, `"code":1802`)
 
 		w.network.Cut(engineHost, agentHost)
-		w.until("the old address is gone", func() bool { return len(w.control.registered()) == 0 })
+		w.waitUntil("the old address is gone", func() bool { return len(w.control.registered()) == 0 })
 		status, _ = w.call("POST", "/v1/announce", text)
 		assert.Equal(t, 200, status)
 		time.Sleep(5 * time.Second)
--- a/agent/leave_test.go
+++ b/agent/leave_test.go
@@ -14,13 +14,13 @@
 )
 
 // leaveState asks where the leave of server-1 stands.
-func (w *world) leaveState() string {
+func (w *testEnv) leaveState() string {
 	w.t.Helper()
 	_, body := w.call("GET", "/v1/leave/server-1", nil)
 	return body
 }
 
-func (w *world) askToLeave() {
+func (w *testEnv) askToLeave() {
 	w.t.Helper()
 	status, body := w.call("POST", "/v1/leave", engine.Leave{Server: "server-1"})
 	assert.Equal(w.t, 200, status)
@@ -30,21 +30,21 @@
 // Symptom: a stream is cut when its server leaves, or the server gets new work after it asked to leave.
 // Sequence: a server with a long stream asks to leave, and goes on announcing itself; another request comes.
 // Cause: the leave ended what was in flight, or an announcement ended the leave.
-func TestGracefulLeaveCutsNothing(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-		entry.dispatch(withBody(completion("r1", 1), `{"model":"sample","prompt":"a","max_tokens":150}`))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+func TestGracefulLeaveFinishesAttempts(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+		entry.dispatch(withBody(completionDispatch("r1", 1), `{"model":"sample","prompt":"a","max_tokens":150}`))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		w.askToLeave()
-		entry.dispatch(completion("r2", 1))
+		entry.dispatch(completionDispatch("r2", 1))
 		over := entry.awaitOver("r2", 1)
 		assert.Equal(t, wire.Proof_PROOF_NEVER_STARTED, over.GetProof())
 		time.Sleep(5 * time.Second)
 		status, _ := w.call("GET", "/readyz", nil)
 		assert.Equal(t, 503, status)
-		commits := w.control.setCount()
+		commits := w.control.serverUpdateCount()
 		w.askToLeave()
 		time.Sleep(time.Second)
-		assert.Equal(t, commits, w.control.setCount(), "a repeated leave is not committed again")
+		assert.Equal(t, commits, w.control.serverUpdateCount(), "a repeated leave is not committed again")
 		assert.Contains(t, w.leaveState(), `"draining"`)
 		assert.Equal(t, wire.ServerCondition_SERVER_CONDITION_DRAINING, w.control.registered()[0].GetCondition())
 		assert.Zero(t, entry.room("server-1").GetFree())
@@ -52,7 +52,7 @@
 		over = entry.awaitOver("r1", 1)
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, over.GetProof())
 		assert.Equal(t, uint32(150), over.GetAnswer().GetOutputTokens())
-		w.until("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
+		w.waitUntil("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
 		assert.Contains(t, w.leaveState(), `"drained"`)
 		assert.Zero(t, w.ledger.Starts()["r2.1"])
 		assert.Equal(t, wire.ServerCondition_SERVER_CONDITION_DRAINED, w.control.registered()[0].GetCondition())
@@ -62,8 +62,8 @@
 // Symptom: a server that an operator drained, or one that is about to stop, gets new work.
 // Sequence: it goes on announcing itself after it is drained.
 // Cause: an announcement was taken for a return.
-func TestDrainedServerStaysDrainedWhileItGoesOnAnnouncing(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
+func TestDrainedServerStaysDrainedWhileAnnouncing(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
 		w.control.orders <- &wire.Order{
 			Id:        1,
 			Fence:     5,
@@ -71,17 +71,17 @@
 			Kind:      wire.OrderKind_ORDER_KIND_DRAIN,
 			Committed: true,
 		}
-		w.until("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
+		w.waitUntil("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
 		assert.Zero(t, w.control.orderResults()[0].GetCode())
 		time.Sleep(30 * time.Second)
 		assert.True(t, w.agent.servers.get("server-1").view.Load().drained)
-		entry.dispatch(completion("r1", 1))
+		entry.dispatch(completionDispatch("r1", 1))
 		assert.Equal(t, wire.Proof_PROOF_NEVER_STARTED, entry.awaitOver("r1", 1).GetProof())
 	})
 }
 
 // directoryView is a committed directory that has server-1 of this agent in a condition.
-func (w *world) directoryView(condition wire.ServerCondition) *session.View {
+func (w *testEnv) directoryView(condition wire.ServerCondition) *session.View {
 	return &session.View{ConfigVersion: 1, Agents: map[string]*wire.AgentRecord{"agent-1": {
 		Agent:       "agent-1",
 		Incarnation: w.agent.incarnation,
@@ -94,16 +94,16 @@
 // Sequence: control marks the server as draining in the directory and gives no order; or a server left and came back,
 // and the directory that says so is late.
 // Cause: the agent didn't look at its own record in the directory, or took an old one for the operator's wish.
-func TestOperatorsDrainComesWithTheDirectory(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, _ *fakeEntry) {
+func TestOperatorDrainFromDirectory(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, _ *fakeEntry) {
 		view := func() *serverView { return w.agent.servers.get("server-1").view.Load() }
 		draining := w.directoryView(wire.ServerCondition_SERVER_CONDITION_DRAINING)
 		w.askToLeave()
 		w.control.setView(draining)
-		w.until("drained", func() bool { return view().drained })
+		w.waitUntil("drained", func() bool { return view().drained })
 		w.leaveState()
-		w.ready()
-		w.until("back", func() bool { return !view().leaving })
+		w.waitReady()
+		w.waitUntil("back", func() bool { return !view().leaving })
 		w.control.setView(draining)
 		time.Sleep(time.Second)
 		assert.False(t, view().leaving, "that was the server's own leave")
@@ -119,20 +119,20 @@
 		w.control.setView(w.directoryView(wire.ServerCondition_SERVER_CONDITION_READY))
 		synctest.Wait()
 		w.control.setView(draining)
-		w.until("drained by the operator", func() bool { return view().drained })
+		w.waitUntil("drained by the operator", func() bool { return view().drained })
 	})
 }
 
-func TestDrainedServerComesBack(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
+func TestDrainedServerReturns(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
 		w.askToLeave()
-		w.until("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
+		w.waitUntil("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
 		assert.Contains(t, w.leaveState(), `"drained"`)
-		time.Sleep(comeBackAfter / 2)
+		time.Sleep(returnDelay / 2)
 		assert.True(t, w.agent.servers.get("server-1").view.Load().drained, "the last announcement of a stopping server")
-		w.ready()
+		w.waitReady()
 		entry.awaitRoom("server-1")
-		entry.dispatch(completion("r1", 1))
+		entry.dispatch(completionDispatch("r1", 1))
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, entry.awaitOver("r1", 1).GetProof())
 		status, _ := w.call("GET", "/v1/leave/server-1", nil)
 		assert.Equal(t, 404, status)
@@ -143,23 +143,23 @@
 // Sequence: a server stops announcing itself without a word; later it is back.
 // Cause: nobody noticed the silence, or only a part of the directory heard of it.
 func TestSilentServerLeavesTheDirectory(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		options := slowModel()
 		options.LeaveTimeout = time.Nanosecond
 		w.startEngine(options)
-		w.ready()
-		before := w.control.setCount()
+		w.waitReady()
+		before := w.control.serverUpdateCount()
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, before, w.control.setCount(), "announcements that say nothing new are not committed")
+		assert.Equal(t, before, w.control.serverUpdateCount(), "announcements that say nothing new are not committed")
 
 		w.network.Cut(engineHost, agentHost)
-		w.until("suspect", func() bool {
+		w.waitUntil("suspect", func() bool {
 			return w.control.registered()[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_SUSPECT
 		})
-		w.until("gone", func() bool { return len(w.control.registered()) == 0 })
+		w.waitUntil("gone", func() bool { return len(w.control.registered()) == 0 })
 		w.network.Heal(engineHost, agentHost)
-		w.until("back", func() bool {
+		w.waitUntil("back", func() bool {
 			servers := w.control.registered()
 			return len(servers) == 1 && servers[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
 		})
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -17,25 +17,25 @@
 // Otherwise a sum over all processes, which is how such metrics are read, counts each token and each refusal twice: once
 // where the gate decided and once where the caller was answered.
 const (
-	metricRefusals     = "carawaypitch_refusals_total"
-	metricRetries      = "carawaypitch_retries_total"
-	metricPreemptions  = "carawaypitch_preemptions_total"
-	metricGateRefusals = "carawaypitch_gate_refusals_total"
-	metricWasted       = "carawaypitch_gate_wasted_prefill_tokens_total"
-	metricServed       = "carawaypitch_gate_served_tokens_total"
-	metricLeases       = "carawaypitch_leases_expired_total"
-	metricChartErrors  = "carawaypitch_chart_errors_total"
-	metricRuns         = "carawaypitch_engine_runs_total"
-	metricCancels      = "carawaypitch_engine_cancels_total"
-	metricOrders       = "carawaypitch_orders_total"
-	metricRingRefused  = "carawaypitch_ring_refused_total"
-	metricDropped      = "carawaypitch_link_dropped_total"
-	metricPeersRefused = "carawaypitch_link_peers_refused_total"
-	metricDelayed      = "carawaypitch_link_delayed_total"
-	metricCrashes      = "carawaypitch_server_crashes_total"
-	metricAdvice       = "carawaypitch_server_advice_total"
-	metricThrottled    = "carawaypitch_throttled_total"
-	metricMalformed    = "carawaypitch_server_advice_malformed_total"
+	metricRefusals      = "carawaypitch_refusals_total"
+	metricRetries       = "carawaypitch_retries_total"
+	metricPreemptions   = "carawaypitch_preemptions_total"
+	metricGateRefusals  = "carawaypitch_gate_refusals_total"
+	metricWastedPrefill = "carawaypitch_gate_wasted_prefill_tokens_total"
+	metricServedTokens  = "carawaypitch_gate_served_tokens_total"
+	metricLeases        = "carawaypitch_leases_expired_total"
+	metricChartErrors   = "carawaypitch_chart_errors_total"
+	metricRuns          = "carawaypitch_engine_runs_total"
+	metricCancels       = "carawaypitch_engine_cancels_total"
+	metricOrders        = "carawaypitch_orders_total"
+	metricRingRefused   = "carawaypitch_ring_refused_total"
+	metricDropped       = "carawaypitch_link_dropped_total"
+	metricPeersRefused  = "carawaypitch_link_peers_refused_total"
+	metricDelayed       = "carawaypitch_link_delayed_total"
+	metricCrashes       = "carawaypitch_server_crashes_total"
+	metricAdvice        = "carawaypitch_server_advice_total"
+	metricThrottled     = "carawaypitch_throttled_total"
+	metricMalformed     = "carawaypitch_server_advice_malformed_total"
 )
 
 // Reasons of retries.
@@ -73,9 +73,9 @@
 	case gate.Preemptions:
 		m.add(fmt.Sprintf(`%s{tier="%s"}`, metricPreemptions, tier), c.Add)
 	case gate.WastedPrefill:
-		m.add(fmt.Sprintf(`%s{cause=%s}`, metricWasted, label), c.Add)
+		m.add(fmt.Sprintf(`%s{cause=%s}`, metricWastedPrefill, label), c.Add)
 	case gate.ServedTokens:
-		m.add(fmt.Sprintf(`%s{organisation=%s,tier="%s"}`, metricServed, label, tier), c.Add)
+		m.add(fmt.Sprintf(`%s{organisation=%s,tier="%s"}`, metricServedTokens, label, tier), c.Add)
 	case gate.LeasesExpired:
 		m.add(metricLeases, c.Add)
 	case gate.ChartErrors:
@@ -92,7 +92,7 @@
 	m.add(fmt.Sprintf(`%s{reason=%q}`, metricRetries, reason), 1)
 }
 
-func (m *meter) ended(end string) {
+func (m *meter) runEnded(end string) {
 	m.add(fmt.Sprintf(`%s{end=%q}`, metricRuns, end), 1)
 }
 
@@ -101,8 +101,8 @@
 	m.add(metricCrashes, 1)
 }
 
-// advised counts a change of what a server asks of its senders.
-func (m *meter) advised(route backpressure.Route) {
+// adviceChanged counts a change of what a server asks of its senders.
+func (m *meter) adviceChanged(route backpressure.Route) {
 	m.add(fmt.Sprintf(`%s{route=%q}`, metricAdvice, string(route)), 1)
 }
 
--- a/agent/order_call.go
+++ b/agent/order_call.go
@@ -13,7 +13,7 @@
 // callOrder makes one call. It returns false without an error while the order goes on, or if the call failed in a way
 // that says nothing.
 func callOrder(ctx context.Context, client engine.Client, order *wire.Order) (bool, error) {
-	kind, err := engineOrder(order.GetKind())
+	kind, err := engineOrderKind(order.GetKind())
 	if err != nil {
 		return false, err
 	}
@@ -28,10 +28,10 @@
 	if err != nil {
 		return false, orderFailure(err)
 	}
-	return orderState(answer)
+	return isOrderDone(answer)
 }
 
-func engineOrder(kind wire.OrderKind) (engine.OrderKind, error) {
+func engineOrderKind(kind wire.OrderKind) (engine.OrderKind, error) {
 	switch kind {
 	case wire.OrderKind_ORDER_KIND_LOAD:
 		return engine.OrderLoad, nil
@@ -44,8 +44,8 @@
 	}
 }
 
-// orderState reads the engine's word on an order.
-func orderState(answer engine.OrderResult) (bool, error) {
+// isOrderDone reads the engine's word on an order.
+func isOrderDone(answer engine.OrderResult) (bool, error) {
 	switch answer.State {
 	case engine.OrderDone:
 		return true, nil
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -26,49 +26,49 @@
 type orders struct {
 	orderDeps
 
-	mu      sync.Mutex
-	running map[string]uint64 // order under way, by server
+	mu         sync.Mutex
+	inProgress map[string]uint64 // order under way, by server
 }
 
 func newOrders(deps orderDeps) *orders {
 	return &orders{
-		orderDeps: deps,
-		running:   make(map[string]uint64),
+		orderDeps:  deps,
+		inProgress: make(map[string]uint64),
 	}
 }
 
-// take begins an order, or reports at once why not. An order that comes again while it is under way is not begun
+// handle begins an order, or reports at once why not. An order that comes again while it is under way is not begun
 // twice. The session answers one that comes again after its report.
-func (o *orders) take(ctx context.Context, order *wire.Order) {
+func (o *orders) handle(ctx context.Context, order *wire.Order) {
 	s, err := o.check(order)
 	if err != nil {
-		o.finish(order, err)
+		o.reportResult(order, err)
 		return
 	}
 	if order.GetKind() == wire.OrderKind_ORDER_KIND_DRAIN {
-		o.finish(order, s.leave(ctx, "order"))
+		o.reportResult(order, s.leave(ctx, "order"))
 		return
 	}
 	if begun, err := o.begin(order); !begun {
 		if err != nil {
-			o.finish(order, err)
+			o.reportResult(order, err)
 		}
 		return
 	}
 	o.spawn(func(ctx context.Context) {
-		err := o.carryOut(ctx, s, order)
+		err := o.execute(ctx, s, order)
 		o.end(order)
 		if ctx.Err() != nil {
 			// The engine goes on without this agent; the leader asks the next incarnation.
 			return
 		}
-		o.finish(order, err)
+		o.reportResult(order, err)
 	})
 }
 
 // check says whether an order may be begun now.
 func (o *orders) check(order *wire.Order) (*server, error) {
-	if code := o.ready.closed(); code != 0 {
+	if code := o.ready.refusalCode(); code != 0 {
 		return nil, result.New(code, "")
 	}
 	if err := o.fence.check(order); err != nil {
@@ -85,25 +85,25 @@
 func (o *orders) begin(order *wire.Order) (bool, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	running, busy := o.running[order.GetServer()]
+	running, busy := o.inProgress[order.GetServer()]
 	if busy && running == order.GetId() {
 		return false, nil
 	}
 	if busy {
 		return false, result.New(result.ServerBusy, "order %d is under way", running)
 	}
-	o.running[order.GetServer()] = order.GetId()
+	o.inProgress[order.GetServer()] = order.GetId()
 	return true, nil
 }
 
 func (o *orders) end(order *wire.Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.running, order.GetServer())
+	delete(o.inProgress, order.GetServer())
 }
 
-// finish reports what became of an order. A nil err means that it is done.
-func (o *orders) finish(order *wire.Order, err error) {
+// reportResult reports what became of an order. A nil err means that it is done.
+func (o *orders) reportResult(order *wire.Order, err error) {
 	code := result.CodeOf(err)
 	outcome := &wire.OrderResult{
 		Order:  order.GetId(),
@@ -124,9 +124,9 @@
 	o.report(outcome)
 }
 
-// carryOut repeats an order at the engine until the engine is as ordered: the same order again tells how far it is.
+// execute repeats an order at the engine until the engine is as ordered: the same order again tells how far it is.
 // The fence is looked at before each call, since a newer leader may have come meanwhile.
-func (o *orders) carryOut(ctx context.Context, s *server, order *wire.Order) error {
+func (o *orders) execute(ctx context.Context, s *server, order *wire.Order) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	for {
@@ -141,7 +141,7 @@
 		if done || err != nil {
 			return err
 		}
-		if !pause.For(ctx, orderPoll) {
+		if !pause.For(ctx, orderPollInterval) {
 			return result.New(result.OrderExpired, "")
 		}
 	}
--- a/agent/probe.go
+++ b/agent/probe.go
@@ -21,7 +21,7 @@
 			return
 		case <-ticker.C:
 		}
-		if !s.uses(client) {
+		if !s.usesClient(client) {
 			return
 		}
 		if err := s.push(ctx, s.probe(ctx, client)); err != nil {
@@ -30,34 +30,34 @@
 	}
 }
 
-// uses says whether the server still uses the client; any goroutine may ask.
-func (s *server) uses(client engine.Client) bool {
+// usesClient says whether the server still usesClient the client; any goroutine may ask.
+func (s *server) usesClient(client engine.Client) bool {
 	return s.view.Load().client == client
 }
 
 // probe makes one call. An engine without load reports answers the call all the same, so it is alive.
-func (s *server) probe(ctx context.Context, client engine.Client) probed {
+func (s *server) probe(ctx context.Context, client engine.Client) probeResult {
 	callCtx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
-	asked := time.Now()
+	startedAt := time.Now()
 	load, err := client.Load(callCtx)
-	return probed{
+	return probeResult{
 		client:  client,
-		latency: time.Since(asked),
+		latency: time.Since(startedAt),
 		load:    load,
 		err:     err,
 	}
 }
 
-// probed is the outcome of one probe.
-type probed struct {
+// probeResult is the outcome of one probe.
+type probeResult struct {
 	client  engine.Client
 	latency time.Duration
 	load    engine.Load
 	err     error
 }
 
-func (in probed) apply(s *server, now time.Time) {
+func (in probeResult) apply(s *server, now time.Time) {
 	if in.client != s.client {
 		return
 	}
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -22,8 +22,8 @@
 	return r.stopping.Load()
 }
 
-// closed returns the code with which new work and orders are refused, 0 if they may be taken.
-func (r *readiness) closed() result.Code {
+// refusalCode returns the code with which new work and orders are refused, 0 if they may be taken.
+func (r *readiness) refusalCode() result.Code {
 	if r.isStopping() {
 		return result.Stopping
 	}
--- a/agent/release_test.go
+++ b/agent/recovery_test.go
@@ -13,7 +13,7 @@
 // as if all were settled.
 // Sequence: one of two announced servers is proved free, the other isn't yet; or none has announced itself.
 // Cause: the release looked at one server, or took no server for no work.
-func TestReleaseWaitsForAllAnnouncedServers(t *testing.T) {
+func TestRecoveryWaitsForAllAnnouncedServers(t *testing.T) {
 	free := serverView{client: new(engine.HTTP), recovered: true}
 	busy := serverView{client: new(engine.HTTP)}
 	silent := serverView{}
@@ -32,15 +32,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			l := newServers(serverDeps{
-				log:     noLog(),
-				newGate: func() admission { return new(stepRecorder) },
+				log:     discardLog(),
+				newGate: func() serverGate { return new(gateRecorder) },
 			}, func(*server) {}, maxServers)
 			for i, view := range c.views {
-				s := l.expect([]string{"server-1", "server-2"}[i])
+				s := l.getOrCreate([]string{"server-1", "server-2"}[i])
 				require.NotNil(t, s)
 				s.view.Store(&view)
 			}
-			assert.Equal(t, c.isFree, (&Agent{servers: l}).isFree())
+			assert.Equal(t, c.isFree, (&Agent{servers: l}).areServersRecovered())
 		})
 	}
 }
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -17,24 +17,24 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// longCompletion is a completion whose stream takes minutes on a slowModel.
-func longCompletion(request string, number uint64) *wire.Dispatch {
-	return withBody(completion(request, number), strings.Replace(chatBody, `"max_tokens":20`, `"max_tokens":2000`, 1))
+// longCompletionDispatch is a completion whose stream takes minutes on a slowModel.
+func longCompletionDispatch(request string, number uint64) *wire.Dispatch {
+	return withBody(completionDispatch(request, number), strings.Replace(chatBody, `"max_tokens":20`, `"max_tokens":2000`, 1))
 }
 
 // Symptom: a request runs on two engines.
 // Sequence: an agent dies while its engine runs a stream; the engine goes on, and ignores cancels for a while; a new
 // incarnation of the agent says hello, the entry takes that for the proof and runs the request elsewhere.
 // Cause: the new incarnation showed itself before the engine confirmed that the old stream is over.
-func TestRestartShowsItselfOnlyAfterTheEngineIsFree(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestRestartedAgentRegistersAfterEngineRecovery(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		model := w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
-		entry.dispatch(longCompletion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		require.NoError(t, model.SetFaults(standin.Faults{IgnoreCancel: true}))
 		w.killAgent()
 
@@ -49,12 +49,12 @@
 		assert.Contains(t, body, `"code":1401`)
 
 		require.NoError(t, model.SetFaults(standin.Faults{}))
-		w.until("a newer incarnation says hello", func() bool {
+		w.waitUntil("a newer incarnation says hello", func() bool {
 			links, _ := entry.links()
 			return links == 2
 		})
 		assert.Zero(t, w.ledger.Running())
-		w.ready()
+		w.waitReady()
 		assert.True(t, w.control.isRunning())
 	})
 }
@@ -63,13 +63,13 @@
 // Sequence: the last dispatch of a dead agent is still on its way when the new incarnation lists the engine; the list
 // is empty; the engine then starts the stream.
 // Cause: one empty list was taken for the proof.
-func TestListIsMadeTwiceWhenNothingRuns(t *testing.T) {
+func TestEmptyStreamListIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{lists: [][]engine.StreamInfo{
 			nil,
 			{{ID: "r1.1", State: engine.StreamPrefill}},
 		}}
-		streams, err := settledList(t.Context(), client)
+		streams, err := confirmedStreams(t.Context(), client)
 		require.NoError(t, err)
 		assert.Len(t, streams, 1)
 	})
@@ -78,13 +78,13 @@
 // Symptom: two processes with one instance name cancel each other's streams.
 // Sequence: a second agent starts with the settings of the first; both go on.
 // Cause: the older one didn't notice that a newer incarnation is registered.
-func TestNewerIncarnationEndsTheAgent(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestNewerIncarnationStopsAgent(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		w.supersede()
-		w.until("the agent ends", func() bool { return len(w.ended) == 1 })
+		w.waitUntil("the agent ends", func() bool { return len(w.ended) == 1 })
 		assert.ErrorIs(t, <-w.ended, ErrSuperseded)
 		w.stop()
 		w.stop = nil
@@ -146,11 +146,11 @@
 // Symptom: the agent of a plain service never becomes ready.
 // Sequence: a new incarnation asks the service for its streams; a service has no such call.
 // Cause: the missing list was taken for an engine that doesn't answer.
-func TestServiceWithoutListBecomesReady(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestServiceWithoutStreamListBecomesReady(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		w.startEngine(slowService())
-		w.ready()
-		assert.Equal(t, result.Code(0), w.agent.ready.closed())
+		w.waitReady()
+		assert.Equal(t, result.Code(0), w.agent.ready.refusalCode())
 	})
 }
--- a/agent/run_sink.go
+++ b/agent/run_sink.go
@@ -9,15 +9,15 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// errNotTaken ends a run whose events nobody takes any more.
-var errNotTaken = errors.New("agent: events are not taken any more")
+// errRunClosed ends a run whose events nobody takes any more.
+var errRunClosed = errors.New("agent: events are not taken any more")
 
 // runSink receives a run's events and tells the gate duty once for all that are waiting. So a burst of events costs
 // the gate duty one step, and a single event goes on at once.
 type runSink struct {
 	run *engineRun
-	// tell puts a note on the gate duty's ring. It may wait: that is the back-pressure on the engine.
-	tell func(*engineRun) error
+	// notify puts a note on the gate duty's ring. It may wait: that is the back-pressure on the engine.
+	notify func(*engineRun) error
 }
 
 var _ engine.Sink = (*runSink)(nil)
@@ -33,8 +33,8 @@
 // Answer implements engine.Sink. What a model engine says with a status other than 200 is a refusal, and no part of
 // an answer.
 func (s *runSink) Answer(answer engine.Answer) error {
-	s.run.noteType(answer.ContentType)
-	if !s.run.service && answer.Status != http.StatusOK {
+	s.run.setContentType(answer.ContentType)
+	if !s.run.isService && answer.Status != http.StatusOK {
 		return nil
 	}
 	for chunk := range slices.Chunk(answer.Body, serviceChunkBytes) {
@@ -46,29 +46,29 @@
 }
 
 func (s *runSink) put(event []byte, tokens int) error {
-	tell, err := s.run.put(event, tokens)
-	if err != nil || !tell {
+	notify, err := s.run.put(event, tokens)
+	if err != nil || !notify {
 		return err
 	}
-	return s.tell(s.run)
+	return s.notify(s.run)
 }
 
 // put adds an event, and waits while too many bytes are waiting. It returns whether the gate duty must be told.
 func (r *engineRun) put(event []byte, tokens int) (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.bytes > 0 && r.bytes+len(event) > runBufferBytes && !r.closed {
+	for r.bufferedBytes > 0 && r.bufferedBytes+len(event) > runBufferBytes && !r.closed {
 		r.changed.Wait()
 	}
 	if r.closed {
-		return false, errNotTaken
+		return false, errRunClosed
 	}
 	r.events = append(r.events, event)
-	r.bytes += len(event)
+	r.bufferedBytes += len(event)
 	r.tokens = append(r.tokens, uint32(tokens))
-	tell := !r.announced
-	r.announced = true
-	return tell, nil
+	notify := !r.notified
+	r.notified = true
+	return notify, nil
 }
 
 // take returns the events that are waiting, and the tokens in each.
@@ -78,8 +78,8 @@
 	events, tokens := r.events, r.tokens
 	r.events = nil
 	r.tokens = nil
-	r.bytes = 0
-	r.announced = false
+	r.bufferedBytes = 0
+	r.notified = false
 	r.changed.Broadcast()
 	return events, tokens
 }
@@ -92,14 +92,14 @@
 	r.changed.Broadcast()
 }
 
-func (r *engineRun) noteType(contentType string) {
+func (r *engineRun) setContentType(contentType string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.contentType = contentType
 }
 
-// answerType returns the content type that the engine gave, and that of a stream if it gave none.
-func (r *engineRun) answerType() string {
+// contentTypeOrDefault returns the content type that the engine gave, and that of a stream if it gave none.
+func (r *engineRun) contentTypeOrDefault() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.contentType == "" {
--- a/agent/sink_test.go
+++ b/agent/run_sink_test.go
@@ -12,35 +12,35 @@
 )
 
 func newSink(service bool) (*runSink, *engineRun, *int) {
-	dispatch := completion("r1", 1)
+	dispatch := completionDispatch("r1", 1)
 	dispatch.Work.Service = service
 	r := newRun(dispatch, nil, nil)
-	told := 0
-	return &runSink{run: r, tell: func(*engineRun) error {
-		told++
+	notifications := 0
+	return &runSink{run: r, notify: func(*engineRun) error {
+		notifications++
 		return nil
-	}}, r, &told
+	}}, r, &notifications
 }
 
 func TestSinkBatchesEvents(t *testing.T) {
-	sink, r, told := newSink(false)
+	sink, r, notifications := newSink(false)
 	data := []byte("a")
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: data, Tokens: 1}))
 	data[0] = 'x' // the adapter uses its buffer again
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("b"), Tokens: 1}))
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("usage"), UsageOnly: true}))
-	assert.Equal(t, 1, *told, "one note for all that waits")
+	assert.Equal(t, 1, *notifications, "one note for all that waits")
 	events, tokens := r.take()
 	assert.Equal(t, [][]byte{[]byte("a"), []byte("b")}, events)
 	assert.Equal(t, []uint32{1, 1}, tokens)
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("c"), Tokens: 1}))
-	assert.Equal(t, 2, *told)
+	assert.Equal(t, 2, *notifications)
 }
 
-func TestSinkPassesTheUsageThatTheCallerAskedFor(t *testing.T) {
-	dispatch := withBody(completion("r1", 1), `{"stream_options":{"include_usage":true}}`)
+func TestSinkPassesRequestedUsage(t *testing.T) {
+	dispatch := withBody(completionDispatch("r1", 1), `{"stream_options":{"include_usage":true}}`)
 	r := newRun(dispatch, nil, nil)
-	sink := &runSink{run: r, tell: func(*engineRun) error { return nil }}
+	sink := &runSink{run: r, notify: func(*engineRun) error { return nil }}
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("usage"), UsageOnly: true}))
 	events, _ := r.take()
 	assert.Len(t, events, 1)
@@ -49,7 +49,7 @@
 // Symptom: a caller gets an engine's error text as its answer.
 // Sequence: a model engine refuses an attempt with a status other than 200.
 // Cause: the refusal's body was passed on like a part of an answer.
-func TestSinkDropsAModelsRefusal(t *testing.T) {
+func TestSinkDropsModelRefusal(t *testing.T) {
 	refusal := engine.Answer{Status: 503, Body: []byte("busy")}
 	sink, r, _ := newSink(false)
 	require.NoError(t, sink.Answer(refusal))
@@ -62,20 +62,20 @@
 	assert.Len(t, events, 1, "a service's status of any value is its answer")
 }
 
-func TestSinkSplitsAServicesAnswer(t *testing.T) {
+func TestSinkSplitsServiceAnswer(t *testing.T) {
 	sink, r, _ := newSink(true)
 	body := bytes.Repeat([]byte("x"), serviceChunkBytes+1)
 	require.NoError(t, sink.Answer(engine.Answer{Status: 200, ContentType: "text/plain", Body: body}))
 	events, _ := r.take()
 	assert.Len(t, events, 2)
 	assert.Equal(t, body, bytes.Join(events, nil))
-	assert.Equal(t, "text/plain", r.answerType())
+	assert.Equal(t, "text/plain", r.contentTypeOrDefault())
 }
 
 // Symptom: an agent's memory grows until the process dies.
 // Sequence: an engine sends faster than the gate duty takes the events.
 // Cause: the events that wait had no bound.
-func TestSinkHoldsAFastEngineBack(t *testing.T) {
+func TestSinkAppliesBackPressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink, r, _ := newSink(false)
 		big := make([]byte, runBufferBytes/2+1)
@@ -90,6 +90,6 @@
 		go put()
 		synctest.Wait()
 		r.close()
-		assert.ErrorIs(t, <-done, errNotTaken)
+		assert.ErrorIs(t, <-done, errRunClosed)
 	})
 }
--- a/agent/server.go
+++ b/agent/server.go
@@ -15,8 +15,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// admission is the gate of one server as its duty drives it.
-type admission interface {
+// serverGate is the gate of one server as its duty drives it.
+type serverGate interface {
 	Step(now time.Time, event gate.Event) []gate.Action
 	NextTick() time.Duration
 }
@@ -35,22 +35,22 @@
 	ready     *readiness
 	links     entryLinks
 	newEngine func(*wire.ServerRecord) (engine.Client, error)
-	newGate   func() admission
+	newGate   func() serverGate
 	spawn     func(func(ctx context.Context))
-	// changed says that a server's view changed.
-	changed func(*server)
+	// onChange says that a server's view onChange.
+	onChange func(*server)
 	// report hands a report over for control. It never blocks.
 	report func(outbox.Item)
 	// propose has control commit a command.
 	propose func(context.Context, *wire.Command) (*wire.CommandResult, error)
 	// advice returns what the directory has of a server's advice, nil for nothing.
 	advice func(server string) *wire.ServerAdvice
-	// runNames says that each start of a server has another name.
-	runNames bool
-	// senders is how many agents send to the same servers, this one included.
-	senders func() int
-	// linked returns the entries with an open link.
-	linked func() []gate.EntryID
+	// uniqueNamePerStart says that each start of a server has another name.
+	uniqueNamePerStart bool
+	// senderCount is how many agents send to the same servers, this one included.
+	senderCount func() int
+	// linkedEntries returns the entries with an open link.
+	linkedEntries func() []gate.EntryID
 }
 
 // server is one backend server as its gate duty sees it. All fields without another remark are the duty's own.
@@ -59,24 +59,24 @@
 	name string
 	base context.Context // the duty's own, ends with the agent
 
-	forgotten context.Context // ends when the server is forgotten
-	end       context.CancelFunc
+	lifetime    context.Context // ends when the server is forgotten
+	endLifetime context.CancelFunc
 
 	inputs *ring.Ring[input]
-	gate   admission
-	// follow holds events that a step led to. They don't go through the ring: the duty would wait for itself if the
+	gate   serverGate
+	// pending holds events that a step led to. They don't go through the ring: the duty would wait for itself if the
 	// ring were full.
-	follow   []followUp
-	refusing refusal
-	unsent   unsent
-	advised  advised
-
-	record    *wire.ServerRecord // latest announcement, nil before the first
-	client    engine.Client      // nil before the first announcement
-	announced time.Time
-	published *wire.ServerRecord // latest that the gate gave for the directory, nil before its engine is proved free
-	leaving   leaving
-	runs      map[attemptKey]*engineRun
+	pending        []pendingEvent
+	currentRefusal refusal
+	unsent         unsent
+	adviceState    adviceState
+
+	record      *wire.ServerRecord // latest announcement, nil before the first
+	client      engine.Client      // nil before the first announcement
+	announcedAt time.Time
+	gateRecord  *wire.ServerRecord // latest that the gate gave for the directory, nil before its engine is proved free
+	leaving     leaving
+	runs        map[attemptKey]*engineRun
 
 	view atomic.Pointer[serverView] // for other duties
 }
@@ -105,12 +105,12 @@
 	s := &server{
 		serverDeps: deps,
 		name:       name,
-		inputs:     ring.New[input]("gate_inputs", inputRing),
+		inputs:     ring.New[input]("gate_inputs", inputRingCapacity),
 		gate:       deps.newGate(),
 		runs:       make(map[attemptKey]*engineRun),
 	}
-	s.advised.expects.Store(true)
-	s.forgotten, s.end = context.WithCancel(context.Background())
+	s.adviceState.observeEmpty.Store(true)
+	s.lifetime, s.endLifetime = context.WithCancel(context.Background())
 	s.log = deps.log.WithField("server", name)
 	s.view.Store(&serverView{})
 	return s
@@ -125,22 +125,22 @@
 func (s *server) publish() {
 	view := &serverView{
 		client:    s.client,
-		condition: s.published.GetCondition(),
+		condition: s.gateRecord.GetCondition(),
 		recovered: s.recovered(),
-		leaving:   s.leaving.asked,
+		leaving:   s.leaving.requested,
 		drained:   s.leaving.drained,
 	}
 	if s.recovered() && !view.gone() && !s.leaving.departed {
 		view.record = s.directoryRecord(view.condition)
 	}
 	s.view.Store(view)
-	s.changed(s)
+	s.onChange(s)
 }
 
 // recovered says whether the gate found the engine free of what earlier incarnations started. Its first word on the
 // condition says so.
 func (s *server) recovered() bool {
-	return s.published != nil
+	return s.gateRecord != nil
 }
 
 // directoryRecord is the latest announcement with the condition.
--- a/agent/server_actions.go
+++ b/agent/server_actions.go
@@ -22,47 +22,47 @@
 	case gate.Send:
 		s.send(a)
 	case gate.Broadcast:
-		s.links.Broadcast(s.adjust(a.Message))
+		s.links.Broadcast(s.hideFreeRoom(a.Message))
 	case gate.StartEngine:
-		s.start(a.Dispatch)
+		s.startRun(a.Dispatch)
 	case gate.CancelEngine:
-		s.cancel(now, a)
+		s.cancelStream(now, a)
 	case gate.ListEngine:
-		s.list()
+		s.listStreams()
 	case gate.VerifyServer:
-		s.verify()
+		s.verifyServer()
 	case gate.Crashed:
-		s.crashed(a)
+		s.reportCrash(a)
 	case gate.ReportOutcome:
 		s.log.WithField("request", a.Complete.GetRequest()).Info("outcome_reported")
 		s.report(outcomeReport(a.Complete))
 	case gate.ThrottleChanged:
-		s.noteAdvice(now, a)
+		s.logAdvice(now, a)
 	case gate.Throttled:
-		s.noteThrottled(now, a)
+		s.logThrottled(now, a)
 	case gate.ServerChanged:
-		s.noteCondition(a.Server)
+		s.updateCondition(a.Server)
 	case gate.Count:
-		s.meter.count(s.refusing.counted(a))
+		s.meter.count(s.currentRefusal.applyToCount(a))
 	}
 }
 
 func (s *server) send(a gate.Send) {
-	s.refusing.mark(a.Message.GetOver())
-	message := s.adjust(a.Message)
-	inTurn := !mustArrive(message) || !s.unsent.waits(a.Entry)
-	if inTurn && s.links.Send(a.Entry, message) {
+	s.currentRefusal.applyToOver(a.Message.GetOver())
+	message := s.hideFreeRoom(a.Message)
+	inOrder := !needsDelivery(message) || !s.unsent.hasMessagesFor(a.Entry)
+	if inOrder && s.links.Send(a.Entry, message) {
 		return
 	}
-	if !s.keepUnsent(a.Entry, message) {
+	if !s.bufferUnsent(a.Entry, message) {
 		s.meter.dropped()
 	}
 }
 
-// adjust takes the free room out of a Room message while the agent takes no new work.
-func (s *server) adjust(message *wire.AgentMessage) *wire.AgentMessage {
+// hideFreeRoom takes the free room out of a Room message while the agent takes no new work.
+func (s *server) hideFreeRoom(message *wire.AgentMessage) *wire.AgentMessage {
 	room := message.GetRoom()
-	if room == nil || s.ready.closed() == 0 {
+	if room == nil || s.ready.refusalCode() == 0 {
 		return message
 	}
 	// The gate may compare the message that it made with a later one.
@@ -74,24 +74,24 @@
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: room}}
 }
 
-// start runs an attempt at the engine, or refuses it.
+// startRun runs an attempt at the engine, or refuses it.
 //
 // An agent that is cut off from control, or stops, takes no new work. Here is the one place where work begins, so a
 // refusal here holds for dispatches of all ways: straight, after an offer, or from the waiting list. The gate leaves a
 // tombstone as for any call that was never sent.
-func (s *server) start(d *wire.Dispatch) {
+func (s *server) startRun(d *wire.Dispatch) {
 	key := keyOf(d.GetAttempt())
-	why := refusal{key: key, code: s.ready.closed()}
-	if why.code != 0 || s.client == nil || len(s.runs) >= maxRuns || s.runs[key] != nil {
-		s.then(notDispatched(d.GetAttempt()), why)
+	reason := refusal{key: key, code: s.ready.refusalCode()}
+	if reason.code != 0 || s.client == nil || len(s.runs) >= maxRuns || s.runs[key] != nil {
+		s.enqueue(notDispatched(d.GetAttempt()), reason)
 		return
 	}
 	r := newRun(d, s.client, s.record.GetCapabilities())
 	callCtx, stop := context.WithCancel(s.base)
-	r.stop = stop
-	r.beside = len(s.runs)
+	r.disconnect = stop
+	r.concurrentRuns = len(s.runs)
 	s.runs[key] = r
-	s.spawn(func(ctx context.Context) { s.execute(ctx, callCtx, r) })
+	s.spawn(func(ctx context.Context) { s.executeRun(ctx, callCtx, r) })
 }
 
 func notDispatched(id *wire.AttemptID) gate.EngineEnded {
@@ -119,21 +119,21 @@
 	}
 }
 
-// noteCondition takes what the gate wants in the directory.
-func (s *server) noteCondition(record *wire.ServerRecord) {
+// updateCondition takes what the gate wants in the directory.
+func (s *server) updateCondition(record *wire.ServerRecord) {
 	if !s.recovered() {
 		s.log.Info("engine_recovered")
 	}
-	if record.GetCondition() != s.published.GetCondition() {
+	if record.GetCondition() != s.gateRecord.GetCondition() {
 		s.log.WithField("condition", conditionName(record.GetCondition())).Info("server_condition")
 	}
-	s.published = record
+	s.gateRecord = record
 	s.leaving.drained = record.GetCondition() == wire.ServerCondition_SERVER_CONDITION_DRAINED
 	s.publish()
 }
 
-// mark puts the agent's reason in the gate's answer to an attempt that the agent refuses.
-func (r refusal) mark(over *wire.Over) {
+// applyToOver puts the agent's reason in the gate's answer to an attempt that the agent refuses.
+func (r refusal) applyToOver(over *wire.Over) {
 	if r.code == 0 || keyOf(over.GetAttempt()) != r.key || over.GetProof() != wire.Proof_PROOF_NEVER_STARTED {
 		return
 	}
@@ -141,8 +141,8 @@
 	over.Message = r.code.Info().Message
 }
 
-// counted puts the agent's reason in the gate's count of the refusal.
-func (r refusal) counted(c gate.Count) gate.Count {
+// applyToCount puts the agent's reason in the gate's count of the refusal.
+func (r refusal) applyToCount(c gate.Count) gate.Count {
 	if r.code != 0 && c.Counter == gate.Refusals {
 		c.Code = uint16(r.code)
 	}
--- a/agent/server_announce.go
+++ b/agent/server_announce.go
@@ -13,14 +13,14 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// errOtherEngine says that an answer came from an engine that isn't in use any more.
-var errOtherEngine = errors.New("agent: the backend server has another address now")
+// errEngineChanged says that an answer came from an engine that isn't in use any more.
+var errEngineChanged = errors.New("agent: the backend server has another address now")
 
 // announce hands a checked announcement to the gate duty and waits for its word. Errors have the code server_busy (the
 // address or kind changed while the earlier engine may still run something) or malformed_body.
 func (s *server) announce(ctx context.Context, record *wire.ServerRecord) error {
 	reply := make(chan error, 1)
-	if err := s.push(ctx, announcement{record: record, reply: reply}); err != nil {
+	if err := s.push(ctx, announcementInput{record: record, reply: reply}); err != nil {
 		return err
 	}
 	select {
@@ -31,18 +31,18 @@
 	}
 }
 
-type announcement struct {
+type announcementInput struct {
 	record *wire.ServerRecord
 	reply  chan<- error
 }
 
-func (in announcement) apply(s *server, now time.Time) {
-	in.reply <- s.takeAnnouncement(now, in.record)
+func (in announcementInput) apply(s *server, now time.Time) {
+	in.reply <- s.applyAnnouncement(now, in.record)
 }
 
-func (s *server) takeAnnouncement(now time.Time, record *wire.ServerRecord) error {
-	if s.moved(record) {
-		if err := s.letGo(now); err != nil {
+func (s *server) applyAnnouncement(now time.Time, record *wire.ServerRecord) error {
+	if s.engineChanged(record) {
+		if err := s.releaseEngine(now); err != nil {
 			return err
 		}
 	}
@@ -50,11 +50,11 @@
 		return err
 	}
 	known := proto.Equal(s.record, record)
-	s.noteSilence(now)
+	s.detectSilence(now)
 	s.record = record
-	s.announced = now
-	if s.comesBack(now) {
-		s.comeBack(now)
+	s.announcedAt = now
+	if s.isReturning(now) {
+		s.resetAfterReturn(now)
 	}
 	s.step(now, gate.Announced{Server: record})
 	if !known {
@@ -64,28 +64,28 @@
 	return nil
 }
 
-// moved says whether the announcement is of another engine than the one in use.
-func (s *server) moved(record *wire.ServerRecord) bool {
+// engineChanged says whether the announcement is of another engine than the one in use.
+func (s *server) engineChanged(record *wire.ServerRecord) bool {
 	if s.record == nil {
 		return false
 	}
 	return s.record.GetAddress() != record.GetAddress() || s.record.GetKind() != record.GetKind()
 }
 
-// letGo gives up the engine in use for another address.
+// releaseEngine gives up the engine in use for another address.
 //
 // Attempts at the old address can be ended only there. The engine at the new one has never heard of them, and its "no
 // such stream" would pass for a proof while the old one goes on. So a move has to wait until the old engine was proved
 // free, and is now gone or drained without an attempt of which nothing is proved. Announcements that are refused don't
 // count as signs of life, so an engine that really moved is gone soon.
-func (s *server) letGo(now time.Time) error {
-	gone := s.published.GetCondition() == wire.ServerCondition_SERVER_CONDITION_GONE
-	if !gone && !s.comesBack(now) || len(s.runs) > 0 {
+func (s *server) releaseEngine(now time.Time) error {
+	gone := s.gateRecord.GetCondition() == wire.ServerCondition_SERVER_CONDITION_GONE
+	if !gone && !s.isReturning(now) || len(s.runs) > 0 {
 		return result.New(result.ServerBusy, "another address is in use, with %d attempts that are not over", len(s.runs))
 	}
 	closeClient(s.client)
 	s.client = nil
-	s.published = nil
+	s.gateRecord = nil
 	return nil
 }
 
@@ -107,9 +107,9 @@
 	}
 	s.client = client
 	s.publish()
-	s.observe(s.base, client)
-	s.step(time.Now(), gate.SendersChanged{Count: s.senders()})
-	s.learnAdvice(time.Now(), s.advice(s.name))
+	s.subscribeToObservations(s.base, client)
+	s.step(time.Now(), gate.SendersChanged{Count: s.senderCount()})
+	s.applyDirectoryAdvice(time.Now(), s.advice(s.name))
 	s.spawn(func(ctx context.Context) { s.probeLoop(ctx, client) })
 	return nil
 }
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -19,15 +19,15 @@
 const (
 	// verifyTries and verifyPause bound how often and how soon a server that broke off an answer is looked for again while a
 	// look tells nothing: its process may be about to close its listener.
-	verifyTries = 5
-	verifyPause = 50 * time.Millisecond
+	verifyTries    = 5
+	verifyInterval = 50 * time.Millisecond
 )
 
-// verify finds out whether the server's process is still there, for the gate.
-func (s *server) verify() {
+// verifyServer finds out whether the server's process is still there, for the gate.
+func (s *server) verifyServer() {
 	client := s.client
 	if client == nil {
-		s.then(gate.ServerVerified{}, refusal{})
+		s.enqueue(gate.ServerVerified{}, refusal{})
 		return
 	}
 	s.spawn(func(ctx context.Context) {
@@ -46,7 +46,7 @@
 		case err == nil || errors.Is(err, engine.ErrUnsupported) || errors.Is(err, context.DeadlineExceeded):
 			return false
 		}
-		if !pause.For(ctx, verifyPause) {
+		if !pause.For(ctx, verifyInterval) {
 			return false
 		}
 	}
@@ -64,8 +64,8 @@
 	return err
 }
 
-// crashed tells control and the log what the server ran when it crashed.
-func (s *server) crashed(a gate.Crashed) {
+// reportCrash tells control and the log what the server ran when it reportCrash.
+func (s *server) reportCrash(a gate.Crashed) {
 	note := &wire.NoteCrash{Crash: a.Crash}
 	requests := make([]string, 0, len(a.Runs))
 	fingerprints := make([]string, 0, len(a.Runs))
--- a/agent/server_crash_test.go
+++ b/agent/server_crash_test.go
@@ -14,20 +14,20 @@
 	"github.com/carawaypitch/carawaypitch/engine/standin"
 )
 
-// loads is a client whose load calls give these errors, the last one for ever.
-type loads struct {
+// scriptedLoads is a client whose load calls give these errors, the last one for ever.
+type scriptedLoads struct {
 	engine.Client
 	errs  []error
-	asked int
+	calls int
 }
 
-func (l *loads) Load(context.Context) (engine.Load, error) {
-	err := l.errs[min(l.asked, len(l.errs)-1)]
-	l.asked++
+func (l *scriptedLoads) Load(context.Context) (engine.Load, error) {
+	err := l.errs[min(l.calls, len(l.errs)-1)]
+	l.calls++
 	return engine.Load{}, err
 }
 
-func TestOnlyARefusedConnectionShowsThatAProcessEnded(t *testing.T) {
+func TestOnlyRefusedConnectionProvesProcessEnded(t *testing.T) {
 	refused := errors.Wrap(syscall.ECONNREFUSED, "dial")
 	unknown := errors.Wrap(engine.ErrUnknown, "reset")
 	for name, test := range map[string]struct {
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				require.Equal(t, test.ended, processEnded(t.Context(), &loads{errs: test.errs}))
+				require.Equal(t, test.ended, processEnded(t.Context(), &scriptedLoads{errs: test.errs}))
 			})
 		})
 	}
@@ -54,18 +54,18 @@
 // Symptom: on-call can't tell from any line what a server ran when it crashed. Sequence: an engine crashes with two runs, and
 // comes back; later it breaks one answer off without a crash. Cause: crashes that no line and no metric told.
 func TestCrashIsCounted(t *testing.T) {
-	modelWorld(t, func(w *world, model *standin.Server, entry *fakeEntry) {
-		entry.dispatch(longCompletion("r1", 1))
-		entry.dispatch(longCompletion("r2", 1))
-		w.until("the streams run", func() bool { return entry.eventCount("r1", 1) > 3 && entry.eventCount("r2", 1) > 3 })
+	withModelEnv(t, func(w *testEnv, model *standin.Server, entry *fakeEntry) {
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		entry.dispatch(longCompletionDispatch("r2", 1))
+		w.waitUntil("the streams run", func() bool { return entry.eventCount("r1", 1) > 3 && entry.eventCount("r2", 1) > 3 })
 		crashes := w.agent.meter.set.GetOrCreateCounter(metricCrashes)
 		model.Crash(time.Second)
-		w.until("it is noticed", func() bool { return crashes.Get() == 1 })
+		w.waitUntil("it is noticed", func() bool { return crashes.Get() == 1 })
 		entry.awaitOver("r1", 1)
 		entry.awaitOver("r2", 1)
 
 		require.NoError(t, model.SetFaults(standin.Faults{CutAnswer: 1}))
-		entry.dispatch(longCompletion("r3", 1))
+		entry.dispatch(longCompletionDispatch("r3", 1))
 		entry.awaitOver("r3", 1)
 		require.EqualValues(t, 1, crashes.Get())
 	})
--- a/agent/server_loop.go
+++ b/agent/server_loop.go
@@ -21,8 +21,8 @@
 	s.step(now, in.event)
 }
 
-// followUp is an event that a step led to.
-type followUp struct {
+// pendingEvent is an event that a step led to.
+type pendingEvent struct {
 	event   gate.Event
 	refusal refusal
 }
@@ -35,15 +35,15 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.abandonRuns()
+			s.closeRuns()
 			return
 		case in := <-s.inputs.C():
-			s.take(in)
+			s.applyBatch(in)
 			ticks.Within(s.nextTick())
 		case now := <-ticks.C():
 			s.sendUnsent()
-			s.noteDeparture(now)
-			s.shareAdvice(now)
+			s.updateDeparted(now)
+			s.proposeAdvice(now)
 			s.step(now, gate.Tick{})
 			ticks.Fired(s.nextTick())
 		}
@@ -52,17 +52,17 @@
 
 // nextTick is when the duty has to look again, whatever comes meanwhile.
 func (s *server) nextTick() time.Duration {
-	if s.unsent.any() || s.leaving.asked {
+	if s.unsent.any() || s.leaving.requested {
 		return gate.TickInterval
 	}
 	return s.gate.NextTick()
 }
 
-// take applies an input and what else is on the ring, up to inputBatch, so that ticks keep their turn.
-func (s *server) take(in input) {
+// applyBatch applies an input and what else is on the ring, up to inputBatch, so that ticks keep their turn.
+func (s *server) applyBatch(in input) {
 	now := time.Now()
 	in.apply(s, now)
-	for range inputBatch {
+	for range maxInputBatch {
 		select {
 		case in = <-s.inputs.C():
 			in.apply(s, now)
@@ -74,26 +74,26 @@
 
 // step gives an event to the gate, carries out what it wants, and goes on with what follows from that.
 func (s *server) step(now time.Time, event gate.Event) {
-	s.stepRefusing(now, event, refusal{})
+	s.stepWithRefusal(now, event, refusal{})
 }
 
-// stepRefusing is step for an event by which the gate refuses an attempt for a reason that only the agent knows.
-func (s *server) stepRefusing(now time.Time, event gate.Event, why refusal) {
-	s.follow = append(s.follow, followUp{event: event, refusal: why})
-	for len(s.follow) > 0 {
-		next := s.follow[0]
-		s.follow = s.follow[1:]
-		s.refusing = next.refusal
+// stepWithRefusal is step for an event by which the gate refuses an attempt for a reason that only the agent knows.
+func (s *server) stepWithRefusal(now time.Time, event gate.Event, reason refusal) {
+	s.pending = append(s.pending, pendingEvent{event: event, refusal: reason})
+	for len(s.pending) > 0 {
+		next := s.pending[0]
+		s.pending = s.pending[1:]
+		s.currentRefusal = next.refusal
 		for _, action := range s.gate.Step(now, next.event) {
 			s.perform(now, action)
 		}
 	}
-	s.refusing = refusal{}
+	s.currentRefusal = refusal{}
 }
 
-// then lets an event follow the present step.
-func (s *server) then(event gate.Event, why refusal) {
-	s.follow = append(s.follow, followUp{event: event, refusal: why})
+// enqueue lets an event follow the present step.
+func (s *server) enqueue(event gate.Event, reason refusal) {
+	s.pending = append(s.pending, pendingEvent{event: event, refusal: reason})
 }
 
 // refusal names an attempt that the agent refuses, and why. A zero code refuses nothing.
@@ -102,11 +102,11 @@
 	code result.Code
 }
 
-// abandonRuns lets go of what still runs when the agent ends.
-func (s *server) abandonRuns() {
+// closeRuns lets go of what still runs when the agent ends.
+func (s *server) closeRuns() {
 	for _, r := range s.runs {
 		r.close()
-		r.stop()
+		r.disconnect()
 	}
 	closeClient(s.client)
 }
--- a/agent/server_runs.go
+++ b/agent/server_runs.go
@@ -11,18 +11,18 @@
 	"github.com/carawaypitch/carawaypitch/poison"
 )
 
-// errMayArrive turns an engine's "no such stream" into no proof.
-var errMayArrive = errors.New("agent: the dispatch may still be on its way")
+// errDispatchInFlight turns an engine's "no such stream" into no proof.
+var errDispatchInFlight = errors.New("agent: the dispatch may still be on its way")
 
-// execute runs an attempt in a goroutine of its own and tells the gate duty how it ended.
+// executeRun runs an attempt in a goroutine of its own and tells the gate duty how it ended.
 //
 // ctx ends with the agent, callCtx already when the run's connection is dropped. The duty must hear of the end also
 // in the second case.
-func (s *server) execute(ctx, callCtx context.Context, r *engineRun) {
-	defer r.stop()
+func (s *server) executeRun(ctx, callCtx context.Context, r *engineRun) {
+	defer r.disconnect()
 	sink := &runSink{
-		run:  r,
-		tell: func(r *engineRun) error { return s.push(ctx, runProgress{run: r}) },
+		run:    r,
+		notify: func(r *engineRun) error { return s.push(ctx, runProgress{run: r}) },
 	}
 	outcome, err := r.call(callCtx, sink)
 	_ = s.push(ctx, runEnded{run: r, outcome: outcome, err: err})
@@ -32,10 +32,10 @@
 type runProgress struct{ run *engineRun }
 
 func (in runProgress) apply(s *server, now time.Time) {
-	s.passEvents(now, in.run)
+	s.forwardEvents(now, in.run)
 }
 
-func (s *server) passEvents(now time.Time, r *engineRun) {
+func (s *server) forwardEvents(now time.Time, r *engineRun) {
 	events, tokens := r.take()
 	if len(events) == 0 {
 		return
@@ -56,23 +56,23 @@
 
 func (in runEnded) apply(s *server, now time.Time) {
 	r := in.run
-	s.passEvents(now, r)
+	s.forwardEvents(now, r)
 	r.close()
-	r.returned = now
+	r.returnedAt = now
 	s.logEnd(r, in.outcome, in.err)
 	s.step(now, gate.EngineEnded{
 		Attempt:     r.dispatch.GetAttempt(),
 		Outcome:     in.outcome,
 		Err:         in.err,
-		ContentType: r.answerType(),
+		ContentType: r.contentTypeOrDefault(),
 	})
-	if errors.Is(in.err, engine.ErrReplaced) && !s.leaving.asked {
+	if errors.Is(in.err, engine.ErrReplaced) && !s.leaving.requested {
 		// The server is gone, whatever the directory still says: nothing more may go to its address in its name.
-		leaveAsked{reason: "replaced"}.apply(s, now)
+		leaveRequested{reason: "replaced"}.apply(s, now)
 	}
 	// A service's call can't be cancelled, so no later proof is to be had.
-	if proven(in.err) || r.service {
-		s.forget(r)
+	if provesEnd(in.err) || r.isService {
+		s.removeRun(r)
 	}
 }
 
@@ -81,15 +81,15 @@
 	if errors.Is(err, engine.ErrNeverSent) {
 		end = "never_sent"
 	}
-	s.meter.ended(end)
+	s.meter.runEnded(end)
 	entry := s.log.WithField("request", r.key.request).
 		WithField("attempt", r.key.number).
 		WithField("end", end).
 		WithField("class", r.dispatch.GetWork().GetClass()).
 		WithField("fingerprint", poison.Fingerprint(r.dispatch.GetFingerprint()).String()).
 		WithField("prompt", r.dispatch.GetWork().GetPromptTokens()).
-		WithField("ms", r.returned.Sub(r.arrived).Milliseconds()).
-		WithField("beside", r.beside).
+		WithField("ms", r.returnedAt.Sub(r.arrivedAt).Milliseconds()).
+		WithField("beside", r.concurrentRuns).
 		WithField("status", outcome.Status).
 		WithField("tokens", outcome.Tokens)
 	if err != nil {
@@ -99,18 +99,18 @@
 	entry.Info("attempt_ended")
 }
 
-func (s *server) forget(r *engineRun) {
+func (s *server) removeRun(r *engineRun) {
 	if s.runs[r.key] == r {
 		delete(s.runs, r.key)
 	}
 }
 
-// cancel asks the engine to end an attempt. Every call is answered to the gate, which repeats it as needed.
-func (s *server) cancel(now time.Time, a gate.CancelEngine) {
-	answer := cancelAnswered{action: a, run: s.runs[keyOf(a.Attempt)], asked: now, err: errNotDispatched}
+// cancelStream asks the engine to end an attempt. Every call is answered to the gate, which repeats it as needed.
+func (s *server) cancelStream(now time.Time, a gate.CancelEngine) {
+	answer := cancelResult{action: a, run: s.runs[keyOf(a.Attempt)], sentAt: now, err: errNotDispatched}
 	client := s.client
 	if client == nil {
-		s.then(answer.event(), refusal{})
+		s.enqueue(answer.event(), refusal{})
 		return
 	}
 	s.spawn(func(ctx context.Context) {
@@ -121,16 +121,16 @@
 	})
 }
 
-// cancelAnswered carries an engine's answer to a cancel.
-type cancelAnswered struct {
+// cancelResult carries an engine's answer to a cancel.
+type cancelResult struct {
 	action gate.CancelEngine
 	run    *engineRun // nil if the agent runs no such attempt
-	asked  time.Time
+	sentAt time.Time
 	result engine.CancelResult
 	err    error
 }
 
-func (in cancelAnswered) event() gate.EngineCancelled {
+func (in cancelResult) event() gate.EngineCancelled {
 	return gate.EngineCancelled{
 		Attempt: in.action.Attempt,
 		Try:     in.action.Try,
@@ -139,35 +139,35 @@
 	}
 }
 
-func (in cancelAnswered) apply(s *server, now time.Time) {
+func (in cancelResult) apply(s *server, now time.Time) {
 	r := in.run
-	if r != nil && in.err == nil && in.result == engine.CancelUnknownID && !r.settled(in.asked) {
-		in.result, in.err = engine.CancelNone, errMayArrive
+	if r != nil && in.err == nil && in.result == engine.CancelUnknownID && !r.unknownIDProvesEnd(in.sentAt) {
+		in.result, in.err = engine.CancelNone, errDispatchInFlight
 	}
 	s.meter.cancelled(in.result.String())
 	if r != nil && in.result == engine.CancelConfirmed {
-		s.dropLater(r)
+		s.scheduleDisconnect(r)
 	}
 	s.step(now, in.event())
-	if r != nil && in.err == nil && !r.returned.IsZero() {
-		s.forget(r)
+	if r != nil && in.err == nil && !r.returnedAt.IsZero() {
+		s.removeRun(r)
 	}
 }
 
-// settled says whether "no such stream", asked for at that time, proves that the attempt is over.
+// unknownIDProvesEnd says whether "no such stream", asked for at that time, proves that the attempt is over.
 //
 // The run's goroutine and a cancel reach the engine over different connections. A cancel that overtakes the dispatch
 // hears "no such stream", and the engine then starts the attempt all the same: the request would run here and, after
 // the supposed proof, at a second engine. One would notice it as two engines with streams of one request. So it
 // counts only if the engine call had returned, and what it left in the network was read, before the cancel was sent.
-func (r *engineRun) settled(asked time.Time) bool {
-	return !r.returned.IsZero() && asked.Sub(r.returned) >= settleTime
+func (r *engineRun) unknownIDProvesEnd(sentAt time.Time) bool {
+	return !r.returnedAt.IsZero() && sentAt.Sub(r.returnedAt) >= maxDispatchDelay
 }
 
-// dropLater ends the connection of a run that the engine confirmed as cancelled, if the engine doesn't end the stream
+// scheduleDisconnect ends the connection of a run that the engine confirmed as cancelled, if the engine doesn't end the stream
 // itself. A goroutine and a connection would otherwise stay for each stream that a faulty engine never ends.
-func (s *server) dropLater(r *engineRun) {
-	if r.returned.IsZero() {
-		time.AfterFunc(cancelledRunGrace, r.stop)
+func (s *server) scheduleDisconnect(r *engineRun) {
+	if r.returnedAt.IsZero() {
+		time.AfterFunc(cancelledRunGrace, r.disconnect)
 	}
 }
--- a/agent/runs_test.go
+++ b/agent/server_starts_test.go
@@ -10,9 +10,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// startedAt is an announcement of one start of the followed server, which keeps its id.
-func startedAt(started uint64) *wire.Announcement {
-	a := announced("m1", "models", followedAddress)
+// announcementStartedAt is an announcement of one start of the followed server, which keeps its id.
+func announcementStartedAt(started uint64) *wire.Announcement {
+	a := newAnnouncement("m1", "models", followedAddress)
 	a.StartedUnixMs = started
 	return a
 }
@@ -21,11 +21,11 @@
 // and starts again under its id; the agent restarts too, and asks the server, which knows nothing of the attempt. Cause: the
 // later start's ignorance taken for a proof that the earlier one ran nothing. An attempt is at one start of a server, and only
 // what is known of that one says what became of it.
-func TestLaterRunProvesNothingOfAnEarlierOne(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.startFollowing()
-		w.control.setView(followView(2, startedAt(200)))
-		w.until("ready", func() bool { return len(w.control.registered()) == 1 })
+func TestLaterStartProvesNothingAboutEarlierStart(t *testing.T) {
+	withEnv(t, func(w *testEnv) {
+		w.startFollowingAgent()
+		w.control.setView(followView(2, announcementStartedAt(200)))
+		w.waitUntil("ready", func() bool { return len(w.control.registered()) == 1 })
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("m1@200")
 		entry.cancelAt("m1@100", "r1", 1)
@@ -41,24 +41,24 @@
 // Symptom: a server that has just started drains, or is slow to get work. Sequence: it starts again under its id, at once, after a
 // drain, or twice within a heartbeat; what was known of the start before is taken for its own. Cause: what an agent keeps of a
 // server kept by its id: its condition, its pace, its places and that it leaves.
-func TestLaterRunBeginsAnew(t *testing.T) {
-	drains := startedAt(100)
+func TestLaterStartHasFreshState(t *testing.T) {
+	drains := announcementStartedAt(100)
 	drains.Draining = true
 	for name, before := range map[string][]*session.View{
-		"crashed":                  {followView(2, startedAt(100))},
-		"drained":                  {followView(2, startedAt(100)), followView(3, drains)},
-		"ended":                    {followView(2, startedAt(100)), followView(3)},
-		"twice within a heartbeat": {followView(2, startedAt(100)), followView(3, startedAt(150))},
+		"crashed":                  {followView(2, announcementStartedAt(100))},
+		"drained":                  {followView(2, announcementStartedAt(100)), followView(3, drains)},
+		"ended":                    {followView(2, announcementStartedAt(100)), followView(3)},
+		"twice within a heartbeat": {followView(2, announcementStartedAt(100)), followView(3, announcementStartedAt(150))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				w.startFollowing()
+			withEnv(t, func(w *testEnv) {
+				w.startFollowingAgent()
 				for _, view := range before {
 					w.control.setView(view)
 					time.Sleep(10 * time.Millisecond)
 				}
-				w.control.setView(followView(9, startedAt(200)))
-				w.until("the later start is ready, and nothing else", func() bool {
+				w.control.setView(followView(9, announcementStartedAt(200)))
+				w.waitUntil("the later start is ready, and nothing else", func() bool {
 					ready := 0
 					for _, record := range w.control.registered() {
 						isReady := record.GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
--- a/agent/server_list.go
+++ b/agent/server_streams.go
@@ -9,37 +9,37 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// list asks the engine for its streams. The gate wants it when the server announces itself first: an engine may go on
+// listStreams asks the engine for its streams. The gate wants it when the server announces itself first: an engine may go on
 // with what a dead incarnation of this agent started, and the gate cancels that before it admits anything.
-func (s *server) list() {
+func (s *server) listStreams() {
 	client := s.client
 	if client == nil {
-		s.then(gate.EngineListed{Err: errNotDispatched}, refusal{})
+		s.enqueue(gate.EngineListed{Err: errNotDispatched}, refusal{})
 		return
 	}
 	s.spawn(func(ctx context.Context) {
-		streams, err := settledList(ctx, client)
-		_ = s.push(ctx, listed{client: client, streams: streams, err: err})
+		streams, err := confirmedStreams(ctx, client)
+		_ = s.push(ctx, streamsListed{client: client, streams: streams, err: err})
 	})
 }
 
-// settledList lists the engine's streams, and lists them again after settleTime if none runs.
+// confirmedStreams lists the engine's streams, and lists them again after settleTime if none runs.
 //
 // The last dispatch of a dead process may still be on its way when the first list is made, and the engine would start
 // it after it was taken for free. One would notice it as a stream on the engine that no gate knows, and as a request
 // that runs on two engines.
-func settledList(ctx context.Context, client engine.Client) ([]engine.StreamInfo, error) {
-	streams, err := listOnce(ctx, client)
+func confirmedStreams(ctx context.Context, client engine.Client) ([]engine.StreamInfo, error) {
+	streams, err := fetchStreams(ctx, client)
 	if err != nil || anyRunning(streams) {
 		return streams, err
 	}
-	if !pause.For(ctx, settleTime) {
+	if !pause.For(ctx, maxDispatchDelay) {
 		return nil, context.Cause(ctx)
 	}
-	return listOnce(ctx, client)
+	return fetchStreams(ctx, client)
 }
 
-func listOnce(ctx context.Context, client engine.Client) ([]engine.StreamInfo, error) {
+func fetchStreams(ctx context.Context, client engine.Client) ([]engine.StreamInfo, error) {
 	ctx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
 	return client.Streams(ctx)
@@ -54,16 +54,16 @@
 	return false
 }
 
-// listed carries an engine's list of streams.
-type listed struct {
+// streamsListed carries an engine's list of streams.
+type streamsListed struct {
 	client  engine.Client
 	streams []engine.StreamInfo
 	err     error
 }
 
-func (in listed) apply(s *server, now time.Time) {
+func (in streamsListed) apply(s *server, now time.Time) {
 	if in.client != s.client {
-		in.streams, in.err = nil, errOtherEngine
+		in.streams, in.err = nil, errEngineChanged
 	}
 	entry := s.log.WithField("streams", len(in.streams)).WithField("running", anyRunning(in.streams))
 	if in.err != nil {
--- a/agent/servers.go
+++ b/agent/servers.go
@@ -17,23 +17,23 @@
 // servers holds the backend servers of an agent. One that is gone stays known: its gate's tombstones must outlive it.
 type servers struct {
 	deps  serverDeps
-	begin func(*server) // starts the gate duty
-	most  int           // servers
+	start func(*server) // starts the gate duty
+	limit int           // servers
 
 	mu      sync.Mutex
-	list    map[string]*server
+	byName  map[string]*server
 	entries map[gate.EntryID]bool // that are linked
 }
 
-func newServers(deps serverDeps, begin func(*server), most int) *servers {
+func newServers(deps serverDeps, start func(*server), limit int) *servers {
 	l := &servers{
 		deps:    deps,
-		begin:   begin,
-		most:    most,
-		list:    make(map[string]*server),
+		start:   start,
+		limit:   limit,
+		byName:  make(map[string]*server),
 		entries: make(map[gate.EntryID]bool),
 	}
-	l.deps.linked = l.linked
+	l.deps.linkedEntries = l.linkedEntries
 	return l
 }
 
@@ -41,41 +41,41 @@
 func (l *servers) get(name string) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.list[name]
+	return l.byName[name]
 }
 
-// expect returns a server by name, and begins one that isn't known yet. It returns nil if there are too many.
+// getOrCreate returns a server by name, and begins one that isn't known yet. It returns nil if there are too many.
 //
 // A message for a server that has not announced itself yet must meet a gate: its refusal leaves a tombstone, so that
 // a copy of a refused dispatch doesn't run once the server is there.
-func (l *servers) expect(name string) *server {
+func (l *servers) getOrCreate(name string) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.list[name]; s != nil {
+	if s := l.byName[name]; s != nil {
 		return s
 	}
-	if len(l.list) >= l.most || checkName("server", name) != nil {
+	if len(l.byName) >= l.limit || checkName("server", name) != nil {
 		return nil
 	}
 	s := newServer(name, l.deps)
 	for _, id := range sortedEntries(l.entries) {
 		s.inputs.TryPush(gateEvent{gate.EntryConnected{Entry: id}})
 	}
-	l.list[name] = s
-	l.begin(s)
+	l.byName[name] = s
+	l.start(s)
 	return s
 }
 
-// entryUp tells all servers that an entry is linked, also those that are made while it is.
-func (l *servers) entryUp(ctx context.Context, id gate.EntryID) {
+// entryConnected tells all servers that an entry is linked, also those that are made while it is.
+func (l *servers) entryConnected(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, true)
-	l.tellAll(ctx, gateEvent{gate.EntryConnected{Entry: id}})
+	l.broadcast(ctx, gateEvent{gate.EntryConnected{Entry: id}})
 }
 
-// entryDown tells all servers that an entry's link is lost.
-func (l *servers) entryDown(ctx context.Context, id gate.EntryID) {
+// entryDisconnected tells all servers that an entry's link is lost.
+func (l *servers) entryDisconnected(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, false)
-	l.tellAll(ctx, gateEvent{gate.EntryDisconnected{Entry: id}})
+	l.broadcast(ctx, gateEvent{gate.EntryDisconnected{Entry: id}})
 }
 
 func (l *servers) setLinked(id gate.EntryID, linked bool) {
@@ -88,11 +88,11 @@
 	delete(l.entries, id)
 }
 
-// admit is expect for an announcement. Its error has the code ring_full.
-func (l *servers) admit(name string) (*server, error) {
-	s := l.expect(name)
+// getOrCreateAnnounced is expect for an announcement. Its error has the code ring_full.
+func (l *servers) getOrCreateAnnounced(name string) (*server, error) {
+	s := l.getOrCreate(name)
 	if s == nil {
-		return nil, result.New(result.RingFull, "an agent takes at most %d backend servers", l.most)
+		return nil, result.New(result.RingFull, "an agent takes at most %d backend servers", l.limit)
 	}
 	return s, nil
 }
@@ -101,16 +101,16 @@
 func (l *servers) all() []*server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := make([]*server, 0, len(l.list))
-	for _, s := range l.list {
+	list := make([]*server, 0, len(l.byName))
+	for _, s := range l.byName {
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b *server) int { return cmp.Compare(a.name, b.name) })
 	return list
 }
 
-// linked returns the entries with an open link.
-func (l *servers) linked() []gate.EntryID {
+// linkedEntries returns the entries with an open link.
+func (l *servers) linkedEntries() []gate.EntryID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return sortedEntries(l.entries)
@@ -137,8 +137,8 @@
 	return slices.EqualFunc(a, b, func(x, y *wire.ServerRecord) bool { return proto.Equal(x, y) })
 }
 
-// tellAll hands an input to all servers, until ctx ends.
-func (l *servers) tellAll(ctx context.Context, in input) {
+// broadcast hands an input to all servers, until ctx ends.
+func (l *servers) broadcast(ctx context.Context, in input) {
 	for _, s := range l.all() {
 		if s.push(ctx, in) != nil {
 			return
--- a/agent/stop.go
+++ b/agent/shutdown.go
@@ -9,26 +9,26 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// stopDuty waits for the order to stop, and then stops the agent gracefully. own ends with the first of the other duties.
+// shutdown waits for the order to stop, and then stops the agent gracefully. own ends with the first of the other duties.
 //
 // Without the link to control or to the entries nothing can be drained or removed, so the stop ends with them too. An
 // agent whose session had ended went on waiting for what was in flight, for timing.drain, and then for the answer to its
 // removal; its supervisor saw a process that was neither ready nor gone.
-func (a *Agent) stopDuty(order, own context.Context) error {
+func (a *Agent) shutdown(stopCtx, ctx context.Context) error {
 	select {
-	case <-order.Done():
-	case <-own.Done():
+	case <-stopCtx.Done():
+	case <-ctx.Done():
 		return nil
 	}
 	a.log.Info("agent_stopping")
 	a.ready.stop()
 	for _, s := range a.servers.all() {
-		if err := s.leave(own, "stop"); err != nil {
+		if err := s.leave(ctx, "stop"); err != nil {
 			return nil
 		}
 	}
-	drained := a.awaitDrained(own)
-	a.remove(own)
+	drained := a.awaitDrained(ctx)
+	a.deregister(ctx)
 	if !drained {
 		return ErrDrainTimeout
 	}
@@ -38,9 +38,9 @@
 // awaitDrained waits until nothing is in flight and all outcomes are committed. It returns false at the end of
 // timing.drain or of ctx.
 func (a *Agent) awaitDrained(ctx context.Context) bool {
-	end := time.Now().Add(a.settings.Timing.Drain)
+	deadline := time.Now().Add(a.settings.Timing.Drain)
 	for !a.isDrained() {
-		if time.Now().After(end) || !pause.For(ctx, drainPoll) {
+		if time.Now().After(deadline) || !pause.For(ctx, drainPollInterval) {
 			return false
 		}
 	}
@@ -57,13 +57,13 @@
 	return a.reports.Pending() == 0
 }
 
-// remove has control commit that this incarnation left. Without an answer the directory keeps it until control
+// deregister has control commit that this incarnation left. Without an answer the directory keeps it until control
 // notices the silence; entries notice the closed links at once.
-func (a *Agent) remove(ctx context.Context) {
-	if !a.isReleased() {
+func (a *Agent) deregister(ctx context.Context) {
+	if !a.isRecovered() {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, removeTimeout)
+	ctx, stop := context.WithTimeout(ctx, deregisterTimeout)
 	defer stop()
 	answer, err := a.session.Propose(ctx, &wire.Command{
 		Kind: &wire.Command_RemoveAgent{RemoveAgent: &wire.RemoveAgent{
--- a/agent/stop_test.go
+++ b/agent/shutdown_test.go
@@ -16,16 +16,16 @@
 // Symptom: SIGTERM of an agent cuts streams.
 // Sequence: the platform replaces the agent while a stream runs.
 // Cause: the process ended with the signal instead of after the drain.
-func TestStopFinishesWhatIsInFlight(t *testing.T) {
-	modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-		entry.dispatch(withBody(completion("r1", 1), `{"model":"sample","prompt":"a","max_tokens":100}`))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+func TestStopFinishesInFlightAttempts(t *testing.T) {
+	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+		entry.dispatch(withBody(completionDispatch("r1", 1), `{"model":"sample","prompt":"a","max_tokens":100}`))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		w.stop()
 		time.Sleep(time.Second)
 		status, body := w.call("GET", "/readyz", nil)
 		assert.Equal(t, 503, status)
 		assert.Contains(t, body, `"name":"stopping"`)
-		entry.dispatch(completion("r2", 1))
+		entry.dispatch(completionDispatch("r2", 1))
 		assert.Equal(t, wire.Proof_PROOF_NEVER_STARTED, entry.awaitOver("r2", 1).GetProof())
 
 		assert.NoError(t, <-w.ended)
@@ -44,14 +44,14 @@
 // Sequence: SIGTERM comes while a stream runs that doesn't end.
 // Cause: the wait for what is in flight had no bound.
 func TestStopEndsAtTheDrainTimeout(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent(func(s *settings.Agent) { s.Timing.Drain = 10 * time.Second })
 		w.startEngine(slowModel())
-		w.ready()
+		w.waitReady()
 		entry := w.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
-		entry.dispatch(longCompletion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		assert.ErrorIs(t, w.stopAgent(), ErrDrainTimeout)
 	})
 }
@@ -60,19 +60,19 @@
 // Sequence: a stream runs; a newer incarnation of the agent registers, so that the duty of the session ends; in the
 // second case the agent was told to stop just before.
 // Cause: the duty that stops the agent took the end of another duty for the order to stop, and drained without a session.
-func TestEndOfADutyEndsTheStopToo(t *testing.T) {
+func TestFailedActorEndsShutdown(t *testing.T) {
 	for name, ordered := range map[string]bool{"no order to stop": false, "while it drains": true} {
 		t.Run(name, func(t *testing.T) {
-			modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-				entry.dispatch(longCompletion("r1", 1))
-				w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+			withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+				entry.dispatch(longCompletionDispatch("r1", 1))
+				w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 				if ordered {
 					w.stop()
 					time.Sleep(time.Second)
 				}
 				w.supersede()
 				synctest.Wait()
-				time.Sleep(2 * httpStopTimeout)
+				time.Sleep(2 * httpShutdownTimeout)
 				require.Len(w.t, w.ended, 1, "the agent still runs")
 				assert.ErrorIs(t, <-w.ended, ErrSuperseded)
 				w.stop()
@@ -83,7 +83,7 @@
 }
 
 func TestStopWithoutServers(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withEnv(t, func(w *testEnv) {
 		w.startAgent()
 		time.Sleep(5 * time.Second)
 		status, body := w.call("GET", "/readyz", nil)
--- a/agent/timing.go
+++ b/agent/timing.go
@@ -10,31 +10,31 @@
 const (
 	// engineCallTimeout bounds a short call to an engine: cancel, list, load, order.
 	engineCallTimeout = 2 * time.Second
-	// settleTime is how long a dispatch may be under way to an engine after its connection was closed. What a dead
+	// maxDispatchDelay is how long a dispatch may be under way to an engine after its connection was closed. What a dead
 	// process or a closed connection left in the network is read by the engine within it.
-	settleTime = 250 * time.Millisecond
+	maxDispatchDelay = 250 * time.Millisecond
 	// cancelledRunGrace is how long the engine's own end of a stream is awaited after it confirmed the cancel.
 	cancelledRunGrace = time.Second
-	// comeBackAfter is how long after a server was told that it is drained its announcements count again. A stopping
+	// returnDelay is how long after a server was told that it is drained its announcements count again. A stopping
 	// server's last announcement may be under way then.
-	comeBackAfter = 2 * time.Second
-	// departedAfter is the silence after which a drained server leaves the directory.
-	departedAfter = gate.DefaultGoneAfter
+	returnDelay = 2 * time.Second
+	// departureTimeout is the silence after which a drained server leaves the directory.
+	departureTimeout = gate.DefaultGoneAfter
 	// announceWindow is how long a new incarnation waits for announcements before it counts its servers. Every living
 	// server announces itself within a second.
 	announceWindow = 1200 * time.Millisecond
-	// releasePoll is how often it then looks whether all of them are proved free.
-	releasePoll = 50 * time.Millisecond
-	// orderPoll is the interval at which an engine is asked how far an order is.
-	orderPoll = time.Second
+	// recoveryPollInterval is how often it then looks whether all of them are proved free.
+	recoveryPollInterval = 50 * time.Millisecond
+	// orderPollInterval is the interval at which an engine is asked how far an order is.
+	orderPollInterval = time.Second
 	// orderTimeout bounds an order. A model of some hundred gigabytes takes minutes at the weight store's rate.
 	orderTimeout = 30 * time.Minute
 	// pollsPerCutOff is how often control is polled within the bound on its silence, so that lost polls change nothing.
 	pollsPerCutOff = 4
-	// drainPoll is how often a stopping agent looks whether its servers are drained.
-	drainPoll = 50 * time.Millisecond
-	// removeTimeout bounds how long a stopping agent tries to commit its removal.
-	removeTimeout = 10 * time.Second
+	// drainPollInterval is how often a stopping agent looks whether its servers are drained.
+	drainPollInterval = 50 * time.Millisecond
+	// deregisterTimeout bounds how long a stopping agent tries to commit its removal.
+	deregisterTimeout = 10 * time.Second
 )
 
 // Bounds of what an agent holds.
@@ -43,10 +43,10 @@
 	maxServers = 64
 	// maxRuns bounds the attempts that run at one server at a time, above any number of slots in use.
 	maxRuns = 4096
-	// inputRing is the capacity of a gate duty's ring.
-	inputRing = 4096
-	// inputBatch is how many inputs a gate duty takes before it looks at its clock again.
-	inputBatch = 256
+	// inputRingCapacity is the capacity of a gate duty's ring.
+	inputRingCapacity = 4096
+	// maxInputBatch is how many inputs a gate duty takes before it looks at its clock again.
+	maxInputBatch = 256
 	// runBufferBytes bounds the events of one attempt that its gate hasn't taken yet.
 	runBufferBytes = 1 << 20
 	// serviceChunkBytes is the size of the chunks in which a service's answer is passed on.
--- a/agent/unsent.go
+++ b/agent/unsent.go
@@ -28,17 +28,17 @@
 	bytes    int
 }
 
-// mustArrive tells whether nobody would repeat the message while its link stays open. Room is repeated at each
+// needsDelivery tells whether nobody would repeat the message while its link stays open. Room is repeated at each
 // heartbeat, and an offer after it lapsed.
-func mustArrive(message *wire.AgentMessage) bool {
+func needsDelivery(message *wire.AgentMessage) bool {
 	return message.GetOver() != nil || message.GetFrame() != nil || message.GetStarted() != nil
 }
 
 // any tells whether messages are kept.
 func (u *unsent) any() bool { return u.messages > 0 }
 
-// waits tells whether messages for the entry are kept. Later ones go behind them.
-func (u *unsent) waits(id gate.EntryID) bool {
+// hasMessagesFor tells whether messages for the entry are kept. Later ones go behind them.
+func (u *unsent) hasMessagesFor(id gate.EntryID) bool {
 	return len(u.entries[id]) > 0
 }
 
@@ -59,14 +59,14 @@
 
 // first returns the oldest message for the entry, nil if there is none.
 func (u *unsent) first(id gate.EntryID) *wire.AgentMessage {
-	if !u.waits(id) {
+	if !u.hasMessagesFor(id) {
 		return nil
 	}
 	return u.entries[id][0]
 }
 
-// drop forgets the oldest message for the entry.
-func (u *unsent) drop(id gate.EntryID) {
+// removeFirst forgets the oldest message for the entry.
+func (u *unsent) removeFirst(id gate.EntryID) {
 	list := u.entries[id]
 	u.messages--
 	u.bytes -= proto.Size(list[0])
@@ -78,10 +78,10 @@
 	u.entries[id] = list[1:]
 }
 
-// keepUnsent keeps a message that the entry's ring refused. It returns false if the message is lost. A link that isn't
+// bufferUnsent keeps a message that the entry's ring refused. It returns false if the message is lost. A link that isn't
 // open needs nothing kept: the gate repeats all when it opens.
-func (s *server) keepUnsent(id gate.EntryID, message *wire.AgentMessage) bool {
-	if !mustArrive(message) || !s.isLinked(id) || !s.unsent.add(id, message) {
+func (s *server) bufferUnsent(id gate.EntryID, message *wire.AgentMessage) bool {
+	if !needsDelivery(message) || !s.isLinked(id) || !s.unsent.add(id, message) {
 		return false
 	}
 	s.meter.delayed()
@@ -96,11 +96,11 @@
 			if linked && !s.links.Send(id, m) {
 				break
 			}
-			s.unsent.drop(id)
+			s.unsent.removeFirst(id)
 		}
 	}
 }
 
 func (s *server) isLinked(id gate.EntryID) bool {
-	return slices.Contains(s.linked(), id)
+	return slices.Contains(s.linkedEntries(), id)
 }
--- a/agent/unsent_test.go
+++ b/agent/unsent_test.go
@@ -12,13 +12,13 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// narrowLinks take as many messages as there is room.
-type narrowLinks struct {
+// limitedLinks take as many messages as there is room.
+type limitedLinks struct {
 	room int
 	sent []*wire.AgentMessage
 }
 
-func (l *narrowLinks) Send(_ gate.EntryID, message *wire.AgentMessage) bool {
+func (l *limitedLinks) Send(_ gate.EntryID, message *wire.AgentMessage) bool {
 	if l.room == 0 {
 		return false
 	}
@@ -27,16 +27,16 @@
 	return true
 }
 
-func (l *narrowLinks) Broadcast(*wire.AgentMessage) {}
+func (l *limitedLinks) Broadcast(*wire.AgentMessage) {}
 
-// narrowServer is a server whose entry is linked by a ring with so much room.
-func narrowServer(t *testing.T, room int) (*server, *narrowLinks, *[]gate.EntryID) {
+// newLimitedLinkServer is a server whose entry is linked by a ring with so much room.
+func newLimitedLinkServer(t *testing.T, room int) (*server, *limitedLinks, *[]gate.EntryID) {
 	t.Helper()
-	s, _ := bareServer(t.Context(), nil)
-	links := &narrowLinks{room: room}
+	s, _ := newTestServer(t.Context(), nil)
+	links := &limitedLinks{room: room}
 	open := []gate.EntryID{linkedEntry}
 	s.links = links
-	s.linked = func() []gate.EntryID { return open }
+	s.linkedEntries = func() []gate.EntryID { return open }
 	return s, links, &open
 }
 
@@ -62,8 +62,8 @@
 // Sequence: an entry reads slowly for a moment, so that the ring of its link is full; an attempt's last events and its
 // end meet the full ring; the link stays open.
 // Cause: what a full ring refused was only counted, and the gate repeats it only when a link opens.
-func TestEndOfAnAttemptOutlastsAFullRing(t *testing.T) {
-	s, links, _ := narrowServer(t, 1)
+func TestEndOfAttemptSurvivesFullRing(t *testing.T) {
+	s, links, _ := newLimitedLinkServer(t, 1)
 	messages := []*wire.AgentMessage{
 		frameMessage(0, []byte("a")),
 		frameMessage(1, []byte("b")),
@@ -91,7 +91,7 @@
 // Sequence: an entry doesn't read; or its link is lost while messages wait for its ring.
 // Cause: messages that wait without a bound, or that outlive their link, after which the gate repeats them anyway.
 func TestUnsentMessagesAreBounded(t *testing.T) {
-	s, links, open := narrowServer(t, 0)
+	s, links, open := newLimitedLinkServer(t, 0)
 	room := &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: new(wire.Room)}}
 	s.sendAll(room, frameMessage(0, bytes.Repeat([]byte("a"), link.MaxMessage)))
 	assert.Zero(t, s.unsent.messages, "room is told again; a message over the bound never goes")
