--- a/agent/actors.go
+++ b/agent/actors.go
@@ -10,9 +10,10 @@
 	"github.com/carawaypitch/carawaypitch/link"
 )
 
-// Run serves until ctx ends, then stops gracefully: the agent isn't ready any more, takes no new work, lets all in
-// flight finish, and has control commit that it left. It returns nil then, ErrDrainTimeout if attempts were left, and
-// otherwise the error of the first duty that failed, such as ErrSuperseded. It may be called once.
+// Run serves until ctx ends and then shuts down gracefully: it reports that it isn't ready, refuses new work, lets all
+// attempts in flight finish and deregisters from control. It returns nil after a complete shutdown, ErrDrainTimeout if
+// attempts were still in flight at the end of the drain, and otherwise the error of the first actor that failed, such
+// as ErrSuperseded. It may be called once.
 func (a *Agent) Run(ctx context.Context) error {
 	base, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer a.tasks.Wait()
@@ -37,13 +38,13 @@
 	a.addActor(&group, base, a.reports.Run)
 	a.addActor(&group, base, a.serveLinks)
 	a.addActor(&group, base, func(ctx context.Context) error { return a.serveHTTP(ctx, a.httpListener) })
-	a.addActor(&group, base, func(own context.Context) error { return a.shutdown(ctx, own) })
+	a.addActor(&group, base, func(actorCtx context.Context) error { return a.shutdown(ctx, actorCtx) })
 	err := group.Run()
 	a.log.WithField("result", errorText(err)).Info("agent_stopped")
 	return err
 }
 
-// addActor adds a duty that ends with ctx or when another duty has returned.
+// addActor adds an actor that ends with ctx or when another actor has returned.
 func (a *Agent) addActor(group *run.Group, ctx context.Context, actor func(context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group.Add(
@@ -59,7 +60,7 @@
 	return err.Error()
 }
 
-// serveLinks serves the links to entries. The hello names this incarnation, so it waits for the release.
+// serveLinks serves the links to entries. It waits for the recovery, since the hello message names this incarnation.
 func (a *Agent) serveLinks(ctx context.Context) error {
 	if !a.awaitRecovery(ctx) {
 		return a.linkListener.Close()
@@ -70,13 +71,13 @@
 	return nil
 }
 
-// logRefusedPeer notes a process without a certificate of the deployment.
+// logRefusedPeer counts and logs a connection from a process without a certificate of the deployment.
 func (a *Agent) logRefusedPeer(peer net.Addr, err error) {
 	a.meter.add(metricPeersRefused, 1)
 	a.log.WithField("peer", peer.String()).WithError(err).Warn("link_peer_refused")
 }
 
-// spawn runs a task that ends with the agent. Once the agent has ended it runs none.
+// spawn runs a task in a goroutine whose context ends with the agent. It does nothing once the agent has ended.
 func (a *Agent) spawn(task func(ctx context.Context)) {
 	if a.baseContext.Err() != nil {
 		return
@@ -84,7 +85,7 @@
 	a.tasks.Go(func() { task(a.baseContext) })
 }
 
-// startServer starts the gate duty of a server.
+// startServer starts the event loop of a server.
 func (a *Agent) startServer(s *server) {
 	a.spawn(s.runUntilRemoved)
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -22,41 +22,43 @@
 )
 
 // ErrSuperseded ends an agent whose instance name is in use by a newer incarnation: another process with the same
-// settings, or this one after its clock was set back. Were both to go on, each would take the other's streams for its
-// own at the next restart.
+// settings, or this one restarted after its clock was set back. If both went on, each would cancel the other's streams
+// as left over from an earlier incarnation at its next restart.
 var ErrSuperseded = errors.New("agent: a newer incarnation of this instance is registered")
 
-// ErrDrainTimeout ends a stopping agent whose servers were not drained within timing.drain. What still ran is left to
-// the next incarnation, which cancels it.
+// ErrDrainTimeout ends a stopping agent whose servers were not drained within timing.drain. The next incarnation
+// cancels the attempts that were still running.
 var ErrDrainTimeout = errors.New("agent: attempts were in flight at the end of the drain timeout")
 
-// Options are what an agent takes from the program around it. Zero values mean the defaults.
+// Options configure an agent beyond its settings. Zero values select the defaults.
 type Options struct {
-	// Network is how other processes and engines are reached. Default: network.TCP.
+	// Network connects to other processes and engines. Default: network.TCP.
 	Network network.Network
-	// Log receives one entry for each event. Default: none.
+	// Log receives one entry for each event. Default: entries are discarded.
 	Log log.Interface
-	// NewEngine makes the client of an announced backend server, whose address is a base URL. Default: engine.HTTP.
+	// NewEngine returns the client of an announced backend server, whose address is a base URL. Default: engine.HTTP.
 	NewEngine func(record *wire.ServerRecord) (engine.Client, error)
 
-	// Control replaces the session with control, for an agent inside another daemon.
+	// Control replaces the session with control, for an agent that is embedded in another daemon. Nil means an own
+	// session.
 	Control Control
-	// Select chooses the servers of this agent among those that announce themselves to control, see Announced. With it
-	// the agent takes its servers from there and not from announcements at its own address.
+	// Select chooses the servers of this agent among those that announce themselves to control; AtAddress and OfKind
+	// return such functions. If it is set, the agent follows these announcements instead of those at its own address.
 	Select func(*session.View) []*wire.Announcement
-	// ServerAddress is where the backend server beside this agent announces that it is, IP:port. With it the agent takes its server from
-	// control's announcements as with Select, and control sends it no others.
+	// ServerAddress is the address, IP:port, with which the backend server beside this agent announces itself. If it
+	// is set, the agent takes this server from control's announcements as with Select, and control sends it no others.
 	ServerAddress string
-	// Senders returns how many agents send to the servers of this one, which share their rate limits. Default: this one alone.
+	// Senders returns the number of agents that send to the servers of this one and share their rate limits. Default:
+	// 1.
 	Senders func(*session.View) int
-	// MaxServers bounds the backend servers that are known at a time, those that left lately included. Default: maxServers.
+	// MaxServers bounds the backend servers known at a time, including those that left recently. Default: maxServers.
 	MaxServers int
 
-	// newSession makes the session with control. Default: session.New.
+	// newSession returns the session with control. Default: session.New.
 	newSession func(session.Config) Control
 }
 
-// Agent is the daemon beside a backend server. Make it with New and run it once.
+// Agent is the daemon beside a backend server. It is created by New and run once.
 type Agent struct {
 	settings    settings.Agent
 	network     network.Network
@@ -76,23 +78,23 @@
 	orders  *orders
 	reports *outbox.Outbox
 
-	// baseContext ends when the agent is to let go of everything, after the drain. It is set by Run.
+	// baseContext ends after the drain, when the agent stops everything that still runs. It is set by Run.
 	baseContext context.Context
 	cancelBase  context.CancelFunc
-	tasks       sync.WaitGroup // goroutines that are no duties of the group
+	tasks       sync.WaitGroup // goroutines outside of the run group
 
-	directoryConfirmed atomic.Bool   // a quorum has confirmed the directory
-	recovered          chan struct{} // closed when this incarnation may show itself
-	serversChanged     chan struct{} // holds one note
-	viewChanged        chan struct{} // holds one note
+	directoryConfirmed atomic.Bool   // whether a quorum has confirmed the directory
+	recovered          chan struct{} // closed when this incarnation may register and accept entries
+	serversChanged     chan struct{} // holds at most one signal
+	viewChanged        chan struct{} // holds at most one signal
 
 	senders   func(*session.View) int
-	follow    followState          // the follow duty's own
-	directory []*wire.ServerRecord // what control was told last; the directory duty's own
+	follow    followState          // used by followLoop only
+	directory []*wire.ServerRecord // what control was sent last; used by directoryLoop only
 }
 
-// New makes an agent and listens at both of its addresses, but serves nothing yet. Errors are those of listening and
-// of the TLS files.
+// New returns an agent that listens at both of its addresses but serves nothing yet. It fails if an address can't be
+// listened at or the TLS files can't be loaded.
 func New(s settings.Agent, options Options) (*Agent, error) {
 	a := &Agent{
 		settings:       s,
@@ -143,8 +145,8 @@
 }
 
 func discardLog() log.Interface {
-	silent := log.HandlerFunc(func(*log.Entry) error { return nil })
-	return &log.Logger{Handler: silent, Level: log.FatalLevel}
+	handler := log.HandlerFunc(func(*log.Entry) error { return nil })
+	return &log.Logger{Handler: handler, Level: log.FatalLevel}
 }
 
 func (a *Agent) loadTLS() (*tls.Config, error) {
@@ -183,7 +185,7 @@
 	a.session.AddControls(addresses)
 }
 
-// initComponents makes the parts and joins them.
+// initComponents creates the components and connects them.
 func (a *Agent) initComponents(newEngine func(*wire.ServerRecord) (engine.Client, error), serverLimit int) {
 	a.ready = &readiness{control: a.session.Ready}
 	a.links = a.newEntryServer()
@@ -240,7 +242,7 @@
 	})
 }
 
-// newHTTPEngine makes the client of an engine that speaks the protocol of engine.HTTP.
+// newHTTPEngine returns the client of an engine that speaks the protocol of engine.HTTP.
 func (a *Agent) newHTTPEngine(record *wire.ServerRecord) (engine.Client, error) {
 	return engine.NewHTTP(record.GetAddress(), engine.HTTPOptions{
 		MaxAnswerBytes: int64(a.settings.Limits.MaxAnswer),
@@ -271,7 +273,8 @@
 	return config
 }
 
-// advertisedAddress returns the address that entries dial. One with port 0 gets the port that the listener took.
+// advertisedAddress returns the address, IP:port, that entries dial. A configured port of 0 is replaced by the port
+// that the listener got.
 func (a *Agent) advertisedAddress() string {
 	host, port, err := net.SplitHostPort(a.settings.Advertise)
 	if err != nil {
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestServiceCall(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		options := standin.ServiceDefaults()
 		options.Server = "server-1"
-		service := w.startEngine(options)
-		w.waitReady()
-		entry := w.startEntry(entryHost, "entry-1")
+		service := env.startEngine(options)
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 
 		entry.dispatch(serviceDispatch("r1", 1))
@@ -35,13 +35,13 @@
 }
 
 func TestCompletion(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		options := standin.ModelDefaults()
 		options.Server = "server-1"
-		w.startEngine(options)
-		w.waitReady()
-		entry := w.startEntry(entryHost, "entry-1")
+		env.startEngine(options)
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 
 		entry.dispatch(completionDispatch("r1", 1))
--- a/agent/announcement.go
+++ b/agent/announcement.go
@@ -10,20 +10,20 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of an announcement. A server beyond them is misconfigured: one would notice it as an agent whose memory, or
-// whose directory record at control, grows with what a stranger posts.
+// Bounds of an announcement. A server that exceeds them is misconfigured. Without them any caller could grow the
+// agent's memory and its directory record at control.
 const (
 	maxNameBytes = 128
 	maxModels    = 256
 	maxSlots     = 65536
 )
 
-// schemeHTTP is put before an address that is only IP and port.
+// schemeHTTP is prepended to an address that is only IP and port.
 const schemeHTTP = "http://"
 
-// checkAnnouncement checks an announcement whole and returns it as a directory record without a condition. Its
-// address becomes a base URL. The error is a *result.Error of code malformed_body that names the field: nothing of a
-// faulty announcement is taken over, since a server with half a record would get work that it can't do.
+// checkAnnouncement validates a whole announcement and converts it to a directory record without a condition, whose
+// address is a base URL. The error is a *result.Error with the code malformed_body that names the field. Nothing of an
+// invalid announcement is used: a server with an incomplete record would get work that it can't do.
 func checkAnnouncement(a *engine.Announcement) (*wire.ServerRecord, error) {
 	if err := checkName("server", a.Server); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	return result.New(result.MalformedBody, format, args...)
 }
 
-// checkName checks a name that becomes a part of paths, logs and metrics.
+// checkName validates a name that becomes a part of paths, logs and metrics.
 func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameBytes {
 		return malformed("%s: want 1 to %d bytes, got %d", field, maxNameBytes, len(name))
@@ -74,8 +74,8 @@
 	return r <= ' ' || r > '~' || strings.ContainsRune(`"'\/?#%`, r)
 }
 
-// checkModels checks the names of models, which may hold slashes. A model server without a model is one that
-// waits for an order to load one; a service without a name could never be asked for.
+// checkModels validates the names of models, which may contain slashes. A model server may have no model yet and wait
+// for an order to load one; a service without a name could never be addressed.
 func checkModels(a *engine.Announcement) error {
 	if len(a.Models) > maxModels {
 		return malformed("models: want at most %d, got %d", maxModels, len(a.Models))
@@ -108,8 +108,8 @@
 	}, nil
 }
 
-// baseURL reads "IP:port", or a base URL whose host is such, and returns the base URL. Host names are refused: the
-// agent resolves none, and a name could lead to another machine than the one that announced.
+// baseURL converts "IP:port", or a base URL with such a host, to a base URL. Host names are refused: the agent
+// resolves none, and a name could lead to another machine than the one that sent the announcement.
 func baseURL(address string) (string, error) {
 	text := address
 	if !strings.Contains(text, "://") {
--- a/agent/announcement_selection.go
+++ b/agent/announcement_selection.go
@@ -9,17 +9,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// followInterval is how often what control says of the servers counts as a new announcement. It fits three times into
-// the shortest silence after which a gate suspects a server.
+// followInterval is the interval at which the announcements held by control are passed to the gates again. Three of
+// them fit into the shortest silence after which a gate marks a server as suspect.
 const followInterval = time.Second
 
-// followState is what the followState duty knows of the servers that announce themselves to control.
+// followState is the state of followLoop.
 type followState struct {
 	selectServers func(*session.View) []*wire.Announcement
-	endedAt       map[string]time.Time // servers whose end was passed on, and when
+	endedAt       map[string]time.Time // when the end of each server was passed to its gate
 }
 
-// AtAddress selects the servers that announced themselves at an address, which is that of the one beside this agent.
+// AtAddress selects the servers that announced themselves with this address, IP:port, such as the server beside an
+// agent.
 func AtAddress(address string) func(*session.View) []*wire.Announcement {
 	return func(view *session.View) []*wire.Announcement {
 		var found []*wire.Announcement
@@ -46,14 +47,14 @@
 	}
 }
 
-// WithoutAgent selects the model servers that no agent of the directory lists, once that has been so for some time. Only one
-// goroutine may call what it returns.
+// WithoutAgent selects the model servers that no agent in the directory has listed for the duration wait. The function
+// that it returns keeps state and may be called by one goroutine only.
 //
-// A deployment may have model servers with no agent's machine beside them, or lose agents for good. Their servers announce
-// themselves, so they are there, and would get no request at all. One would notice by refusals with "no server" while
-// servers are idle. The wait is for agents that have just started and haven't told of their servers yet.
+// A deployment may have model servers on machines without an agent, or lose agents permanently. Without this selection
+// such servers would announce themselves and yet get no requests: requests would be refused with "no server" while
+// servers are idle. The wait covers agents that have just started and haven't listed their servers yet.
 func WithoutAgent(wait time.Duration) func(*session.View) []*wire.Announcement {
-	unlistedSince := make(map[string]time.Time) // since when each run has had no agent
+	unlistedSince := make(map[string]time.Time) // time since which each start of a server has had no agent
 	models := OfKind(engine.KindModel)
 	return func(view *session.View) []*wire.Announcement {
 		now, listed := time.Now(), ListedByAgents(view)
@@ -78,7 +79,7 @@
 	}
 }
 
-// ListedByAgents are the runs of servers that agents of the directory list.
+// ListedByAgents returns the set of server starts that agents in the directory list, by name.
 func ListedByAgents(view *session.View) map[string]bool {
 	listed := make(map[string]bool)
 	for _, agent := range view.Agents {
@@ -108,7 +109,7 @@
 	return pools
 }
 
-// followLoop takes the servers of this agent from what control says.
+// followLoop keeps the servers of this agent in line with the announcements that control holds.
 func (a *Agent) followLoop(ctx context.Context) error {
 	changed := make(chan struct{}, 1)
 	a.session.Subscribe(func(*session.View) {
@@ -150,7 +151,7 @@
 	a.removeEndedServers(announced, time.Now())
 }
 
-// recordEnd notes a server's end, and tells whether it is news.
+// recordEnd records that a server ended and reports whether this is its first call for the server.
 func (f *followState) recordEnd(server string) bool {
 	if _, known := f.endedAt[server]; known {
 		return false
@@ -159,7 +160,8 @@
 	return true
 }
 
-// followAnnouncement passes one announcement on. A server that leaves is announced first: its gate must know it.
+// followAnnouncement passes an announcement to the server's gate. It announces also a server that is draining, since
+// only an announced server can leave.
 func (a *Agent) followAnnouncement(ctx context.Context, announcement *wire.Announcement, pool *wire.Pool) {
 	run := announcement.Run().String()
 	s, err := a.servers.getOrCreateAnnounced(run)
--- a/agent/announcement_selection_test.go
+++ b/agent/announcement_selection_test.go
@@ -53,8 +53,8 @@
 	require.Empty(t, AtAddress(followedAddress)(&session.View{}))
 }
 
-// Symptom: requests for models are refused with idle servers there. Sequence: a deployment has model servers on machines
-// where no agent runs, or an agent is gone for good. Cause: only an agent beside it took a model server.
+// A model server without an agent must still get requests: a deployment may have model servers on machines without an
+// agent, or lose an agent for good. Otherwise requests are refused while servers are idle.
 func TestServersWithoutAgentAreSelected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		selects := AnyOf(OfKind(engine.KindService), WithoutAgent(time.Second))
@@ -69,7 +69,7 @@
 			slices.Sort(list)
 			return list
 		}
-		require.Equal(t, []string{"d1"}, names(), "its agent may be starting")
+		require.Equal(t, []string{"d1"}, names(), "its agent may still be starting")
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"d1", "m2"}, names())
 		agents := view.Agents
@@ -78,58 +78,57 @@
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"d1", "m1", "m2"}, names())
 		view.Agents = agents
-		require.Equal(t, []string{"d1", "m2"}, names(), "it is the agent's at once")
+		require.Equal(t, []string{"d1", "m2"}, names(), "an agent's listing takes effect at once")
 	})
 }
 
-// startFollowingAgent starts an agent that takes its servers from control, beside a stand-in engine.
-func (w *testEnv) startFollowingAgent() {
-	w.t.Helper()
-	w.startStandin(standin.Options{Server: "m1", Kind: engine.KindModel, Models: []string{"models"}, Slots: 4, Listen: followedAddress})
-	w.control.reset()
-	agent, err := New(w.settings(), Options{
-		Network: w.network.Host(agentHost),
-		Control: w.control,
+// startFollowingAgent starts an agent that takes its servers from control, beside a simulated engine.
+func (env *testEnv) startFollowingAgent() {
+	env.t.Helper()
+	env.startStandin(standin.Options{Server: "m1", Kind: engine.KindModel, Models: []string{"models"}, Slots: 4, Listen: followedAddress})
+	env.control.reset()
+	agent, err := New(env.settings(), Options{
+		Network: env.network.Host(agentHost),
+		Control: env.control,
 
 		ServerAddress: followedAddress,
 	})
-	require.NoError(w.t, err)
-	w.run(agent)
+	require.NoError(env.t, err)
+	env.run(agent)
 }
 
-// Symptom: a model server gets no work any more after its 64th start. Sequence: each start has a new name; the agent keeps
-// what it knows of the earlier ones. Cause: servers that are gone counted against the bound for ever.
+// Ended servers must not count against the limit for good. Each start of a server has a new name, so an agent that
+// kept them would refuse the server after its 64th start.
 func TestEndedServersAreRemoved(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startFollowingAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startFollowingAgent()
 		for i := range uint64(maxServers + 6) {
 			name := fmt.Sprint("start-", i)
-			w.control.setView(followView(i+2, newAnnouncement(name, "models", followedAddress)))
-			w.waitUntil("it is known", func() bool {
-				s := w.agent.servers.get(name)
+			env.control.setView(followView(i+2, newAnnouncement(name, "models", followedAddress)))
+			env.waitUntil("the server is announced", func() bool {
+				s := env.agent.servers.get(name)
 				return s != nil && s.view.Load().announced()
 			})
 			time.Sleep(endedServerRetention / 8)
 		}
-		w.control.setView(followView(1000))
+		env.control.setView(followView(1000))
 		time.Sleep(endedServerRetention + 10*time.Second)
-		require.Empty(t, w.agent.servers.all())
+		require.Empty(t, env.agent.servers.all())
 	})
 }
 
-// Symptom: an agent never shows itself. Sequence: its server announces itself to control and not to the agent; the agent
-// waits for an announcement before it opens its session, over which alone it could hear of one. Cause: the two wait for
-// each other.
+// An agent whose server announces itself only to control must open its session before it knows of a server. If it
+// waited for an announcement first, it would wait forever, since only the session delivers one.
 func TestAgentTakesServerFromControl(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startFollowingAgent()
-		require.Nil(t, w.control.registered())
-		w.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
-		w.waitUntil("the server is registered", func() bool {
-			records := w.control.registered()
+	withEnv(t, func(env *testEnv) {
+		env.startFollowingAgent()
+		require.Nil(t, env.control.registered())
+		env.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
+		env.waitUntil("the server is registered", func() bool {
+			records := env.control.registered()
 			return len(records) == 1 && records[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
 		})
-		record := w.control.registered()[0]
+		record := env.control.registered()[0]
 		require.Equal(t, "m1", record.GetServer())
 		require.Equal(t, []string{"models"}, record.GetModels())
 		require.Equal(t, settings.KindModel, record.GetKind())
@@ -138,20 +137,20 @@
 	})
 }
 
-// Symptom: a server that leaves gets new work. Sequence: control says that it drains, or has it no longer. Cause: an
-// agent that only listens for new servers.
+// A server that control reports as draining, or no longer lists, must get no new work. An agent that only watches for
+// new servers would miss both.
 func TestServerEndedInDirectoryIsDrained(t *testing.T) {
-	drains := newAnnouncement("m1", "models", followedAddress)
-	drains.Draining = true
-	for name, after := range map[string]*session.View{"drains": followView(3, drains), "ended": followView(3)} {
+	drainingAnnouncement := newAnnouncement("m1", "models", followedAddress)
+	drainingAnnouncement.Draining = true
+	for name, after := range map[string]*session.View{"drains": followView(3, drainingAnnouncement), "ended": followView(3)} {
 		t.Run(name, func(t *testing.T) {
-			withEnv(t, func(w *testEnv) {
-				w.startFollowingAgent()
-				w.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
-				w.waitUntil("ready", func() bool { return len(w.control.registered()) == 1 })
-				w.control.setView(after)
-				w.waitUntil("drained", func() bool {
-					records := w.control.registered()
+			withEnv(t, func(env *testEnv) {
+				env.startFollowingAgent()
+				env.control.setView(followView(2, newAnnouncement("m1", "models", followedAddress)))
+				env.waitUntil("the server is ready", func() bool { return len(env.control.registered()) == 1 })
+				env.control.setView(after)
+				env.waitUntil("the server is drained", func() bool {
+					records := env.control.registered()
 					return len(records) == 1 && records[0].GetCondition() == wire.ServerCondition_SERVER_CONDITION_DRAINED
 				})
 			})
--- a/agent/announcement_test.go
+++ b/agent/announcement_test.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// validAnnouncement is one that the checks accept.
+// validAnnouncement returns an announcement that passes all checks.
 func validAnnouncement() *engine.Announcement {
 	return &engine.Announcement{
 		Server:  "server-1",
@@ -39,9 +39,8 @@
 	}
 }
 
-// Symptom: an agent registers a server that can't be dialled, or takes work that it can't do.
-// Sequence: a misconfigured server announces itself with one wrong field; the agent takes the rest over.
-// Cause: the announcement wasn't checked whole before a part of it was used.
+// An announcement with one invalid field must be refused as a whole. Otherwise the agent registers a server that can't
+// be dialled, or takes work that the server can't do.
 func TestCheckAnnouncementRefuses(t *testing.T) {
 	tests := map[string]func(*engine.Announcement){
 		"server":                     func(a *engine.Announcement) { a.Server = "" },
--- a/agent/attempts_test.go
+++ b/agent/attempts_test.go
@@ -15,64 +15,61 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// withModelEnv is a world with a slow model engine, a linked entry and room.
-func withModelEnv(t *testing.T, test func(w *testEnv, model *standin.Server, entry *fakeEntry)) {
+// withModelEnv runs a test with a slow model engine, a linked entry and free room.
+func withModelEnv(t *testing.T, test func(env *testEnv, model *standin.Server, entry *fakeEntry)) {
 	t.Helper()
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		model := w.startEngine(slowModel())
-		w.waitReady()
-		entry := w.startEntry(entryHost, "entry-1")
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		model := env.startEngine(slowModel())
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
-		test(w, model, entry)
+		test(env, model, entry)
 	})
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: the connection to the engine is lost; the engine goes on and, for a while, ignores cancels; the entry hears
-// that the attempt is over and starts the next one elsewhere.
-// Cause: the lost connection was taken for the end of the stream.
+// A lost connection to the engine doesn't end the stream: the engine may go on and ignore cancels for a while. If it
+// were taken as a proof, the entry would start the next attempt elsewhere and two engines would run the request.
 func TestLostConnectionDoesNotProveEnd(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, model *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, model *standin.Server, entry *fakeEntry) {
 		entry.dispatch(longCompletionDispatch("r1", 1))
-		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		require.NoError(t, model.SetFaults(standin.Faults{IgnoreCancel: true}))
-		w.network.Reset(engineHost)
+		env.network.Reset(engineHost)
 
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, 1, w.ledger.Running())
+		assert.Equal(t, 1, env.ledger.Running())
 		assert.Equal(t, wire.Proof_PROOF_UNPROVEN, entry.over("r1", 1).GetProof())
 
 		require.NoError(t, model.SetFaults(standin.Faults{}))
 		over := entry.awaitOver("r1", 1)
 		assert.Equal(t, wire.Proof_PROOF_CANCELLED, over.GetProof())
-		assert.Zero(t, w.ledger.Running())
+		assert.Zero(t, env.ledger.Running())
 	})
 }
 
-// Symptom: work that its entry gave up runs all the same.
-// Sequence: a cancel overtakes the dispatch of its attempt, or the dispatch comes twice, or late.
-// Cause: the agent forgot what it had said of an attempt that it had never run.
+// Work that its entry has cancelled must not run, also if the cancel overtakes the dispatch or the dispatch arrives
+// twice or late. The agent has to remember its answer for attempts that it never ran.
 func TestCancelAndDispatchInAnyOrder(t *testing.T) {
 	tests := map[string]struct {
-		act    func(w *testEnv, e *fakeEntry)
+		act    func(env *testEnv, e *fakeEntry)
 		starts int
 	}{
-		"late dispatch": {
-			act: func(w *testEnv, e *fakeEntry) {
+		"dispatch after the cancel": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
 				e.dispatch(completionDispatch("r1", 1))
 			},
 		},
-		"lost dispatch": {
-			act: func(w *testEnv, e *fakeEntry) {
+		"dispatch lost": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
 			},
 		},
-		"doubled dispatch": {
-			act: func(w *testEnv, e *fakeEntry) {
+		"duplicate dispatch": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.dispatch(completionDispatch("r1", 1))
 				e.dispatch(completionDispatch("r1", 1))
 				e.awaitOver("r1", 1)
@@ -80,10 +77,10 @@
 			},
 			starts: 1,
 		},
-		"dispatch again after its cancel": {
-			act: func(w *testEnv, e *fakeEntry) {
+		"duplicate dispatch after the cancel": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.dispatch(longCompletionDispatch("r1", 1))
-				w.waitUntil("it runs", func() bool { return e.eventCount("r1", 1) > 1 })
+				env.waitUntil("the stream runs", func() bool { return e.eventCount("r1", 1) > 1 })
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
 				e.dispatch(longCompletionDispatch("r1", 1))
@@ -93,20 +90,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
-				test.act(w, entry)
+			withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
+				test.act(env, entry)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, test.starts, w.ledger.Starts()["r1.1"])
-				assert.Zero(t, w.ledger.Running())
+				assert.Equal(t, test.starts, env.ledger.Starts()["r1.1"])
+				assert.Zero(t, env.ledger.Running())
 			})
 		})
 	}
 }
 
-// gateRecorder is an admission that keeps its events and does what the test says.
+// gateRecorder is a serverGate that records its events and returns scripted actions.
 type gateRecorder struct {
 	events  []gate.Event
-	actions []gate.Action // of the next step
+	actions []gate.Action // returned by the next step
 }
 
 func (r *gateRecorder) Step(_ time.Time, event gate.Event) []gate.Action {
@@ -116,10 +113,10 @@
 	return actions
 }
 
-// NextTick implements admission.
+// NextTick implements serverGate.
 func (r *gateRecorder) NextTick() time.Duration { return gate.TickInterval }
 
-// cancels returns the answers to cancels that the gate got.
+// cancels returns the answers to cancels that the gate received.
 func (r *gateRecorder) cancels() []gate.EngineCancelled {
 	var list []gate.EngineCancelled
 	for _, event := range r.events {
@@ -130,8 +127,8 @@
 	return list
 }
 
-// newTestServer is a server with a scripted engine, without an agent around it. Its duty doesn't run: drain applies what
-// is on its ring.
+// newTestServer returns a server with a scripted engine and without an agent. Its event loop doesn't run: applyInputs
+// applies what is on its ring.
 func newTestServer(ctx context.Context, client engine.Client) (*server, *gateRecorder) {
 	recorder := new(gateRecorder)
 	s := newServer("server-1", serverDeps{
@@ -162,16 +159,14 @@
 	}
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: an attempt is cancelled before its dispatch reached the engine, or just after its connection was closed;
-// the engine says that it has no such stream, which passes for a proof; then the dispatch arrives and the stream runs.
-// Cause: "no such stream" proves an end only if the dispatch can't arrive any more.
+// A cancel may reach the engine before the dispatch does, or just after its connection was closed. The engine's "no
+// such stream" is no proof then: the dispatch may still arrive, and the request would run on two engines.
 func TestUnknownStreamIsNoProofWhileDispatchMayArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		returns := make(chan struct{})
+		finishCall := make(chan struct{})
 		client := &scriptedEngine{
 			run: func(context.Context) (engine.Outcome, error) {
-				<-returns
+				<-finishCall
 				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown}
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelUnknownID, nil },
@@ -188,10 +183,10 @@
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
 
-		assert.Error(t, cancel().Err, "the call goes on")
-		close(returns)
+		assert.Error(t, cancel().Err, "the engine call has not returned")
+		close(finishCall)
 		s.applyInputs()
-		assert.Error(t, cancel().Err, "what the call left in the network may not be read yet")
+		assert.Error(t, cancel().Err, "the dispatch may still be in flight")
 		time.Sleep(maxDispatchDelay)
 		answer := cancel()
 		assert.NoError(t, answer.Err)
@@ -200,9 +195,8 @@
 	})
 }
 
-// Symptom: connections and goroutines of cancelled streams stay for ever.
-// Sequence: an engine confirms a cancel and never ends the stream.
-// Cause: nothing but the engine's end of the stream ended the run.
+// An engine may confirm a cancel and never end the stream. The run must end nevertheless, or its connection and
+// goroutine would be leaked.
 func TestRunIsDroppedAfterConfirmedCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{
@@ -226,9 +220,8 @@
 	})
 }
 
-// Symptom: a cancel at the engine misses a resumed attempt, which then runs beside the next one.
-// Sequence: an attempt resumes the stream of an earlier one; whoever cancels it names the later attempt.
-// Cause: the engine knew the resumed stream under the earlier attempt's identity.
+// A resumed attempt must run under its own ID at the engine, not that of the attempt it resumes. Otherwise a cancel of
+// the attempt misses it, and it runs beside the next one.
 func TestResumeUsesItsOwnAttemptID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
@@ -247,9 +240,8 @@
 	})
 }
 
-// Symptom: a caller gets an answer put together from two different ones.
-// Sequence: an attempt that should go on at token 3 is dispatched to an engine that can't resume.
-// Cause: it was run from its beginning, and only the tokens after the third were passed on.
+// An attempt that resumes at token 3 must not start on an engine that can't resume. It would run from the beginning,
+// and the caller would get an answer combined from two different ones.
 func TestResumeIsRefusedWithoutEngineSupport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
--- a/agent/control.go
+++ b/agent/control.go
@@ -8,7 +8,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Control is what the agent needs of its session with control. Package session gives it.
+// Control is the part of a session with control that the agent uses. session.Session implements it.
 type Control interface {
 	Run(ctx context.Context) error
 	SetServers(servers []*wire.ServerRecord)
@@ -24,9 +24,9 @@
 
 var _ Control = (*session.Session)(nil)
 
-// runSession keeps the session with control. The session registers this incarnation at once, so it waits for the
-// release. An agent that hears of its servers from control needs the session before; the session then holds the
-// registration back.
+// runSession runs the session with control. The session registers this incarnation at once, so it is started after the
+// recovery. An agent that takes its servers from control needs the session earlier; the session then delays the
+// registration itself until the recovery.
 func (a *Agent) runSession(ctx context.Context) error {
 	if a.follow.selectServers == nil && !a.awaitRecovery(ctx) {
 		return nil
@@ -38,7 +38,7 @@
 	return err
 }
 
-// signalServerChanged says that the directory record may have changed. It is called by gate duties.
+// signalServerChanged signals that the directory record may have changed. The servers' event loops call it.
 func (a *Agent) signalServerChanged(*server) {
 	select {
 	case a.serversChanged <- struct{}{}:
@@ -46,7 +46,7 @@
 	}
 }
 
-// directoryLoop keeps the directory record as the servers are. Announcements that change nothing lead to no commit.
+// directoryLoop keeps the directory record in line with the servers. Announcements without a change cause no commit.
 func (a *Agent) directoryLoop(ctx context.Context) error {
 	for {
 		select {
@@ -67,7 +67,7 @@
 	a.session.SetServers(records)
 }
 
-// viewLoop takes what control committed.
+// viewLoop applies each new committed view: advice, a newer incarnation of this agent, drains and ended entries.
 func (a *Agent) viewLoop(ctx context.Context) error {
 	a.session.Subscribe(func(*session.View) {
 		select {
@@ -98,13 +98,13 @@
 	}
 }
 
-// forwardedAdvice is what the gates were told of the advice of their servers. A gate that begins reads it itself.
+// forwardedAdvice is the advice that the gates were last sent. A new gate reads the directory's advice itself.
 type forwardedAdvice struct {
 	senders  int
 	versions map[string]uint64
 }
 
-// forwardAdvice tells the gates what has changed in the directory's advice, and how many agents share it.
+// forwardAdvice sends the gates what has changed in the directory's advice, and the number of agents that share it.
 func (a *Agent) forwardAdvice(ctx context.Context, forwarded *forwardedAdvice, view *session.View) {
 	if senders := a.senders(view); senders != forwarded.senders {
 		forwarded.senders = senders
@@ -132,12 +132,12 @@
 	}
 }
 
-// entryIncarnations remembers which entry incarnations control has in its directory.
+// entryIncarnations tracks which entry incarnations are in the directory.
 type entryIncarnations struct {
 	known map[gate.EntryID]bool
 }
 
-// update takes all entries and returns the incarnations that are there no longer.
+// update replaces the tracked entries and returns the incarnations that have disappeared.
 func (e *entryIncarnations) update(entries map[string]*wire.EntryRecord) []gate.EntryID {
 	known := make(map[gate.EntryID]bool, len(entries))
 	for _, entry := range entries {
@@ -153,7 +153,7 @@
 	return ended
 }
 
-// orderLoop takes orders.
+// orderLoop handles the orders from control.
 func (a *Agent) orderLoop(ctx context.Context) error {
 	for {
 		select {
--- a/agent/cutoff_test.go
+++ b/agent/cutoff_test.go
@@ -11,14 +11,13 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: an agent serves by a configuration that was replaced long ago.
-// Sequence: the agent is silently cut off from control; entries go on dispatching to it.
-// Cause: it took new work although nothing told it that its view is fresh.
+// An agent that is cut off from control must take no new work, since its configuration may have been replaced. Entries
+// may go on dispatching to it.
 func TestCutOffAgentTakesNoNewWork(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		entry.dispatch(withBody(completionDispatch("r1", 1), `{"model":"sample","prompt":"a","max_tokens":100}`))
-		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
-		w.control.setReady(result.New(result.CutOffFromControl, ""))
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		env.control.setReady(result.New(result.CutOffFromControl, ""))
 
 		entry.dispatch(completionDispatch("r2", 1))
 		over := entry.awaitOver("r2", 1)
@@ -32,20 +31,20 @@
 		over = entry.awaitOver("r3", 1)
 		assert.Equal(t, wire.Proof_PROOF_NEVER_STARTED, over.GetProof())
 		assert.Equal(t, uint32(result.CutOffFromControl), over.GetCode())
-		w.control.orders <- loadOrder(1, 5, "new")
-		assert.Equal(t, uint32(result.CutOffFromControl), w.awaitResult(1).GetCode())
+		env.control.orders <- loadOrder(1, 5, "new")
+		assert.Equal(t, uint32(result.CutOffFromControl), env.awaitResult(1).GetCode())
 
-		status, body := w.call("GET", "/readyz", nil)
+		status, body := env.call("GET", "/readyz", nil)
 		assert.Equal(t, 503, status)
 		assert.Contains(t, body, `"code":1403`)
-		_, metrics := w.call("GET", "/metrics", nil)
+		_, metrics := env.call("GET", "/metrics", nil)
 		assert.Contains(t, metrics, metricGateRefusals+`{code="1403",tier="2"} 2`)
-		assert.Equal(t, wire.Proof_PROOF_COMPLETED, entry.awaitOver("r1", 1).GetProof(), "in flight goes on")
+		assert.Equal(t, wire.Proof_PROOF_COMPLETED, entry.awaitOver("r1", 1).GetProof(), "attempts in flight continue")
 
-		w.control.setReady(nil)
-		entry.dispatch(completionDispatch("r2", 1)) // a copy of the refused one
+		env.control.setReady(nil)
+		entry.dispatch(completionDispatch("r2", 1)) // a copy of the refused dispatch
 		time.Sleep(5 * time.Second)
-		assert.Zero(t, w.ledger.Starts()["r2.1"], "never started means never")
+		assert.Zero(t, env.ledger.Starts()["r2.1"], "an attempt reported as never started must not run")
 		entry.dispatch(completionDispatch("r2", 2))
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, entry.awaitOver("r2", 2).GetProof())
 	})
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,26 +1,27 @@
-// Package agent is the daemon beside a backend server, and the only way to it: it takes the server's announcements,
-// registers it with control, admits work of all entries through one gate for each server, runs it on the engine,
-// cancels it, and proves to entries and control how it ended.
+// Package agent implements the daemon beside a backend server, through which all requests to that server go: it
+// receives the server's announcements, registers it with control, admits work of all entries through one gate for each
+// server, runs it on the engine, cancels it, and proves to entries and control how it ended.
 //
-// An Agent is a set of duties, one goroutine each, under oklog/run:
+// An Agent is a set of actors under oklog/run, one goroutine each:
 //
-//   - HTTP: announcements, leaves and what the platform asks (http*.go);
-//   - links: messages of entries (entries.go);
-//   - for each backend server a gate duty, which alone touches that server's gate.Gate (server*.go), a prober
-//     (probe.go), and one goroutine for each attempt that runs on the engine (run*.go);
-//   - the session with control and what follows from it: the directory record (control.go), orders (orders.go,
-//     order_call.go, fence.go), outcomes of operations whose entry is gone (report.go);
-//   - release and stop (release.go, stop.go).
+//   - HTTP: announcements, leaves, and the platform's health and metrics endpoints;
+//   - links: messages of entries;
+//   - the session with control and what follows from it: the directory record, orders, and the outcomes of operations
+//     whose entry has ended;
+//   - recovery and graceful shutdown.
 //
-// A gate duty never waits: what it has to do elsewhere goes to a goroutine or a bounded ring, and what comes back
-// arrives on its own ring.
+// Each backend server has an event loop, the only goroutine that uses the server's gate.Gate. It also has a prober,
+// and one goroutine for each attempt that runs on the engine.
+//
+// An event loop never blocks: work that may block runs in another goroutine or goes through a bounded ring, and
+// results arrive on the loop's own ring.
 //
 // # Restart
 //
-// A new incarnation first lets the gates of all announced servers list and cancel what their engines run, until the
-// engines confirm that nothing is left. Only then it registers with control, says hello to entries and admits work. A
-// server that doesn't announce itself within announceWindow is not waited for. So entries take a newer incarnation for
-// the proof that the attempts of older ones are over only at the servers that it speaks of: a gate says nothing of its
-// server before the engine is proved free. A plain service has no list of its calls and can't cancel them; its gate only
-// waits for a while, and that is no proof.
+// After a start, the gates of all announced servers first list and cancel what their engines run, until the engines
+// confirm that nothing is left. Only then does the new incarnation register with control, accept links of entries and
+// admit work. It does not wait for a server that doesn't announce itself within announceWindow. Therefore entries take
+// a newer incarnation as proof that attempts of older ones have ended only for the servers that it reports on: a gate
+// reports nothing about its server until the engine is confirmed free. A plain service has no list of its calls and
+// can't cancel them; its gate only waits for a while, and that proves nothing.
 package agent
--- a/agent/drain_detector.go
+++ b/agent/drain_detector.go
@@ -9,10 +9,10 @@
 // drainDetector finds in the committed directory which servers of this agent an operator drained. Control marks such a
 // server as draining although its agent registered it as ready.
 //
-// Only a change to draining counts. A server that left and came back is still draining in the directory until its new
-// registration is committed; taken by itself that would drain it again.
+// Only a transition to draining counts. A server that left and returned is still draining in the directory until its
+// new registration is committed; the condition alone would drain it again.
 type drainDetector struct {
-	conditions map[string]wire.ServerCondition // of the last directory, by server
+	conditions map[string]wire.ServerCondition // by server, in the last directory
 }
 
 // update takes this agent's record, nil if the directory has none of this incarnation, and returns the servers that
@@ -31,7 +31,7 @@
 	return drained
 }
 
-// drainServers lets servers leave that don't already.
+// drainServers starts a graceful leave of the servers that aren't leaving already.
 func (a *Agent) drainServers(ctx context.Context, names []string) {
 	for _, name := range names {
 		if s := a.servers.get(name); s != nil && !s.view.Load().leaving {
--- a/agent/ended_servers.go
+++ b/agent/ended_servers.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// endedServerRetention is how long a backend server whose name has ended stays known after it was drained: longer than a message
-// about it can be under way. Its tombstones aren't needed beyond that, since the name never comes back.
+// endedServerRetention is how long a backend server whose name has ended is kept after it was drained. It exceeds the
+// time for which a message about it can be in flight. Its tombstones aren't needed longer, since the name is never
+// used again.
 const endedServerRetention = 30 * time.Second
 
-// removeEndedServers forgets backend servers whose names have ended for good, and ends their gate duties.
+// removeEndedServers removes drained backend servers whose names have ended for good, and ends their event loops.
 //
-// A platform gives each start of a server a new name. Without this an agent that lives through 64 starts of its server
-// takes no more, so that the server gets no work any longer, and each server that is gone goes on costing a tick.
+// The platform gives each start of a server a new name. Without the removal an agent would reach its limit after 64
+// starts of its server and refuse the next one, so that the server would get no more work, and each ended server would
+// go on costing a tick.
 func (a *Agent) removeEndedServers(announced map[string]bool, now time.Time) {
 	for _, s := range a.servers.all() {
 		since, ended := a.follow.endedAt[s.name]
@@ -25,7 +27,7 @@
 	}
 }
 
-// remove ends a server's duty. Messages about it meet a new gate, which never has an engine.
+// remove ends the event loop of a server. Later messages about it create a new gate, which never has an engine.
 func (l *servers) remove(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +37,7 @@
 	}
 }
 
-// runUntilRemoved runs the gate duty until ctx ends or the server is forgotten.
+// runUntilRemoved runs the event loop until ctx ends or the server is removed.
 func (s *server) runUntilRemoved(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/agent/engine_run.go
+++ b/agent/engine_run.go
@@ -24,38 +24,38 @@
 	return attemptKey{request: id.GetRequest(), number: id.GetNumber()}
 }
 
-// engineID is the identity of an attempt at its engine. Every call for an attempt uses this one, also a resumed one,
-// so that whoever knows the attempt can cancel it at the engine.
+// engineID returns the ID of an attempt at its engine. All calls for the attempt use it, also for a resumed one, so
+// that everyone who knows the attempt can cancel it at the engine.
 func engineID(id *wire.AttemptID) engine.AttemptID {
 	return engine.AttemptID(id.GetRequest() + "." + strconv.FormatUint(id.GetNumber(), 10))
 }
 
-// engineRun is one attempt at the engine. Its goroutine calls the engine; its gate duty takes the events.
+// engineRun is one attempt at the engine. Its goroutine calls the engine; the server's event loop takes the events.
 //
-// The context of a run is the server's and never a link's. Were it tied to the link, the loss of a link would drop
-// the engine's connection: an engine that goes on after that would run an attempt that nobody reads, and one would
-// notice it as an outcome that stays unknown although the engine finished.
+// The context of a run is derived from the server's and not from that of a link. Otherwise the loss of a link would
+// close the connection to the engine: an engine that goes on after that would run an attempt whose answer is not read,
+// and its outcome would stay unknown although the engine finished.
 type engineRun struct {
 	dispatch      *wire.Dispatch
 	key           attemptKey
 	client        engine.Client
-	isService     bool // a plain service and no model
-	canResume     bool // the engine can resume
-	canTransferKV bool // the engine can export and import KV cache
+	isService     bool // a plain service, not a model
+	canResume     bool // whether the engine can resume
+	canTransferKV bool // whether the engine can export and import KV cache
 	wantsUsage    bool
-	disconnect    context.CancelFunc // drops the engine's connection
+	disconnect    context.CancelFunc // closes the connection to the engine
 
-	arrivedAt      time.Time // when the dispatch came
-	concurrentRuns int       // other runs at that time
-	returnedAt     time.Time // when the engine call returned, zero while it goes on; the gate duty's own
+	arrivedAt      time.Time // when the dispatch was received
+	concurrentRuns int       // other runs of the server at that time
+	returnedAt     time.Time // when the engine call returned, zero while it runs; used by the event loop only
 
 	mu            sync.Mutex
 	changed       *sync.Cond
 	events        [][]byte
 	tokens        []uint32 // in each of events
 	bufferedBytes int
-	notified      bool // the gate duty was told that there are events
-	closed        bool // nobody takes events any more
+	notified      bool // whether the event loop was notified of waiting events
+	closed        bool // whether further events are refused
 	contentType   string
 }
 
@@ -74,7 +74,7 @@
 	return r
 }
 
-// wantsUsage says whether the caller asked for the usage event. The adapter always asks the engine for it.
+// wantsUsage reports whether the caller asked for the usage event. The adapter always asks the engine for it.
 func wantsUsage(body []byte) bool {
 	var parsed struct {
 		Options struct {
@@ -110,7 +110,7 @@
 	return r.client.Run(ctx, request, sink)
 }
 
-// verbatimRequest makes the request of a dispatch that is passed on as its caller wrote it.
+// verbatimRequest returns the engine request of a dispatch that is passed on as its caller sent it.
 func (r *engineRun) verbatimRequest() engine.Request {
 	d := r.dispatch
 	work := d.GetWork()
@@ -141,8 +141,9 @@
 	return request
 }
 
-// resume goes on with an answer of which earlier attempts delivered the first tokens. Without the engine's support
-// the attempt never starts: a run from the beginning would give other tokens, and the caller a mixture of two answers.
+// resume continues an answer whose first tokens were delivered by earlier attempts. If the engine doesn't support
+// that, the attempt never starts: a run from the beginning could give other tokens, and the caller would get a mixture
+// of two answers.
 func (r *engineRun) resume(ctx context.Context, sink engine.Sink) (engine.Outcome, error) {
 	d := r.dispatch
 	id := engineID(d.GetAttempt())
@@ -160,8 +161,8 @@
 	return r.client.Resume(ctx, id, int(d.GetResumeTokens()), d.GetBody(), sink)
 }
 
-// transferKVCache gives the KV cache of an earlier attempt to this one. A failure costs only a second prefill: the engine
-// then begins anew from the body.
+// transferKVCache copies the KV cache of an earlier attempt to this one. A failure only costs a second prefill, since
+// the engine then begins again from the body.
 func (r *engineRun) transferKVCache(ctx context.Context, from, to engine.AttemptID) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
@@ -172,7 +173,7 @@
 	_ = r.client.ImportKV(ctx, to, cache)
 }
 
-// provesEnd says whether a returned call proves that the attempt is over.
+// provesEnd reports whether the error of a returned engine call, nil included, proves that the attempt is over.
 func provesEnd(err error) bool {
 	return err == nil || errors.Is(err, engine.ErrNeverSent)
 }
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// newEntryServer makes the link server whose messages go to the gate duties.
+// newEntryServer returns the link server that passes messages of entries to the servers' event loops.
 func (a *Agent) newEntryServer() *link.EntryServer {
 	return &link.EntryServer{
 		Hello:   a.hello,
@@ -24,12 +24,12 @@
 	}
 }
 
-// admitEntry lets in only entry incarnations that control has in its directory, once a quorum has confirmed that.
+// admitEntry accepts only entry incarnations that are in a directory confirmed by a quorum. It returns nil for those.
 //
-// The leases of an ended entry are void, but an agent that starts knows of no ended entries. Otherwise: an entry is cut
-// off from control but not from the agents; control ends it, another entry takes its request over and has every proof;
-// an agent restarts; the ended entry links to it and dispatches, beside the new owner's attempt. One would notice by two
-// engines at one request.
+// The leases of an ended entry are void, but an agent that has just started knows of no ended entries. Without this
+// check: an entry is cut off from control but not from the agents; control removes it, and another entry takes over
+// its request with every proof that it needs; an agent restarts; the removed entry connects to it and dispatches, so
+// that two engines run one request.
 func (a *Agent) admitEntry(hello *wire.EntryHello) error {
 	if !a.directoryConfirmed.Load() {
 		if err := a.session.Ready(); err != nil {
@@ -66,7 +66,8 @@
 	a.servers.entryDisconnected(a.baseContext, gate.EntryID(id))
 }
 
-// receive passes a message of an entry to the gate of its server, a heartbeat to all gates.
+// receive passes a message of an entry to the event loop of the server that it names, a heartbeat to those of all
+// servers.
 func (a *Agent) receive(ctx context.Context, id link.EntryID, message *wire.EntryMessage) error {
 	entry := gate.EntryID(id)
 	if heartbeat := message.GetHeartbeat(); heartbeat != nil {
@@ -86,7 +87,7 @@
 	return s.push(ctx, entryMessage{entry: entry, message: message})
 }
 
-// serverAndAttempt returns the server and the attempt that a message is about; no attempt if it is about none.
+// serverAndAttempt returns the server and the attempt that a message is about. The attempt is nil if it is about none.
 func serverAndAttempt(message *wire.EntryMessage) (string, *wire.AttemptID) {
 	switch kind := message.GetKind().(type) {
 	case *wire.EntryMessage_Reserve:
@@ -104,8 +105,8 @@
 	}
 }
 
-// answerUnknownServer answers for a server that the agent has no gate for and no room to make one. Without a gate there is
-// no tombstone, so the answer is no proof.
+// answerUnknownServer answers for a server without a gate, when the limit on servers prevents making one. Without a
+// gate there is no tombstone, so the answer is marked as unproven.
 func (a *Agent) answerUnknownServer(entry gate.EntryID, name string, id *wire.AttemptID, message *wire.EntryMessage) {
 	if message.GetDispatch() == nil && message.GetCancel() == nil {
 		return
@@ -121,7 +122,7 @@
 	a.links.Send(link.EntryID(entry), &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}})
 }
 
-// entryMessage is a message of an entry for one server.
+// entryMessage is an input with a message of an entry for one server.
 type entryMessage struct {
 	entry   gate.EntryID
 	message *wire.EntryMessage
@@ -140,8 +141,8 @@
 	})
 }
 
-// withoutTarget returns a reservation of something that no server has. The gate refuses it with a tombstone, which is
-// how an agent without admission answers at once; a dispatch is refused where it would start.
+// withoutTarget returns a copy of a reservation whose target no server has, so that the gate refuses it at once and
+// leaves a tombstone. An agent that admits no work uses it for reservations; dispatches are refused by startRun.
 func withoutTarget(reserve *wire.Reserve) *wire.EntryMessage {
 	reserve = proto.CloneOf(reserve)
 	if reserve.Work == nil {
@@ -151,7 +152,7 @@
 	return &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: reserve}}
 }
 
-// linkSender is the link server as gates see it.
+// linkSender adapts the link server to entryLinks.
 type linkSender struct{ server *link.EntryServer }
 
 // Send implements entryLinks.
--- a/agent/entry_loss_test.go
+++ b/agent/entry_loss_test.go
@@ -13,47 +13,44 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: an engine works for nobody, and a caller's retry at another entry runs beside it.
-// Sequence: an entry dies while its repeatable attempt runs.
-// Cause: nobody cancelled the attempt when its entry stopped renewing the lease.
+// When an entry crashes, its repeatable attempt must be cancelled once the lease is not renewed. Otherwise the engine
+// computes an answer that is not read, and a retry at another entry runs beside it.
 func TestEntryCrashCancelsRepeatableAttempt(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		entry.dispatch(longCompletionDispatch("r1", 1))
-		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		entry.kill()
-		w.waitUntil("the engine is free", func() bool { return w.ledger.Running() == 0 })
-		_, metrics := w.call("GET", "/metrics", nil)
+		env.waitUntil("the engine has no running stream", func() bool { return env.ledger.Running() == 0 })
+		_, metrics := env.call("GET", "/metrics", nil)
 		assert.Contains(t, metrics, metricLeases+" 1")
-		assert.Empty(t, w.control.completed())
+		assert.Empty(t, env.control.completed())
 	})
 }
 
-// Symptom: a resident is charged, and the answer is lost for ever.
-// Sequence: an entry dies while its non-repeatable call runs; the service finishes it; control can't be reached at
-// first.
-// Cause: the call was tied to its entry's link, or its outcome was proposed only once.
+// When an entry crashes during a non-repeatable call, the call must finish and its outcome must reach control, also if
+// control is unreachable at first. Otherwise the call takes effect and its answer is lost.
 func TestEntryCrashReportsNonRepeatableOutcome(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		service := w.startEngine(slowService())
-		w.waitReady()
-		entry := w.startEntry(entryHost, "entry-1")
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		service := env.startEngine(slowService())
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
-		w.control.setView(&session.View{
+		env.control.setView(&session.View{
 			ConfigVersion: 1,
 			Entries:       map[string]*wire.EntryRecord{"entry-1": {Entry: "entry-1", Incarnation: 1}},
 		})
 		entry.dispatch(serviceDispatch("r1", 1))
-		w.waitUntil("the call runs", func() bool { return w.ledger.Running() == 1 })
-		w.control.setFailures(3)
+		env.waitUntil("the call runs", func() bool { return env.ledger.Running() == 1 })
+		env.control.setFailures(3)
 		entry.kill()
 		time.Sleep(time.Second)
-		w.control.setView(&session.View{ConfigVersion: 1})
+		env.control.setView(&session.View{ConfigVersion: 1})
 
-		w.waitUntil("the outcome is committed", func() bool {
-			return len(w.control.completed()) == 4 && w.agent.reports.Pending() == 0
+		env.waitUntil("the outcome is committed", func() bool {
+			return len(env.control.completed()) == 4 && env.agent.reports.Pending() == 0
 		})
-		outcome := w.control.completed()[3]
+		outcome := env.control.completed()[3]
 		assert.Equal(t, "org-1", outcome.GetOrganisation())
 		assert.Equal(t, "key-r1", outcome.GetKey())
 		assert.Equal(t, uint32(200), outcome.GetAnswer().GetStatus())
@@ -65,18 +62,17 @@
 	})
 }
 
-// Symptom: a stream stops in the middle, or an engine is cancelled, because of a blink of the network.
-// Sequence: the link of an entry is lost and comes back while its attempt runs.
-// Cause: the run was tied to the link instead of the lease.
+// A short loss of an entry's link must not cancel or interrupt its attempt: a run depends on the lease, not on the
+// link.
 func TestRunSurvivesLostLink(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		entry.dispatch(completionDispatch("r1", 1))
-		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
-		w.network.Reset(entryHost)
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		env.network.Reset(entryHost)
 		over := entry.awaitOver("r1", 1)
 		assert.Equal(t, wire.Proof_PROOF_COMPLETED, over.GetProof())
 		links, _ := entry.links()
 		assert.Equal(t, 2, links)
-		assert.Equal(t, 1, w.ledger.Starts()["r1.1"])
+		assert.Equal(t, 1, env.ledger.Starts()["r1.1"])
 	})
 }
--- a/agent/fake_entry_test.go
+++ b/agent/fake_entry_test.go
@@ -9,9 +9,9 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// fakeEntry is an entry that does what the test says, over a real link.
+// fakeEntry is a scripted entry on a real link.
 type fakeEntry struct {
-	w           *testEnv
+	env         *testEnv
 	name        string
 	incarnation uint64
 	dialer      *link.AgentDialer
@@ -19,17 +19,17 @@
 	done        chan struct{}
 
 	mu     sync.Mutex
-	hellos []*wire.AgentHello // of links that came up
+	hellos []*wire.AgentHello // of links that opened
 	rooms  []*wire.Room
 	overs  map[attemptKey][]*wire.Over
 	events map[attemptKey][]string
 	starts map[attemptKey]int
 }
 
-// startEntry starts an entry that links itself to the agent.
-func (w *testEnv) startEntry(host, name string) *fakeEntry {
+// startEntry starts an entry that connects to the agent.
+func (env *testEnv) startEntry(host, name string) *fakeEntry {
 	e := &fakeEntry{
-		w:           w,
+		env:         env,
 		name:        name,
 		incarnation: 1,
 		done:        make(chan struct{}),
@@ -38,7 +38,7 @@
 		starts:      make(map[attemptKey]int),
 	}
 	e.dialer = &link.AgentDialer{
-		Network: w.network.Host(host),
+		Network: env.network.Host(host),
 		Address: agentHost + ":9101",
 		Hello: func() *wire.EntryHello {
 			return &wire.EntryHello{Entry: name, Incarnation: e.incarnation}
@@ -48,18 +48,18 @@
 		Receive: e.receive,
 		Jitter:  func() float64 { return 0 },
 	}
-	w.control.addEntry(name, e.incarnation)
-	ctx, stop := context.WithCancel(w.t.Context())
+	env.control.addEntry(name, e.incarnation)
+	ctx, stop := context.WithCancel(env.t.Context())
 	e.stop = stop
 	go func() {
 		defer close(e.done)
 		_ = e.dialer.Run(ctx)
 	}()
-	w.t.Cleanup(e.kill)
+	env.t.Cleanup(e.kill)
 	return e
 }
 
-// kill ends the entry as a crash does.
+// kill ends the entry like a crash.
 func (e *fakeEntry) kill() {
 	e.stop()
 	<-e.done
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// links returns how often a link came up, and the hello of the last one.
+// links returns the number of links that opened, and the hello of the last one.
 func (e *fakeEntry) links() (int, *wire.AgentHello) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +106,7 @@
 	e.dialer.Send(hello.GetIncarnation(), message)
 }
 
-// room returns the latest room of a server.
+// room returns the latest Room message about a server, nil if there is none.
 func (e *fakeEntry) room(server string) *wire.Room {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,10 +128,10 @@
 	return overs[len(overs)-1]
 }
 
-// awaitOver waits for a proof that an attempt is over.
+// awaitOver waits until an attempt is proved to be over.
 func (e *fakeEntry) awaitOver(request string, number uint64) *wire.Over {
-	e.w.t.Helper()
-	e.w.waitUntil("proof for "+request, func() bool {
+	e.env.t.Helper()
+	e.env.waitUntil("a proof for "+request, func() bool {
 		over := e.over(request, number)
 		return over != nil && over.GetProof() != wire.Proof_PROOF_UNPROVEN
 	})
@@ -156,15 +156,15 @@
 	return e.starts[attemptKey{request, number}]
 }
 
-// awaitRoom waits until the server takes work straight away.
+// awaitRoom waits until the server has free room.
 func (e *fakeEntry) awaitRoom(server string) {
-	e.w.t.Helper()
-	e.w.waitUntil("room at "+server, func() bool { return e.room(server).GetFree() > 0 })
+	e.env.t.Helper()
+	e.env.waitUntil("free room at "+server, func() bool { return e.room(server).GetFree() > 0 })
 }
 
 const chatBody = `{"model":"sample","messages":[{"role":"user","content":"May I appeal the refusal of my permit?"}],"max_tokens":20}`
 
-// completionDispatch is a dispatch of a repeatable model request.
+// completionDispatch returns a dispatch of a repeatable model request.
 func completionDispatch(request string, number uint64) *wire.Dispatch {
 	return withBody(&wire.Dispatch{
 		Attempt: &wire.AttemptID{Request: request, Number: number},
@@ -185,7 +185,7 @@
 	}, chatBody)
 }
 
-// serviceDispatch is a dispatch of a service call that may not be repeated.
+// serviceDispatch returns a dispatch of a service call that may not be repeated.
 func serviceDispatch(request string, number uint64) *wire.Dispatch {
 	return withBody(&wire.Dispatch{
 		Attempt: &wire.AttemptID{Request: request, Number: number},
--- a/agent/fence.go
+++ b/agent/fence.go
@@ -8,22 +8,22 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// fence keeps the highest committed fence number and refuses orders with a lower one, whatever the engine does.
+// fence holds the highest committed fence number and refuses orders with a lower one.
 //
-// A leader that was cut off doesn't know at once that another was elected, and may go on giving orders. An engine that
-// ignores fence numbers would carry them out; one would notice it as a model that the present leader loaded and that
-// is gone again. So the agent is the guard, for engines of both kinds.
+// A leader that was cut off doesn't learn at once that another was elected, and may go on sending orders. An engine
+// that ignores fence numbers would carry them out and, for example, unload a model that the current leader loaded. So
+// the agent checks orders for all engines, whether they check fence numbers themselves or not.
 type fence struct {
-	// view returns what control committed. It is read at each check, so that an order can't pass between a newer
-	// leader's number and the duty that would hear of it.
+	// view returns the committed view. It is read at each check: waiting for viewLoop to deliver a newer leader's
+	// number would let an order of the earlier leader pass in between.
 	view func() *session.View
 
 	mu      sync.Mutex
-	highest uint64 // of committed orders
+	highest uint64 // fence number of the committed orders
 }
 
-// check says whether an order may be carried out now. Errors have the code starting (no committed state was seen, so
-// that an old order can't be told from a new one), order_refused (the order isn't committed) or fence_too_old.
+// check returns nil if an order may be carried out. Errors have the code starting (no committed state is known, so an
+// old order can't be told from a new one), order_refused (the order isn't committed) or fence_too_old.
 func (f *fence) check(order *wire.Order) error {
 	view := f.view()
 	if view.ConfigVersion == 0 {
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -32,13 +32,13 @@
 	entryHost2 = "10.0.0.4"
 )
 
-// waitTimeout bounds waits in bubble time; a test that reaches it has failed.
+// waitTimeout bounds a wait, in the fake time of the synctest bubble. A test that reaches it fails.
 const waitTimeout = 2 * time.Minute
 
-// dialDrainTime is longer than net/http goes on dialling for a call that was given up.
+// dialDrainTime is longer than net/http goes on dialling for a cancelled call.
 const dialDrainTime = 5 * time.Second
 
-// testEnv is an agent with stand-in engines, entries and a fake of control. It lives in a synctest bubble.
+// testEnv is an agent with simulated engines, entries and a fake of control, in a synctest bubble.
 type testEnv struct {
 	t       *testing.T
 	network *memory.Network
@@ -48,14 +48,14 @@
 	stop    context.CancelFunc
 	ended   chan error
 	http    *http.Client
-	senders int // of the agent's servers; 0 is the default
+	senders int // number of agents that send to the agent's servers; 0 means the default
 }
 
-// withEnv runs a test in a bubble.
-func withEnv(t *testing.T, test func(w *testEnv)) {
+// withEnv runs a test in a synctest bubble.
+func withEnv(t *testing.T, test func(env *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &testEnv{
+		env := &testEnv{
 			t:       t,
 			network: memory.New(),
 			ledger:  standin.NewLedger(1000),
@@ -63,18 +63,18 @@
 		}
 		transport := &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return w.network.Host(agentHost).Dial(ctx, address)
+				return env.network.Host(agentHost).Dial(ctx, address)
 			},
 		}
-		w.http = &http.Client{Transport: transport}
-		test(w)
-		_ = w.stopAgent()
+		env.http = &http.Client{Transport: transport}
+		test(env)
+		_ = env.stopAgent()
 		time.Sleep(dialDrainTime)
 		transport.CloseIdleConnections()
 	})
 }
 
-func (w *testEnv) settings() settings.Agent {
+func (env *testEnv) settings() settings.Agent {
 	s := settings.DefaultAgent()
 	s.Instance = "agent-1"
 	s.AvailabilityZone = "zone-1"
@@ -85,95 +85,95 @@
 	return s
 }
 
-// startAgent starts an incarnation of the agent. The one before must have ended.
-func (w *testEnv) startAgent(change ...func(*settings.Agent)) {
-	w.t.Helper()
-	s := w.settings()
+// startAgent starts an incarnation of the agent. The previous one must have ended.
+func (env *testEnv) startAgent(change ...func(*settings.Agent)) {
+	env.t.Helper()
+	s := env.settings()
 	for _, f := range change {
 		f(&s)
 	}
-	time.Sleep(time.Millisecond) // so that the incarnations differ
-	w.control.reset()
+	time.Sleep(time.Millisecond) // incarnations must differ
+	env.control.reset()
 	options := Options{
-		Network:    w.network.Host(agentHost),
-		newSession: func(session.Config) Control { return w.control },
+		Network:    env.network.Host(agentHost),
+		newSession: func(session.Config) Control { return env.control },
 	}
-	if w.senders > 0 {
-		options.Senders = func(*session.View) int { return w.senders }
+	if env.senders > 0 {
+		options.Senders = func(*session.View) int { return env.senders }
 	}
 	agent, err := New(s, options)
-	require.NoError(w.t, err)
-	w.run(agent)
+	require.NoError(env.t, err)
+	env.run(agent)
 }
 
-func (w *testEnv) run(agent *Agent) {
-	ctx, stop := context.WithCancel(w.t.Context())
-	w.agent = agent
-	w.stop = stop
-	w.ended = make(chan error, 1)
-	go func() { w.ended <- agent.Run(ctx) }()
+func (env *testEnv) run(agent *Agent) {
+	ctx, stop := context.WithCancel(env.t.Context())
+	env.agent = agent
+	env.stop = stop
+	env.ended = make(chan error, 1)
+	go func() { env.ended <- agent.Run(ctx) }()
 }
 
-// stopAgent stops the agent gracefully.
-func (w *testEnv) stopAgent() error {
-	if w.stop == nil {
+// stopAgent stops the agent gracefully and returns the error of its Run.
+func (env *testEnv) stopAgent() error {
+	if env.stop == nil {
 		return nil
 	}
-	w.stop()
-	w.stop = nil
-	return <-w.ended
+	env.stop()
+	env.stop = nil
+	return <-env.ended
 }
 
-// supersede has control list a newer incarnation of the agent.
-func (w *testEnv) supersede() {
-	view := *w.control.View()
+// supersede makes control list a newer incarnation of the agent.
+func (env *testEnv) supersede() {
+	view := *env.control.View()
 	view.Agents = map[string]*wire.AgentRecord{
-		"agent-1": {Agent: "agent-1", Incarnation: w.agent.incarnation + 1},
+		"agent-1": {Agent: "agent-1", Incarnation: env.agent.incarnation + 1},
 	}
-	w.control.setView(&view)
+	env.control.setView(&view)
 }
 
-// killAgent ends the agent as a crash does: nobody hears of it but by its closed connections.
-func (w *testEnv) killAgent() {
-	w.t.Helper()
-	w.agent.cancelBase()
-	<-w.ended
-	w.stop()
-	w.stop = nil
+// killAgent ends the agent like a crash: it is visible only through its closed connections.
+func (env *testEnv) killAgent() {
+	env.t.Helper()
+	env.agent.cancelBase()
+	<-env.ended
+	env.stop()
+	env.stop = nil
 }
 
-// startEngine starts a stand-in that announces itself to the agent.
-func (w *testEnv) startEngine(options standin.Options) *standin.Server {
+// startEngine starts a simulated server that announces itself to the agent.
+func (env *testEnv) startEngine(options standin.Options) *standin.Server {
 	options.Listen = engineHost + ":0"
 	options.Agent = "http://" + agentHost + ":9100"
-	return w.startStandin(options)
+	return env.startStandin(options)
 }
 
-// startStandin starts a stand-in as it is.
-func (w *testEnv) startStandin(options standin.Options) *standin.Server {
-	options.Network = w.network.Host(engineHost)
-	options.Ledger = w.ledger
+// startStandin starts a simulated server whose options say where it announces itself, if anywhere.
+func (env *testEnv) startStandin(options standin.Options) *standin.Server {
+	options.Network = env.network.Host(engineHost)
+	options.Ledger = env.ledger
 	if options.LeaveTimeout == 0 {
 		options.LeaveTimeout = time.Second
 	}
 	server := standin.New(options)
-	ctx, stop := context.WithCancel(w.t.Context())
+	ctx, stop := context.WithCancel(env.t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = server.Run(ctx)
 	}()
 	<-server.Ready()
-	w.t.Cleanup(func() {
+	env.t.Cleanup(func() {
 		stop()
 		<-done
 	})
 	return server
 }
 
-// waitUntil waits waitUntil the condition holds.
-func (w *testEnv) waitUntil(what string, condition func() bool) {
-	w.t.Helper()
+// waitUntil waits until the condition holds, and fails the test after waitTimeout.
+func (env *testEnv) waitUntil(what string, condition func() bool) {
+	env.t.Helper()
 	end := time.Now().Add(waitTimeout)
 	for {
 		synctest.Wait()
@@ -181,20 +181,20 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			env.t.Fatalf("condition not reached: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (w *testEnv) waitReady() {
-	w.t.Helper()
-	w.waitUntil("agent is ready", func() bool { return w.agent.notReady() == nil })
+func (env *testEnv) waitReady() {
+	env.t.Helper()
+	env.waitUntil("the agent is ready", func() bool { return env.agent.notReady() == nil })
 }
 
-// call makes an HTTP call to the agent and returns status and body.
-func (w *testEnv) call(method, path string, body any) (int, string) {
-	w.t.Helper()
+// call makes an HTTP call to the agent and returns the status and the body.
+func (env *testEnv) call(method, path string, body any) (int, string) {
+	env.t.Helper()
 	var text []byte
 	switch b := body.(type) {
 	case nil:
@@ -202,20 +202,20 @@
 		text = []byte(b)
 	default:
 		encoded, err := json.Marshal(b)
-		require.NoError(w.t, err)
+		require.NoError(env.t, err)
 		text = encoded
 	}
-	request, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+w.agent.HTTPAddr()+path, bytes.NewReader(text))
-	require.NoError(w.t, err)
-	response, err := w.http.Do(request)
-	require.NoError(w.t, err)
+	request, err := http.NewRequestWithContext(env.t.Context(), method, "http://"+env.agent.HTTPAddr()+path, bytes.NewReader(text))
+	require.NoError(env.t, err)
+	response, err := env.http.Do(request)
+	require.NoError(env.t, err)
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	return response.StatusCode, string(answer)
 }
 
-// fakeControl is a session whose control does what the test says.
+// fakeControl is a session with a scripted control.
 type fakeControl struct {
 	mu            sync.Mutex
 	running       bool
@@ -224,7 +224,7 @@
 	subscriber    func(*session.View)
 	serverUpdates [][]*wire.ServerRecord
 	proposed      []*wire.Command
-	failures      int // proposals that fail before one is committed
+	failures      int // number of proposals that fail before one is committed
 	orders        chan *wire.Order
 	results       []*wire.OrderResult
 }
@@ -304,7 +304,7 @@
 
 func (c *fakeControl) ObserveVersion(uint64) bool { return true }
 
-// addEntry puts an entry into the directory.
+// addEntry adds an entry to the directory.
 func (c *fakeControl) addEntry(name string, incarnation uint64) {
 	view := *c.View()
 	view.Entries = maps.Clone(view.Entries)
@@ -344,7 +344,7 @@
 	return c.running
 }
 
-// registered returns the servers that the agent wanted in the directory last.
+// registered returns the servers of the agent's last directory record.
 func (c *fakeControl) registered() []*wire.ServerRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -383,7 +383,7 @@
 	return list
 }
 
-// slowModel is a model engine whose streams take a while: one token each 100 ms.
+// slowModel returns options of a model engine whose streams take one token per 100 ms.
 func slowModel() standin.Options {
 	options := standin.ModelDefaults()
 	options.Server = "server-1"
--- a/agent/http.go
+++ b/agent/http.go
@@ -15,12 +15,12 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Bounds of an HTTP connection.
+// Timeouts of HTTP connections.
 const (
 	httpHeaderTimeout = 5 * time.Second
 	httpReadTimeout   = 10 * time.Second
 	httpIdleTimeout   = time.Minute
-	// httpShutdownTimeout bounds how long calls in progress may take when the agent ends.
+	// httpShutdownTimeout bounds the calls in progress when the agent ends.
 	httpShutdownTimeout = time.Second
 )
 
@@ -53,7 +53,7 @@
 	return e
 }
 
-// handleError answers with the numbered code of an error.
+// handleError answers with the result code of an error, logs and counts it.
 func (a *Agent) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -67,8 +67,7 @@
 	_ = c.JSON(refusal.Status(), refusal)
 }
 
-// readJSON reads one JSON value of at most maxAnnouncementBytes. Errors have the code malformed_body or
-// body_too_large.
+// readJSON decodes a JSON body of at most maxAnnouncementBytes. Errors have the code malformed_body or body_too_large.
 func readJSON(c echo.Context, into any) error {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxAnnouncementBytes))
 	var tooLarge *http.MaxBytesError
--- a/agent/http_announce.go
+++ b/agent/http_announce.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// announceResponse is the answer to an announcement.
+// announceResponse is the body of the response to an announcement.
 type announceResponse struct {
 	Server    string `json:"server"`
 	Condition string `json:"condition"`
--- a/agent/http_leave.go
+++ b/agent/http_leave.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// leaveResponse says where a graceful leave stands.
+// leaveResponse is the state of a graceful leave.
 type leaveResponse struct {
 	Server string            `json:"server"`
 	State  engine.LeaveState `json:"state"`
--- a/agent/http_ready.go
+++ b/agent/http_ready.go
@@ -2,7 +2,7 @@
 
 import "github.com/carawaypitch/carawaypitch/result"
 
-// readinessError is notReady as an error.
+// readinessError returns the result of notReady as an error that is nil if the agent is ready.
 func (a *Agent) readinessError() error {
 	if err := a.notReady(); err != nil {
 		return err
--- a/agent/http_test.go
+++ b/agent/http_test.go
@@ -27,12 +27,11 @@
 	return string(encoded)
 }
 
-// Symptom: an agent answers a faulty call with a page, a success, or a crash.
-// Sequence: a server of another version, or a stranger, calls the agent.
-// Cause: the call was not checked, or its refusal has no number.
+// An invalid call, as from a server of another version or an unknown client, must be refused with a result code. A
+// call that isn't validated could succeed or crash the agent.
 func TestInvalidHTTPCalls(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		tests := []struct {
 			method, path string
 			body         any
@@ -57,57 +56,54 @@
 			{"GET", "/v1/nothing", nil, 404, result.NotFound},
 		}
 		for _, test := range tests {
-			status, body := w.call(test.method, test.path, test.body)
+			status, body := env.call(test.method, test.path, test.body)
 			name := fmt.Sprintf("%s %s %.60v", test.method, test.path, test.body)
 			assert.Equal(t, test.status, status, name)
 			var refusal result.Error
 			require.NoError(t, json.Unmarshal([]byte(body), &refusal), name)
 			assert.Equal(t, test.code, refusal.Code, name)
 		}
-		status, _ := w.call("GET", "/healthz", nil)
+		status, _ := env.call("GET", "/healthz", nil)
 		assert.Equal(t, 200, status)
-		_, metrics := w.call("GET", "/metrics", nil)
+		_, metrics := env.call("GET", "/metrics", nil)
 		assert.Contains(t, metrics, metricRefusals+`{code="1509",tier="0"} 3`)
 	})
 }
 
-// Symptom: an agent's memory and directory record grow without bound.
-// Sequence: a stranger announces one server after another.
-// Cause: the number of servers had no bound.
+// The number of servers is limited. Otherwise a client that announces one server after another would grow the agent's
+// memory and directory record without bound.
 func TestTooManyServersAreRefused(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		for i := range maxServers {
-			status, _ := w.call("POST", "/v1/announce", announcementText(t, map[string]any{"server": fmt.Sprint("s", i)}))
+			status, _ := env.call("POST", "/v1/announce", announcementText(t, map[string]any{"server": fmt.Sprint("s", i)}))
 			require.Equal(t, 200, status)
 		}
-		status, body := w.call("POST", "/v1/announce", announcementText(t, map[string]any{"server": "one-more"}))
+		status, body := env.call("POST", "/v1/announce", announcementText(t, map[string]any{"server": "one-more"}))
 		assert.Equal(t, 503, status)
 		assert.Contains(t, body, `"code":1206`)
 	})
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: a server announces another address while the engine at the first one runs an attempt; cancels go to the new
-// engine, which has no such stream, and that passes for a proof.
-// Cause: the agent changed to the new address while attempts at the old one were not over.
+// A server's new address must not be used while attempts at the old one may run. Cancels would go to the new engine,
+// whose "no such stream" would be taken as a proof, and two engines would run one request.
 func TestAddressChangeWaitsForPreviousEngine(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		w.startEngine(slowModel())
-		w.waitReady()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		env.startEngine(slowModel())
+		env.waitReady()
 		text := announcementText(t, map[string]any{"address": "10.0.0.8:9000"})
-		status, body := w.call("POST", "/v1/announce", text)
+		status, body := env.call("POST", "/v1/announce", text)
 		assert.Equal(t, 409, status)
 		assert.Contains(t, body, `"code":1802`)
 
-		w.network.Cut(engineHost, agentHost)
-		w.waitUntil("the old address is gone", func() bool { return len(w.control.registered()) == 0 })
-		status, _ = w.call("POST", "/v1/announce", text)
+		env.network.Cut(engineHost, agentHost)
+		env.waitUntil("the server at the old address is gone", func() bool { return len(env.control.registered()) == 0 })
+		status, _ = env.call("POST", "/v1/announce", text)
 		assert.Equal(t, 200, status)
 		time.Sleep(5 * time.Second)
-		assert.Empty(t, w.control.registered(), "nobody answers at the new address")
-		status, _ = w.call("POST", "/v1/announce", announcementText(t, map[string]any{"address": "10.0.0.9:9000"}))
-		assert.Equal(t, 409, status, "the new address was not proved free")
+		assert.Empty(t, env.control.registered(), "nothing answers at the new address")
+		status, _ = env.call("POST", "/v1/announce", announcementText(t, map[string]any{"address": "10.0.0.9:9000"}))
+		assert.Equal(t, 409, status, "the engine at the new address is not confirmed free")
 	})
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -12,10 +12,9 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Names of the agent's metrics. What entries count too, for the same requests, has a name of its own here.
-//
-// Otherwise a sum over all processes, which is how such metrics are read, counts each token and each refusal twice: once
-// where the gate decided and once where the caller was answered.
+// Names of the agent's metrics. Refusals and tokens that entries count too, for the same requests, have names of their
+// own here. Metrics are usually summed over all processes, and under a common name such a sum would count each token
+// and each refusal twice: once where the gate decided and once where the caller was answered.
 const (
 	metricRefusals      = "carawaypitch_refusals_total"
 	metricRetries       = "carawaypitch_retries_total"
@@ -38,7 +37,7 @@
 	metricMalformed     = "carawaypitch_server_advice_malformed_total"
 )
 
-// Reasons of retries.
+// Reasons of retries, used as label values.
 const (
 	retryReport  = "report"
 	retryRemove  = "remove"
@@ -46,7 +45,7 @@
 	retryAdvice  = "advice"
 )
 
-// meter holds one agent's metrics. It has a set of its own, so that several daemons fit in one process.
+// meter holds the metrics of one agent. Each has its own set, so that several daemons can run in one process.
 type meter struct {
 	set *metrics.Set
 }
@@ -63,7 +62,7 @@
 	m.set.GetOrCreateCounter(name).AddInt64(int64(n))
 }
 
-// count adds what a gate counted.
+// count adds a count of a gate to its metric.
 func (m *meter) count(c gate.Count) {
 	tier := strconv.FormatUint(uint64(c.Tier), 10)
 	label := strconv.Quote(c.Label)
@@ -83,7 +82,7 @@
 	}
 }
 
-// refused counts a refusal of the agent itself.
+// refused counts a refusal by the agent itself.
 func (m *meter) refused(code result.Code, tier uint32) {
 	m.add(fmt.Sprintf(`%s{code="%d",tier="%d"}`, metricRefusals, code, tier), 1)
 }
@@ -101,17 +100,17 @@
 	m.add(metricCrashes, 1)
 }
 
-// adviceChanged counts a change of what a server asks of its senders.
+// adviceChanged counts a change in a server's rate limit, backoff or draining state, by the route of the answer.
 func (m *meter) adviceChanged(route backpressure.Route) {
 	m.add(fmt.Sprintf(`%s{route=%q}`, metricAdvice, string(route)), 1)
 }
 
-// throttled counts an attempt that was kept from a server for what the server asked.
+// throttled counts an attempt that was held back because of a server's advice.
 func (m *meter) throttled(reason backpressure.Reason) {
 	m.add(fmt.Sprintf(`%s{reason=%q}`, metricThrottled, string(reason)), 1)
 }
 
-// malformedAdvice counts header fields of servers that mean nothing.
+// malformedAdvice counts header fields of servers that can't be parsed.
 func (m *meter) malformedAdvice(field string) {
 	m.add(fmt.Sprintf(`%s{field=%q}`, metricMalformed, field), 1)
 }
@@ -120,7 +119,7 @@
 	m.add(fmt.Sprintf(`%s{result=%q}`, metricCancels, result), 1)
 }
 
-func (m *meter) ordered(code result.Code) {
+func (m *meter) orderEnded(code result.Code) {
 	m.add(fmt.Sprintf(`%s{code="%d"}`, metricOrders, code), 1)
 }
 
--- a/agent/order_call.go
+++ b/agent/order_call.go
@@ -10,8 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// callOrder makes one call. It returns false without an error while the order goes on, or if the call failed in a way
-// that says nothing.
+// callOrder makes one order call and reports whether the order is done. It returns false without an error while the
+// order is in progress, and after a failed call whose effect is unknown.
 func callOrder(ctx context.Context, client engine.Client, order *wire.Order) (bool, error) {
 	kind, err := engineOrderKind(order.GetKind())
 	if err != nil {
@@ -44,7 +44,8 @@
 	}
 }
 
-// isOrderDone reads the engine's word on an order.
+// isOrderDone reports whether the engine's answer says that the order is done. It returns an error if the engine
+// refused.
 func isOrderDone(answer engine.OrderResult) (bool, error) {
 	switch answer.State {
 	case engine.OrderDone:
@@ -60,8 +61,8 @@
 	}
 }
 
-// orderFailure returns the result of a failed order call; nil if the order is to be given again, because the engine
-// may have taken it or may come back. Giving an order twice does no harm: the second one tells how far it is.
+// orderFailure converts the error of a failed order call. It returns nil if the order is to be sent again, because the
+// engine may have accepted it or may recover. Sending an order again is idempotent: the answer gives its progress.
 func orderFailure(err error) error {
 	switch {
 	case errors.Is(err, engine.ErrUnsupported):
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// orderDeps is what orders needs of its agent.
+// orderDeps are the dependencies of orders.
 type orderDeps struct {
 	log     log.Interface
 	meter   *meter
@@ -22,12 +22,12 @@
 	report  func(*wire.OrderResult)
 }
 
-// orders carries out what the control leader orders, one order at a time for each server.
+// orders carries out the orders of the control leader, one at a time for each server.
 type orders struct {
 	orderDeps
 
 	mu         sync.Mutex
-	inProgress map[string]uint64 // order under way, by server
+	inProgress map[string]uint64 // ID of the order in progress, by server
 }
 
 func newOrders(deps orderDeps) *orders {
@@ -37,8 +37,8 @@
 	}
 }
 
-// handle begins an order, or reports at once why not. An order that comes again while it is under way is not begun
-// twice. The session answers one that comes again after its report.
+// handle starts an order, or reports at once why it can't. A repeated order that is still in progress is not started
+// again; the session answers one that is repeated after its result was reported.
 func (o *orders) handle(ctx context.Context, order *wire.Order) {
 	s, err := o.check(order)
 	if err != nil {
@@ -59,14 +59,14 @@
 		err := o.execute(ctx, s, order)
 		o.end(order)
 		if ctx.Err() != nil {
-			// The engine goes on without this agent; the leader asks the next incarnation.
+			// The engine continues the order without this agent; the leader sends it to the next incarnation again.
 			return
 		}
 		o.reportResult(order, err)
 	})
 }
 
-// check says whether an order may be begun now.
+// check returns the server of an order that may be started. Errors have the code of the refusal.
 func (o *orders) check(order *wire.Order) (*server, error) {
 	if code := o.ready.refusalCode(); code != 0 {
 		return nil, result.New(code, "")
@@ -81,7 +81,7 @@
 	return s, nil
 }
 
-// begin marks the server as busy. It returns false without an error if this order is under way already.
+// begin marks the server as busy. It returns false without an error if this order is already in progress.
 func (o *orders) begin(order *wire.Order) (bool, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,7 +102,7 @@
 	delete(o.inProgress, order.GetServer())
 }
 
-// reportResult reports what became of an order. A nil err means that it is done.
+// reportResult reports the result of an order to control. A nil err means that it is done.
 func (o *orders) reportResult(order *wire.Order, err error) {
 	code := result.CodeOf(err)
 	outcome := &wire.OrderResult{
@@ -114,7 +114,7 @@
 	if err != nil {
 		outcome.Message = result.From(err).Message
 	}
-	o.meter.ordered(code)
+	o.meter.orderEnded(code)
 	o.log.WithField("order", order.GetId()).
 		WithField("kind", order.GetKind()).
 		WithField("server", order.GetServer()).
@@ -124,8 +124,8 @@
 	o.report(outcome)
 }
 
-// execute repeats an order at the engine until the engine is as ordered: the same order again tells how far it is.
-// The fence is looked at before each call, since a newer leader may have come meanwhile.
+// execute sends an order to the engine repeatedly until it is done; the answer to a repeated order gives its progress.
+// The fence is checked before each call, since a newer leader may have been elected in between.
 func (o *orders) execute(ctx context.Context, s *server, order *wire.Order) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -27,44 +27,42 @@
 	}
 }
 
-// newFence is a guard that knows the committed number.
+// newFence returns a fence whose committed number is known.
 func newFence(number uint64) *fence {
 	view := &session.View{ConfigVersion: 1, Fence: number}
 	return &fence{view: func() *session.View { return view }}
 }
 
-// awaitResult waits for the next result of an order.
-func (w *testEnv) awaitResult(n int) *wire.OrderResult {
-	w.t.Helper()
-	w.waitUntil("result of an order", func() bool { return len(w.control.orderResults()) >= n })
-	return w.control.orderResults()[n-1]
+// awaitResult waits for the nth result of an order, counted from 1.
+func (env *testEnv) awaitResult(n int) *wire.OrderResult {
+	env.t.Helper()
+	env.waitUntil("the result of an order", func() bool { return len(env.control.orderResults()) >= n })
+	return env.control.orderResults()[n-1]
 }
 
-// Symptom: a model that the present leader loaded is gone again.
-// Sequence: a control leader is cut off; another is elected and committed its fence number; the old one, which doesn't
-// know, gives an order.
-// Cause: the engine ignores fence numbers, or has never seen the new one, and the agent left the check to it.
+// Orders of a leader that was replaced without knowing it must be refused, whether or not the engine checks fence
+// numbers. Otherwise it unloads, for example, the model that the current leader loaded.
 func TestOldFenceIsRefused(t *testing.T) {
 	for _, fencing := range []engine.Fencing{engine.FencingRefuses, engine.FencingIgnores} {
 		t.Run(string(fencing), func(t *testing.T) {
-			withEnv(t, func(w *testEnv) {
-				w.startAgent()
+			withEnv(t, func(env *testEnv) {
+				env.startAgent()
 				options := slowModel()
 				options.Capabilities = standin.ModelDefaults().Capabilities
 				options.Capabilities.Fencing = fencing
-				model := w.startEngine(options)
-				w.waitReady()
-
-				w.control.orders <- loadOrder(1, 4, "old")
-				assert.Equal(t, uint32(result.FenceTooOld), w.awaitResult(1).GetCode(), "the committed number is 5")
-				w.control.orders <- loadOrder(2, 7, "new")
-				assert.Zero(t, w.awaitResult(2).GetCode())
-				w.control.orders <- loadOrder(3, 6, "old")
-				assert.Equal(t, uint32(result.FenceTooOld), w.awaitResult(3).GetCode(), "the last order had 7")
+				model := env.startEngine(options)
+				env.waitReady()
+
+				env.control.orders <- loadOrder(1, 4, "old")
+				assert.Equal(t, uint32(result.FenceTooOld), env.awaitResult(1).GetCode(), "the committed number is 5")
+				env.control.orders <- loadOrder(2, 7, "new")
+				assert.Zero(t, env.awaitResult(2).GetCode())
+				env.control.orders <- loadOrder(3, 6, "old")
+				assert.Equal(t, uint32(result.FenceTooOld), env.awaitResult(3).GetCode(), "the last order had 7")
 				uncommitted := loadOrder(4, 9, "old")
 				uncommitted.Committed = false
-				w.control.orders <- uncommitted
-				assert.Equal(t, uint32(result.OrderRefused), w.awaitResult(4).GetCode())
+				env.control.orders <- uncommitted
+				assert.Equal(t, uint32(result.OrderRefused), env.awaitResult(4).GetCode())
 
 				assert.Equal(t, []string{"sample", "new"}, model.Announcement().Models)
 			})
@@ -72,88 +70,85 @@
 	}
 }
 
-// Symptom: an order of a replaced leader is carried out while its agent waits for the engine.
-// Sequence: a load goes on for long; a newer leader commits its fence number meanwhile.
-// Cause: the number was looked at only when the order came.
+// A newer leader's fence number must stop an order that is in progress. Checking only at the arrival of the order
+// would carry out the replaced leader's order.
 func TestNewerFenceStopsOrderInProgress(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		options := slowModel()
 		options.WeightRate = float64(options.WeightBytes) / 30 // a load takes 30 s
-		w.startEngine(options)
-		w.waitReady()
-		w.control.orders <- loadOrder(1, 5, "new")
+		env.startEngine(options)
+		env.waitReady()
+		env.control.orders <- loadOrder(1, 5, "new")
 		time.Sleep(3 * time.Second)
-		w.control.setView(&session.View{ConfigVersion: 2, Fence: 8})
-		assert.Equal(t, uint32(result.FenceTooOld), w.awaitResult(1).GetCode())
+		env.control.setView(&session.View{ConfigVersion: 2, Fence: 8})
+		assert.Equal(t, uint32(result.FenceTooOld), env.awaitResult(1).GetCode())
 	})
 }
 
-// Symptom: a restarted agent carries out an order of a leader that was replaced long ago.
-// Sequence: the agent dies while it carries out an order; the new incarnation hears first from the old leader, then
-// from the new one, which gives the order again.
-// Cause: the highest fence number was forgotten with the process, and any number passed.
+// A restarted agent must refuse orders of a leader that was replaced before the restart. The highest fence number is
+// lost with the process, so orders wait until the committed state is known.
 func TestAgentCrashDuringOrder(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		options := slowModel()
 		options.WeightRate = float64(options.WeightBytes) / 30
 		options.Capabilities = standin.ModelDefaults().Capabilities
 		options.Capabilities.Fencing = engine.FencingIgnores
-		model := w.startEngine(options)
-		w.waitReady()
-		w.control.orders <- loadOrder(1, 5, "new")
+		model := env.startEngine(options)
+		env.waitReady()
+		env.control.orders <- loadOrder(1, 5, "new")
 		time.Sleep(3 * time.Second)
-		w.killAgent()
-		assert.Empty(t, w.control.orderResults(), "nothing was reported")
-
-		w.control.setView(new(session.View)) // nothing is known yet
-		w.startAgent()
-		w.waitReady()
-		w.control.orders <- loadOrder(7, 3, "old")
-		assert.Equal(t, uint32(result.Starting), w.awaitResult(1).GetCode())
-
-		w.control.setView(&session.View{ConfigVersion: 2, Fence: 6})
-		w.control.orders <- loadOrder(8, 5, "old")
-		assert.Equal(t, uint32(result.FenceTooOld), w.awaitResult(2).GetCode())
-		w.control.orders <- loadOrder(1, 6, "new")
-		assert.Zero(t, w.awaitResult(3).GetCode())
+		env.killAgent()
+		assert.Empty(t, env.control.orderResults(), "nothing was reported")
+
+		env.control.setView(new(session.View)) // no committed state is known
+		env.startAgent()
+		env.waitReady()
+		env.control.orders <- loadOrder(7, 3, "old")
+		assert.Equal(t, uint32(result.Starting), env.awaitResult(1).GetCode())
+
+		env.control.setView(&session.View{ConfigVersion: 2, Fence: 6})
+		env.control.orders <- loadOrder(8, 5, "old")
+		assert.Equal(t, uint32(result.FenceTooOld), env.awaitResult(2).GetCode())
+		env.control.orders <- loadOrder(1, 6, "new")
+		assert.Zero(t, env.awaitResult(3).GetCode())
 		assert.Equal(t, []string{"sample", "new"}, model.Announcement().Models)
 	})
 }
 
 func TestOneOrderAtATime(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
 		options := slowModel()
 		options.WeightRate = float64(options.WeightBytes) / 30
-		w.startEngine(options)
-		w.waitReady()
-		w.control.orders <- loadOrder(1, 5, "new")
-		w.control.orders <- loadOrder(2, 5, "other")
-		assert.Equal(t, uint32(result.ServerBusy), w.awaitResult(1).GetCode())
-		w.control.orders <- loadOrder(1, 5, "new") // again, while it is under way
-		first := w.awaitResult(2)
+		env.startEngine(options)
+		env.waitReady()
+		env.control.orders <- loadOrder(1, 5, "new")
+		env.control.orders <- loadOrder(2, 5, "other")
+		assert.Equal(t, uint32(result.ServerBusy), env.awaitResult(1).GetCode())
+		env.control.orders <- loadOrder(1, 5, "new") // a repeated order that is in progress
+		first := env.awaitResult(2)
 		assert.Equal(t, uint64(1), first.GetOrder())
 		assert.Zero(t, first.GetCode())
 		time.Sleep(time.Minute)
-		assert.Len(t, w.control.orderResults(), 2)
+		assert.Len(t, env.control.orderResults(), 2)
 	})
 }
 
 func TestOrderForUnknownServerIsRefused(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		w.startEngine(slowModel())
-		w.waitReady()
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		env.startEngine(slowModel())
+		env.waitReady()
 		order := loadOrder(1, 5, "new")
 		order.Server = "server-9"
-		w.control.orders <- order
-		assert.Equal(t, uint32(result.UnknownServer), w.awaitResult(1).GetCode())
+		env.control.orders <- order
+		assert.Equal(t, uint32(result.UnknownServer), env.awaitResult(1).GetCode())
 	})
 }
 
-// What the engine says to an order, and what control hears.
+// The engine's answers to an order must be reported to control with the right result code.
 func TestOrderStates(t *testing.T) {
 	refused := &engine.CallError{Call: "order", Class: engine.ErrRefused}
 	unsupported := &engine.CallError{Call: "order", Class: engine.ErrUnsupported}
@@ -163,15 +158,15 @@
 		code    result.Code
 		calls   int
 	}{
-		"done":            {answers: []engine.OrderResult{{State: engine.OrderDone}}, calls: 1},
-		"running":         {answers: []engine.OrderResult{{State: engine.OrderRunning}, {State: engine.OrderDone}}, calls: 2},
-		"call lost":       {errs: []error{engine.ErrUnknown}, answers: []engine.OrderResult{{}, {State: engine.OrderDone}}, calls: 2},
-		"stale":           {answers: []engine.OrderResult{{State: engine.OrderStale, Fence: 9}}, code: result.FenceTooOld, calls: 1},
-		"busy":            {answers: []engine.OrderResult{{State: engine.OrderBusy}}, code: result.ServerBusy, calls: 1},
-		"refused":         {answers: []engine.OrderResult{{State: engine.OrderRefused}}, code: result.OrderRefused, calls: 1},
-		"refused by call": {errs: []error{refused}, answers: []engine.OrderResult{{}}, code: result.OrderRefused, calls: 1},
-		"no such call":    {errs: []error{unsupported}, answers: []engine.OrderResult{{}}, code: result.OrderRefused, calls: 1},
-		"never ends":      {answers: nil, code: result.OrderExpired, calls: int(orderTimeout / orderPollInterval)},
+		"done":                {answers: []engine.OrderResult{{State: engine.OrderDone}}, calls: 1},
+		"running":             {answers: []engine.OrderResult{{State: engine.OrderRunning}, {State: engine.OrderDone}}, calls: 2},
+		"call result unknown": {errs: []error{engine.ErrUnknown}, answers: []engine.OrderResult{{}, {State: engine.OrderDone}}, calls: 2},
+		"stale":               {answers: []engine.OrderResult{{State: engine.OrderStale, Fence: 9}}, code: result.FenceTooOld, calls: 1},
+		"busy":                {answers: []engine.OrderResult{{State: engine.OrderBusy}}, code: result.ServerBusy, calls: 1},
+		"refused":             {answers: []engine.OrderResult{{State: engine.OrderRefused}}, code: result.OrderRefused, calls: 1},
+		"refused by call":     {errs: []error{refused}, answers: []engine.OrderResult{{}}, code: result.OrderRefused, calls: 1},
+		"unsupported":         {errs: []error{unsupported}, answers: []engine.OrderResult{{}}, code: result.OrderRefused, calls: 1},
+		"never ends":          {answers: nil, code: result.OrderExpired, calls: int(orderTimeout / orderPollInterval)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -203,9 +198,7 @@
 	}
 }
 
-// Symptom: a server stays busy for ever and takes no more orders.
-// Sequence: a server goes away while an order is under way.
-// Cause: the order waited for an engine that is gone.
+// An order must end when its server is gone. An order that waits for the engine would keep the server busy forever.
 func TestOrderFailsWhenServerIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := new(scriptedEngine)
--- a/agent/probe.go
+++ b/agent/probe.go
@@ -10,8 +10,8 @@
 	"github.com/carawaypitch/carawaypitch/gate"
 )
 
-// probeLoop asks the engine for its load at each interval, until the server uses another client. The answer says
-// whether the engine answers, how fast, and what it thinks of itself.
+// probeLoop asks the engine for its load at each interval, until the server uses another client. The answer shows
+// whether the engine responds, how fast, and which load it reports.
 func (s *server) probeLoop(ctx context.Context, client engine.Client) {
 	ticker := time.NewTicker(s.timing.Probe)
 	defer ticker.Stop()
@@ -30,12 +30,12 @@
 	}
 }
 
-// usesClient says whether the server still usesClient the client; any goroutine may ask.
+// usesClient reports whether client is the server's current one. It may be called by any goroutine.
 func (s *server) usesClient(client engine.Client) bool {
 	return s.view.Load().client == client
 }
 
-// probe makes one call. An engine without load reports answers the call all the same, so it is alive.
+// probe makes one load call. An engine without load reports counts as alive, since it answers the call.
 func (s *server) probe(ctx context.Context, client engine.Client) probeResult {
 	callCtx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -9,8 +9,7 @@
 // readiness decides whether the agent may take new work, apart from the state of single servers.
 type readiness struct {
 	stopping atomic.Bool
-	// control returns nil once control has confirmed the state and registered this agent, and while the agent isn't
-	// cut off.
+	// control returns nil once control has confirmed the state and registered this agent, unless the agent is cut off.
 	control func() error
 }
 
@@ -22,7 +21,7 @@
 	return r.stopping.Load()
 }
 
-// refusalCode returns the code with which new work and orders are refused, 0 if they may be taken.
+// refusalCode returns the code with which new work and orders are refused, 0 if they are accepted.
 func (r *readiness) refusalCode() result.Code {
 	if r.isStopping() {
 		return result.Stopping
--- a/agent/recovery.go
+++ b/agent/recovery.go
@@ -6,12 +6,12 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// recoveryLoop lets this incarnation show itself, to control and to entries, once the engines of all announced servers
-// are proved free of what earlier incarnations started.
+// recoveryLoop waits until the engines of all announced servers are confirmed free of what earlier incarnations
+// started, and then lets this incarnation register with control and accept entries.
 //
-// Entries take a newer incarnation of an agent as the proof that all attempts at its servers are over, and run them
-// elsewhere. One that showed itself while an engine still runs such an attempt would make two engines work on one
-// request. So it first waits for every living server's announcement, and then for all their gates.
+// Entries take a newer incarnation of an agent as proof that all attempts at its servers have ended, and run them
+// elsewhere. If it registered while an engine still ran such an attempt, two engines would work on one request. So it
+// first waits for the announcements of all live servers, and then for all of their gates.
 func (a *Agent) recoveryLoop(ctx context.Context) error {
 	waiting := a.follow.selectServers != nil || pause.For(ctx, announceWindow)
 	for waiting && !a.areServersRecovered() {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// areServersRecovered says whether there is a server and the engines of all announced ones are proved free.
+// areServersRecovered reports whether there is a recovered server and no announced one that isn't recovered.
 func (a *Agent) areServersRecovered() bool {
 	anyRecovered := false
 	for _, s := range a.servers.all() {
@@ -39,7 +39,7 @@
 	return anyRecovered
 }
 
-// awaitRecovery waits for the release. It returns false if ctx ends first.
+// awaitRecovery waits for the recovery and reports whether it ended before ctx did.
 func (a *Agent) awaitRecovery(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
--- a/agent/recovery_test.go
+++ b/agent/recovery_test.go
@@ -9,25 +9,23 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// Symptom: an agent that restarted tells control of servers whose engines still run what its last incarnation gave them,
-// as if all were settled.
-// Sequence: one of two announced servers is proved free, the other isn't yet; or none has announced itself.
-// Cause: the release looked at one server, or took no server for no work.
+// A restarted agent must not register before all announced servers are free of what the last incarnation started.
+// Checking one server only, or accepting none, would report unfinished attempts as over.
 func TestRecoveryWaitsForAllAnnouncedServers(t *testing.T) {
-	free := serverView{client: new(engine.HTTP), recovered: true}
-	busy := serverView{client: new(engine.HTTP)}
-	silent := serverView{}
+	recovered := serverView{client: new(engine.HTTP), recovered: true}
+	recovering := serverView{client: new(engine.HTTP)}
+	unannounced := serverView{}
 	cases := map[string]struct {
-		views  []serverView
-		isFree bool
+		views []serverView
+		want  bool
 	}{
-		"no server":                     {nil, false},
-		"only asked for by an entry":    {[]serverView{silent}, false},
-		"one free":                      {[]serverView{free}, true},
-		"one not free":                  {[]serverView{busy}, false},
-		"one of two not free":           {[]serverView{free, busy}, false},
-		"the other of two not free":     {[]serverView{busy, free}, false},
-		"one free, one never announced": {[]serverView{silent, free}, true},
+		"no server":                          {nil, false},
+		"only known from an entry":           {[]serverView{unannounced}, false},
+		"one recovered":                      {[]serverView{recovered}, true},
+		"one not recovered":                  {[]serverView{recovering}, false},
+		"second of two not recovered":        {[]serverView{recovered, recovering}, false},
+		"first of two not recovered":         {[]serverView{recovering, recovered}, false},
+		"one recovered, one never announced": {[]serverView{unannounced, recovered}, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +38,7 @@
 				require.NotNil(t, s)
 				s.view.Store(&view)
 			}
-			assert.Equal(t, c.isFree, (&Agent{servers: l}).areServersRecovered())
+			assert.Equal(t, c.want, (&Agent{servers: l}).areServersRecovered())
 		})
 	}
 }
--- a/agent/restart_test.go
+++ b/agent/restart_test.go
@@ -17,52 +17,48 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// longCompletionDispatch is a completion whose stream takes minutes on a slowModel.
+// longCompletionDispatch returns a dispatch whose stream takes minutes on a slowModel.
 func longCompletionDispatch(request string, number uint64) *wire.Dispatch {
 	return withBody(completionDispatch(request, number), strings.Replace(chatBody, `"max_tokens":20`, `"max_tokens":2000`, 1))
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: an agent dies while its engine runs a stream; the engine goes on, and ignores cancels for a while; a new
-// incarnation of the agent says hello, the entry takes that for the proof and runs the request elsewhere.
-// Cause: the new incarnation showed itself before the engine confirmed that the old stream is over.
+// A new incarnation must not register or accept entries before the engine confirmed the end of the old streams, also
+// if it ignores cancels for a while. Entries take the new incarnation as a proof and run the requests elsewhere.
 func TestRestartedAgentRegistersAfterEngineRecovery(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		model := w.startEngine(slowModel())
-		w.waitReady()
-		entry := w.startEntry(entryHost, "entry-1")
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		model := env.startEngine(slowModel())
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
 		entry.dispatch(longCompletionDispatch("r1", 1))
-		w.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		require.NoError(t, model.SetFaults(standin.Faults{IgnoreCancel: true}))
-		w.killAgent()
+		env.killAgent()
 
-		w.startAgent()
+		env.startAgent()
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, 1, w.ledger.Running(), "the engine ignores cancels")
-		assert.False(t, w.control.isRunning(), "not registered")
+		assert.Equal(t, 1, env.ledger.Running(), "the engine ignores cancels")
+		assert.False(t, env.control.isRunning(), "the agent must not register yet")
 		links, _ := entry.links()
-		assert.Equal(t, 1, links, "no hello")
-		status, body := w.call(http.MethodGet, "/readyz", nil)
+		assert.Equal(t, 1, links, "the agent must not accept links yet")
+		status, body := env.call(http.MethodGet, "/readyz", nil)
 		assert.Equal(t, http.StatusServiceUnavailable, status)
 		assert.Contains(t, body, `"code":1401`)
 
 		require.NoError(t, model.SetFaults(standin.Faults{}))
-		w.waitUntil("a newer incarnation says hello", func() bool {
+		env.waitUntil("the newer incarnation opens a link", func() bool {
 			links, _ := entry.links()
 			return links == 2
 		})
-		assert.Zero(t, w.ledger.Running())
-		w.waitReady()
-		assert.True(t, w.control.isRunning())
+		assert.Zero(t, env.ledger.Running())
+		env.waitReady()
+		assert.True(t, env.control.isRunning())
 	})
 }
 
-// Symptom: a request runs on two engines after a restart, although the engine's list was empty.
-// Sequence: the last dispatch of a dead agent is still on its way when the new incarnation lists the engine; the list
-// is empty; the engine then starts the stream.
-// Cause: one empty list was taken for the proof.
+// An empty list of streams must be confirmed by a second one. The last dispatch of a dead agent may still be in flight
+// at the first list, and the request would run on two engines.
 func TestEmptyStreamListIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{lists: [][]engine.StreamInfo{
@@ -75,23 +71,22 @@
 	})
 }
 
-// Symptom: two processes with one instance name cancel each other's streams.
-// Sequence: a second agent starts with the settings of the first; both go on.
-// Cause: the older one didn't notice that a newer incarnation is registered.
+// An agent must end when a newer incarnation is registered. Two processes with one instance name would cancel each
+// other's streams.
 func TestNewerIncarnationStopsAgent(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		w.startEngine(slowModel())
-		w.waitReady()
-		w.supersede()
-		w.waitUntil("the agent ends", func() bool { return len(w.ended) == 1 })
-		assert.ErrorIs(t, <-w.ended, ErrSuperseded)
-		w.stop()
-		w.stop = nil
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		env.startEngine(slowModel())
+		env.waitReady()
+		env.supersede()
+		env.waitUntil("the agent has ended", func() bool { return len(env.ended) == 1 })
+		assert.ErrorIs(t, <-env.ended, ErrSuperseded)
+		env.stop()
+		env.stop = nil
 	})
 }
 
-// scriptedEngine is an engine whose answers the test gives.
+// scriptedEngine is an engine whose answers the test supplies.
 type scriptedEngine struct {
 	engine.Client
 	lists    [][]engine.StreamInfo
@@ -143,14 +138,13 @@
 	return e.order(order)
 }
 
-// Symptom: the agent of a plain service never becomes ready.
-// Sequence: a new incarnation asks the service for its streams; a service has no such call.
-// Cause: the missing list was taken for an engine that doesn't answer.
+// A plain service has no list of streams. An agent that takes the missing list for an engine that doesn't answer would
+// never become ready.
 func TestServiceWithoutStreamListBecomesReady(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startAgent()
-		w.startEngine(slowService())
-		w.waitReady()
-		assert.Equal(t, result.Code(0), w.agent.ready.refusalCode())
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		env.startEngine(slowService())
+		env.waitReady()
+		assert.Equal(t, result.Code(0), env.agent.ready.refusalCode())
 	})
 }
--- a/agent/run_sink.go
+++ b/agent/run_sink.go
@@ -9,14 +9,14 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// errRunClosed ends a run whose events nobody takes any more.
-var errRunClosed = errors.New("agent: events are not taken any more")
+// errRunClosed ends a run whose events are not accepted any more.
+var errRunClosed = errors.New("agent: run is closed and accepts no events")
 
-// runSink receives a run's events and tells the gate duty once for all that are waiting. So a burst of events costs
-// the gate duty one step, and a single event goes on at once.
+// runSink receives a run's events and notifies the event loop once for all events that are waiting. A burst of events
+// costs the loop one step, and a single event is passed on at once.
 type runSink struct {
 	run *engineRun
-	// notify puts a note on the gate duty's ring. It may wait: that is the back-pressure on the engine.
+	// notify puts an input on the event loop's ring. It blocks while the ring is full, which slows the engine down.
 	notify func(*engineRun) error
 }
 
@@ -30,8 +30,8 @@
 	return s.put(slices.Clone(chunk.Data), chunk.Tokens)
 }
 
-// Answer implements engine.Sink. What a model engine says with a status other than 200 is a refusal, and no part of
-// an answer.
+// Answer implements engine.Sink. The body of a model engine's answer with a status other than 200 is a refusal and not
+// passed on; a service's answer is passed on with any status.
 func (s *runSink) Answer(answer engine.Answer) error {
 	s.run.setContentType(answer.ContentType)
 	if !s.run.isService && answer.Status != http.StatusOK {
@@ -53,7 +53,8 @@
 	return s.notify(s.run)
 }
 
-// put adds an event, and waits while too many bytes are waiting. It returns whether the gate duty must be told.
+// put appends an event, and blocks while the buffer is full. It reports whether the event loop must be notified. The
+// error is errRunClosed.
 func (r *engineRun) put(event []byte, tokens int) (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +72,7 @@
 	return notify, nil
 }
 
-// take returns the events that are waiting, and the tokens in each.
+// take returns and clears the waiting events, and the number of tokens in each.
 func (r *engineRun) take() ([][]byte, []uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +85,7 @@
 	return events, tokens
 }
 
-// close lets put fail from now on.
+// close makes put return errRunClosed.
 func (r *engineRun) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +99,7 @@
 	r.contentType = contentType
 }
 
-// contentTypeOrDefault returns the content type that the engine gave, and that of a stream if it gave none.
+// contentTypeOrDefault returns the content type that the engine gave, or that of an event stream if it gave none.
 func (r *engineRun) contentTypeOrDefault() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/run_sink_test.go
+++ b/agent/run_sink_test.go
@@ -26,10 +26,10 @@
 	sink, r, notifications := newSink(false)
 	data := []byte("a")
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: data, Tokens: 1}))
-	data[0] = 'x' // the adapter uses its buffer again
+	data[0] = 'x' // the adapter reuses its buffer
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("b"), Tokens: 1}))
 	require.NoError(t, sink.Chunk(engine.Chunk{Data: []byte("usage"), UsageOnly: true}))
-	assert.Equal(t, 1, *notifications, "one note for all that waits")
+	assert.Equal(t, 1, *notifications, "one notification for all waiting events")
 	events, tokens := r.take()
 	assert.Equal(t, [][]byte{[]byte("a"), []byte("b")}, events)
 	assert.Equal(t, []uint32{1, 1}, tokens)
@@ -46,9 +46,7 @@
 	assert.Len(t, events, 1)
 }
 
-// Symptom: a caller gets an engine's error text as its answer.
-// Sequence: a model engine refuses an attempt with a status other than 200.
-// Cause: the refusal's body was passed on like a part of an answer.
+// A model engine's answer with a status other than 200 is a refusal. Its body must not reach the caller as an answer.
 func TestSinkDropsModelRefusal(t *testing.T) {
 	refusal := engine.Answer{Status: 503, Body: []byte("busy")}
 	sink, r, _ := newSink(false)
@@ -59,7 +57,7 @@
 	sink, r, _ = newSink(true)
 	require.NoError(t, sink.Answer(refusal))
 	events, _ = r.take()
-	assert.Len(t, events, 1, "a service's status of any value is its answer")
+	assert.Len(t, events, 1, "a service's answer is passed on with any status")
 }
 
 func TestSinkSplitsServiceAnswer(t *testing.T) {
@@ -72,9 +70,8 @@
 	assert.Equal(t, "text/plain", r.contentTypeOrDefault())
 }
 
-// Symptom: an agent's memory grows until the process dies.
-// Sequence: an engine sends faster than the gate duty takes the events.
-// Cause: the events that wait had no bound.
+// The buffer of waiting events is bounded, so an engine that sends faster than the event loop takes the events must be
+// slowed down. Otherwise the agent runs out of memory.
 func TestSinkAppliesBackPressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink, r, _ := newSink(false)
--- a/agent/server.go
+++ b/agent/server.go
@@ -15,19 +15,19 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// serverGate is the gate of one server as its duty drives it.
+// serverGate is the part of gate.Gate that a server's event loop uses.
 type serverGate interface {
 	Step(now time.Time, event gate.Event) []gate.Action
 	NextTick() time.Duration
 }
 
-// entryLinks is how gates reach entries. Neither call blocks.
+// entryLinks sends messages of gates to entries. Neither method blocks. Send reports whether the message was accepted.
 type entryLinks interface {
 	Send(id gate.EntryID, message *wire.AgentMessage) bool
 	Broadcast(message *wire.AgentMessage)
 }
 
-// serverDeps is what all servers of an agent share.
+// serverDeps are the dependencies that all servers of an agent share.
 type serverDeps struct {
 	log       log.Interface
 	meter     *meter
@@ -37,35 +37,35 @@
 	newEngine func(*wire.ServerRecord) (engine.Client, error)
 	newGate   func() serverGate
 	spawn     func(func(ctx context.Context))
-	// onChange says that a server's view onChange.
+	// onChange is called when the server's view has changed.
 	onChange func(*server)
-	// report hands a report over for control. It never blocks.
+	// report queues a report to control. It doesn't block.
 	report func(outbox.Item)
-	// propose has control commit a command.
+	// propose proposes a command to control and waits for its commit.
 	propose func(context.Context, *wire.Command) (*wire.CommandResult, error)
-	// advice returns what the directory has of a server's advice, nil for nothing.
+	// advice returns the directory's record of a server's advice, nil if there is none.
 	advice func(server string) *wire.ServerAdvice
-	// uniqueNamePerStart says that each start of a server has another name.
+	// uniqueNamePerStart reports whether each start of a server has another name.
 	uniqueNamePerStart bool
-	// senderCount is how many agents send to the same servers, this one included.
+	// senderCount returns the number of agents that send to the same servers, including this one.
 	senderCount func() int
 	// linkedEntries returns the entries with an open link.
 	linkedEntries func() []gate.EntryID
 }
 
-// server is one backend server as its gate duty sees it. All fields without another remark are the duty's own.
+// server is one backend server with its event loop. Fields without another comment are used by the event loop only.
 type server struct {
 	serverDeps
 	name string
-	base context.Context // the duty's own, ends with the agent
+	base context.Context // context of the event loop, ends with the agent or when the server is removed
 
-	lifetime    context.Context // ends when the server is forgotten
+	lifetime    context.Context // ends when the server is removed
 	endLifetime context.CancelFunc
 
 	inputs *ring.Ring[input]
 	gate   serverGate
-	// pending holds events that a step led to. They don't go through the ring: the duty would wait for itself if the
-	// ring were full.
+	// pending holds events that resulted from a step. They bypass the ring, since a full ring would deadlock the event
+	// loop.
 	pending        []pendingEvent
 	currentRefusal refusal
 	unsent         unsent
@@ -74,16 +74,16 @@
 	record      *wire.ServerRecord // latest announcement, nil before the first
 	client      engine.Client      // nil before the first announcement
 	announcedAt time.Time
-	gateRecord  *wire.ServerRecord // latest that the gate gave for the directory, nil before its engine is proved free
+	gateRecord  *wire.ServerRecord // the gate's latest record for the directory, nil until its engine is confirmed free
 	leaving     leaving
 	runs        map[attemptKey]*engineRun
 
-	view atomic.Pointer[serverView] // for other duties
+	view atomic.Pointer[serverView] // read by other goroutines
 }
 
-// serverView is what other duties see of a server. It isn't changed once it is stored.
+// serverView is the state of a server for other goroutines. It is immutable.
 type serverView struct {
-	record    *wire.ServerRecord // what belongs in the directory; nil if the server doesn't
+	record    *wire.ServerRecord // record for the directory, nil if the server doesn't belong there
 	client    engine.Client      // nil before the first announcement
 	condition wire.ServerCondition
 	recovered bool // no stream of an earlier incarnation is left on the engine
@@ -91,12 +91,12 @@
 	drained   bool
 }
 
-// gone says whether the server stopped announcing itself long ago.
+// gone reports whether the server has not announced itself for so long that it counts as gone.
 func (v *serverView) gone() bool {
 	return v.condition == wire.ServerCondition_SERVER_CONDITION_GONE
 }
 
-// announced says whether the server ever announced itself.
+// announced reports whether the server has ever announced itself.
 func (v *serverView) announced() bool {
 	return v.client != nil
 }
@@ -116,12 +116,12 @@
 	return s
 }
 
-// push hands an input to the gate duty, and waits while its ring is full.
+// push passes an input to the event loop, and blocks while the loop's ring is full. It fails only if ctx ends.
 func (s *server) push(ctx context.Context, in input) error {
 	return s.inputs.Push(ctx, in)
 }
 
-// publish stores a new view and says so.
+// publish stores a new view and calls onChange.
 func (s *server) publish() {
 	view := &serverView{
 		client:    s.client,
@@ -137,13 +137,13 @@
 	s.onChange(s)
 }
 
-// recovered says whether the gate found the engine free of what earlier incarnations started. Its first word on the
-// condition says so.
+// recovered reports whether the gate has confirmed the engine as free of what earlier incarnations started. The gate
+// gives no condition before that.
 func (s *server) recovered() bool {
 	return s.gateRecord != nil
 }
 
-// directoryRecord is the latest announcement with the condition.
+// directoryRecord returns the latest announcement with the given condition.
 func (s *server) directoryRecord(condition wire.ServerCondition) *wire.ServerRecord {
 	return &wire.ServerRecord{
 		Server:       s.record.GetServer(),
--- a/agent/server_actions.go
+++ b/agent/server_actions.go
@@ -13,10 +13,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// errNotDispatched is the cause of an attempt that the agent didn't pass to its engine.
-var errNotDispatched = errors.New("agent: not passed to the engine")
+// errNotDispatched is the cause of the error for an attempt that was not passed to its engine.
+var errNotDispatched = errors.New("agent: attempt was not passed to the engine")
 
-// perform carries out an action of the gate. It never waits.
+// perform carries out an action of the gate. It doesn't block.
 func (s *server) perform(now time.Time, action gate.Action) {
 	switch a := action.(type) {
 	case gate.Send:
@@ -59,13 +59,13 @@
 	}
 }
 
-// hideFreeRoom takes the free room out of a Room message while the agent takes no new work.
+// hideFreeRoom returns a Room message without free room while the agent takes no new work, other messages as they are.
 func (s *server) hideFreeRoom(message *wire.AgentMessage) *wire.AgentMessage {
 	room := message.GetRoom()
 	if room == nil || s.ready.refusalCode() == 0 {
 		return message
 	}
-	// The gate may compare the message that it made with a later one.
+	// The gate may compare the message with a later one, so the original isn't changed.
 	room = proto.CloneOf(room)
 	room.Free = 0
 	if room.GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY {
@@ -76,9 +76,9 @@
 
 // startRun runs an attempt at the engine, or refuses it.
 //
-// An agent that is cut off from control, or stops, takes no new work. Here is the one place where work begins, so a
-// refusal here holds for dispatches of all ways: straight, after an offer, or from the waiting list. The gate leaves a
-// tombstone as for any call that was never sent.
+// An agent that is cut off from control or stopping takes no new work. All attempts start here, so the check covers
+// dispatches that are immediate, that follow an offer, and that come from the waiting list. The gate leaves a
+// tombstone for a refused attempt as for any call that was never sent.
 func (s *server) startRun(d *wire.Dispatch) {
 	key := keyOf(d.GetAttempt())
 	reason := refusal{key: key, code: s.ready.refusalCode()}
@@ -106,10 +106,10 @@
 	}
 }
 
-// outcomeReport is the outcome of an operation whose entry is gone.
+// outcomeReport returns the report of the outcome of an operation whose entry has ended.
 //
-// Without it the outcome of work that ran would be lost with its entry: the operation would stay "unknown" for ever,
-// and its caller would never get the answer that the service gave.
+// Without it the outcome of completed work would be lost with its entry: the operation would stay "unknown"
+// permanently, and its caller would never get the service's answer.
 func outcomeReport(c *wire.CompleteOperation) outbox.Item {
 	return outbox.Item{
 		EventPrefix: "outcome",
@@ -119,7 +119,7 @@
 	}
 }
 
-// updateCondition takes what the gate wants in the directory.
+// updateCondition stores the record that the gate gives for the directory.
 func (s *server) updateCondition(record *wire.ServerRecord) {
 	if !s.recovered() {
 		s.log.Info("engine_recovered")
@@ -132,7 +132,7 @@
 	s.publish()
 }
 
-// applyToOver puts the agent's reason in the gate's answer to an attempt that the agent refuses.
+// applyToOver sets the agent's code and message in the gate's answer to an attempt that the agent refuses.
 func (r refusal) applyToOver(over *wire.Over) {
 	if r.code == 0 || keyOf(over.GetAttempt()) != r.key || over.GetProof() != wire.Proof_PROOF_NEVER_STARTED {
 		return
@@ -141,7 +141,7 @@
 	over.Message = r.code.Info().Message
 }
 
-// applyToCount puts the agent's reason in the gate's count of the refusal.
+// applyToCount sets the agent's code in the gate's count of a refusal.
 func (r refusal) applyToCount(c gate.Count) gate.Count {
 	if r.code != 0 && c.Counter == gate.Refusals {
 		c.Code = uint16(r.code)
--- a/agent/server_advice.go
+++ b/agent/server_advice.go
@@ -12,25 +12,26 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// adviceLogInterval is the least time between two lines about what one server asks of its senders. What is left out between them is
-// counted in the next one.
+// adviceLogInterval is the least time between two log lines on the advice of one server. The next line has the number
+// of lines that were skipped.
 const adviceLogInterval = time.Second
 
 // adviceProposeTimeout bounds the wait for a commit.
 const adviceProposeTimeout = 2 * time.Second
 
-// adviceState is what is known of the words of one server, besides what its gate goes by. All fields but expects are the gate duty's own.
+// adviceState is the state of a server's advice (rate limit, backoff, draining) outside of its gate. All fields but
+// observeEmpty are used by the event loop only.
 type adviceState struct {
-	// observeEmpty is set while answers that say nothing matter.
+	// observeEmpty is set while the gate needs answers without advice too.
 	observeEmpty atomic.Bool
 
 	adviceLog, throttleLog logLimiter
 
-	rateLimit     backpressure.Rate // that the gate goes by
+	rateLimit     backpressure.Rate // the rate limit that the gate applies
 	directorySync backpressure.DirectorySync
 }
 
-// subscribeToObservations has the gate duty hear what the client's answers say of the server.
+// subscribeToObservations passes what the client's answers say about the server to the event loop.
 func (s *server) subscribeToObservations(ctx context.Context, client engine.Client) {
 	observable, ok := client.(engine.Observable)
 	if !ok {
@@ -44,7 +45,7 @@
 	})
 }
 
-// observationInput carries what an answer said of the server.
+// observationInput carries the advice of one answer.
 type observationInput struct {
 	client      engine.Client
 	observation backpressure.Observation
@@ -61,7 +62,8 @@
 	s.proposeAdvice(now)
 }
 
-// handleDraining lets the server leave where an answer says that it does. Its announcements may say so late, or never.
+// handleDraining starts a graceful leave when an answer says that the server is draining. The server's announcements
+// may say so late or not at all.
 func (s *server) handleDraining(now time.Time, o backpressure.Observation) {
 	if !o.Draining {
 		return
@@ -74,19 +76,20 @@
 	leaveRequested{reason: "answer"}.apply(s, now)
 }
 
-// forDirectory is what of an answer the directory is to have. That a server leaves is for good only where each of its starts has
-// another name.
+// forDirectory returns the part of an answer's advice that belongs in the directory. Draining is recorded only where
+// each start of a server has another name, since the record holds for as long as the name is used.
 func (s *server) forDirectory(o backpressure.Observation) backpressure.Observation {
 	o.Draining = o.Draining && s.uniqueNamePerStart
 	return o
 }
 
-// directoryAdvice carries what the directory has of the server, nil for nothing.
+// directoryAdvice carries the directory's advice on the server, nil if there is none.
 type directoryAdvice struct{ record *wire.ServerAdvice }
 
 func (in directoryAdvice) apply(s *server, now time.Time) { s.applyDirectoryAdvice(now, in.record) }
 
-// applyDirectoryAdvice goes by what another sender heard of the server, or an earlier process beside it.
+// applyDirectoryAdvice applies advice that another sender, or an earlier incarnation of the agent, got from the
+// server.
 func (s *server) applyDirectoryAdvice(now time.Time, record *wire.ServerAdvice) {
 	observation, isNew := s.adviceState.directorySync.ApplyRecord(now, backpressure.Record{
 		Rate:     backpressure.Rate{Limited: record.GetRateLimited(), PerSecond: record.GetRatePerS()},
@@ -99,7 +102,8 @@
 	}
 }
 
-// proposeAdvice has control record what the server asks where that isn't known there. What isn't committed is proposed again.
+// proposeAdvice proposes the server's advice to control if the directory doesn't have it. It is proposed again until
+// it is committed.
 func (s *server) proposeAdvice(now time.Time) {
 	record, isDue := s.adviceState.directorySync.NextProposal(now)
 	if !isDue {
@@ -120,7 +124,7 @@
 	})
 }
 
-// adviceProposed says that a proposal has ended.
+// adviceProposed is the input after the end of a proposal. A nil err means that it was committed.
 type adviceProposed struct{ err error }
 
 func (in adviceProposed) apply(s *server, _ time.Time) {
@@ -131,7 +135,7 @@
 	}
 }
 
-// logAdvice counts and logs a change of what the server is known to ask.
+// logAdvice counts and logs a change of the server's advice.
 func (s *server) logAdvice(now time.Time, a gate.ThrottleChanged) {
 	o := a.Observation
 	s.adviceState.rateLimit = a.Rate
@@ -150,7 +154,7 @@
 		Info("server_advice")
 }
 
-// logThrottled counts and logs an attempt that was kept from the server for what it asked.
+// logThrottled counts and logs an attempt that was held back because of the server's advice.
 func (s *server) logThrottled(now time.Time, a gate.Throttled) {
 	s.meter.throttled(a.Reason)
 	if !s.adviceState.throttleLog.mayLog(now) {
@@ -182,7 +186,7 @@
 	}
 }
 
-// logLimiter bounds the lines of one kind about one server to one each adviceLogGap.
+// logLimiter limits the log lines of one kind about one server to one per adviceLogInterval.
 type logLimiter struct {
 	lastLogged time.Time
 	skipped    int
--- a/agent/server_announce.go
+++ b/agent/server_announce.go
@@ -13,11 +13,12 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// errEngineChanged says that an answer came from an engine that isn't in use any more.
-var errEngineChanged = errors.New("agent: the backend server has another address now")
+// errEngineChanged replaces the answer of an engine that is not in use any more.
+var errEngineChanged = errors.New("agent: the address of the backend server has changed")
 
-// announce hands a checked announcement to the gate duty and waits for its word. Errors have the code server_busy (the
-// address or kind changed while the earlier engine may still run something) or malformed_body.
+// announce passes a validated announcement to the event loop and waits for the result. Errors have the code
+// server_busy (the address or kind changed while the earlier engine may still run something) or malformed_body, or are
+// those of ctx.
 func (s *server) announce(ctx context.Context, record *wire.ServerRecord) error {
 	reply := make(chan error, 1)
 	if err := s.push(ctx, announcementInput{record: record, reply: reply}); err != nil {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// engineChanged says whether the announcement is of another engine than the one in use.
+// engineChanged reports whether the announcement is of another engine than the one in use.
 func (s *server) engineChanged(record *wire.ServerRecord) bool {
 	if s.record == nil {
 		return false
@@ -72,12 +73,13 @@
 	return s.record.GetAddress() != record.GetAddress() || s.record.GetKind() != record.GetKind()
 }
 
-// releaseEngine gives up the engine in use for another address.
+// releaseEngine stops using the current engine, so that one at another address can be used. The error has the code
+// server_busy.
 //
-// Attempts at the old address can be ended only there. The engine at the new one has never heard of them, and its "no
-// such stream" would pass for a proof while the old one goes on. So a move has to wait until the old engine was proved
-// free, and is now gone or drained without an attempt of which nothing is proved. Announcements that are refused don't
-// count as signs of life, so an engine that really moved is gone soon.
+// Attempts at the old address can be ended only there. The engine at the new address doesn't know them, and its answer
+// "no such stream" would be taken as proof of their end while they still run. So a change of address has to wait until
+// the old engine was confirmed free and is now gone, or drained with no run left. Announcements that are refused don't
+// count as signs of life, so an engine that has really moved is soon considered gone.
 func (s *server) releaseEngine(now time.Time) error {
 	gone := s.gateRecord.GetCondition() == wire.ServerCondition_SERVER_CONDITION_GONE
 	if !gone && !s.isReturning(now) || len(s.runs) > 0 {
@@ -89,14 +91,14 @@
 	return nil
 }
 
-// closeClient lets go of a client's idle connections, if it keeps any.
+// closeClient closes the idle connections of a client that keeps any. A nil client is allowed.
 func closeClient(client engine.Client) {
 	if closer, ok := client.(interface{ Close() }); ok {
 		closer.Close()
 	}
 }
 
-// connect makes the engine's client if there is none.
+// connect creates the engine's client if there is none.
 func (s *server) connect(record *wire.ServerRecord) error {
 	if s.client != nil {
 		return nil
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// verifyTries and verifyPause bound how often and how soon a server that broke off an answer is looked for again while a
-	// look tells nothing: its process may be about to close its listener.
+	// verifyTries and verifyInterval bound the checks of a server that broke off an answer, while a check is
+	// inconclusive: the process may be about to close its listener.
 	verifyTries    = 5
 	verifyInterval = 50 * time.Millisecond
 )
 
-// verifyServer finds out whether the server's process is still there, for the gate.
+// verifyServer checks for the gate whether the server's process still runs.
 func (s *server) verifyServer() {
 	client := s.client
 	if client == nil {
@@ -35,8 +35,8 @@
 	})
 }
 
-// processEnded tells whether nothing listens at the server's address. A refused connection says so at once; silence, as of a
-// machine without power or behind a cut, says nothing.
+// processEnded reports whether nothing listens at the server's address. A refused connection shows that at once; no
+// answer, as from a machine without power or behind a network partition, shows nothing.
 func processEnded(ctx context.Context, client engine.Client) bool {
 	for range verifyTries {
 		err := reach(ctx, client)
@@ -53,7 +53,7 @@
 	return false
 }
 
-// reach connects to the server's process, or calls it where the client can't do less.
+// reach connects to the server's process. If the client can't only connect, it makes a load call.
 func reach(ctx context.Context, client engine.Client) error {
 	ctx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
@@ -64,7 +64,7 @@
 	return err
 }
 
-// reportCrash tells control and the log what the server ran when it reportCrash.
+// reportCrash reports to control and logs which requests the server ran when it crashed.
 func (s *server) reportCrash(a gate.Crashed) {
 	note := &wire.NoteCrash{Crash: a.Crash}
 	requests := make([]string, 0, len(a.Runs))
--- a/agent/server_crash_test.go
+++ b/agent/server_crash_test.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/engine/standin"
 )
 
-// scriptedLoads is a client whose load calls give these errors, the last one for ever.
+// scriptedLoads is a client whose load calls return these errors, and then the last one repeatedly.
 type scriptedLoads struct {
 	engine.Client
 	errs  []error
@@ -38,10 +38,10 @@
 		"reset, then refused":        {[]error{unknown, unknown, refused}, true},
 		"answers":                    {[]error{nil}, false},
 		"answers without a report":   {[]error{errors.Wrap(engine.ErrUnsupported, "load")}, false},
-		"silent":                     {[]error{context.DeadlineExceeded}, false},
-		"reset, again and again":     {[]error{unknown}, false},
+		"no answer":                  {[]error{context.DeadlineExceeded}, false},
+		"reset repeatedly":           {[]error{unknown}, false},
 		"reset, then answers":        {[]error{unknown, nil, refused}, false},
-		"refused only after a while": {[]error{unknown, unknown, unknown, unknown, unknown, refused}, false},
+		"refused after the last try": {[]error{unknown, unknown, unknown, unknown, unknown, refused}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -51,16 +51,16 @@
 	}
 }
 
-// Symptom: on-call can't tell from any line what a server ran when it crashed. Sequence: an engine crashes with two runs, and
-// comes back; later it breaks one answer off without a crash. Cause: crashes that no line and no metric told.
+// A crash of an engine must be counted and logged with the requests that it ran, or operators can't find its cause. An
+// answer that breaks off without a crash must not be counted.
 func TestCrashIsCounted(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, model *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, model *standin.Server, entry *fakeEntry) {
 		entry.dispatch(longCompletionDispatch("r1", 1))
 		entry.dispatch(longCompletionDispatch("r2", 1))
-		w.waitUntil("the streams run", func() bool { return entry.eventCount("r1", 1) > 3 && entry.eventCount("r2", 1) > 3 })
-		crashes := w.agent.meter.set.GetOrCreateCounter(metricCrashes)
+		env.waitUntil("the streams run", func() bool { return entry.eventCount("r1", 1) > 3 && entry.eventCount("r2", 1) > 3 })
+		crashes := env.agent.meter.set.GetOrCreateCounter(metricCrashes)
 		model.Crash(time.Second)
-		w.waitUntil("it is noticed", func() bool { return crashes.Get() == 1 })
+		env.waitUntil("the crash is counted", func() bool { return crashes.Get() == 1 })
 		entry.awaitOver("r1", 1)
 		entry.awaitOver("r2", 1)
 
--- a/agent/server_leave.go
+++ b/agent/server_leave.go
@@ -7,18 +7,18 @@
 	"github.com/carawaypitch/carawaypitch/gate"
 )
 
-// leaving says where a graceful leave stands.
+// leaving is the state of a graceful leave.
 type leaving struct {
 	requested        bool
-	reportedByServer bool // the server itself said so in an answer
+	reportedByServer bool // an answer of the server said that it is draining
 	drained          bool
-	wasSilent        bool      // the server stopped announcing for a while since it was asked to leave
-	drainedReadAt    time.Time // when the server was first told that it is drained, zero before
+	wasSilent        bool      // the server stopped announcing itself for a while after the leave was requested
+	drainedReadAt    time.Time // when the server first read that it is drained, zero before
 
-	departed bool // drained, and silent for departedAfter
+	departed bool // drained, and silent for departureTimeout
 }
 
-// leave hands the wish to leave to the gate duty. It has an error only if ctx ends.
+// leave requests a graceful leave from the event loop. It fails only if ctx ends.
 func (s *server) leave(ctx context.Context, reason string) error {
 	return s.push(ctx, leaveRequested{reason: reason})
 }
@@ -34,7 +34,7 @@
 	s.publish()
 }
 
-// drainedStateRead says that the server was told that it is drained.
+// drainedStateRead is the input after the server was told that it is drained.
 type drainedStateRead struct{}
 
 func (drainedStateRead) apply(s *server, now time.Time) {
@@ -43,19 +43,20 @@
 	}
 }
 
-// detectSilence looks at an announcement for a silence before it.
+// detectSilence records whether a leaving server was silent before the announcement that arrives at now.
 func (s *server) detectSilence(now time.Time) {
 	if s.leaving.requested && now.Sub(s.announcedAt) >= s.timing.Silent {
 		s.leaving.wasSilent = true
 	}
 }
 
-// isReturning says whether an announcement of a leaving server means that it is back.
+// isReturning reports whether an announcement of a leaving server means that it has returned.
 //
-// A server goes on announcing while it drains, and for a moment after. Were that taken for a return, it would get new
-// work and stop under it. So it is back only if it is drained and either was told so a while ago or was silent in
-// between. A server that an operator drained asks nothing and is never silent, and stays drained. So does one that said in an answer
-// that it leaves, where its next start has another name.
+// A server goes on announcing itself while it drains, and for a moment after. If that counted as a return, it would
+// get new work and then stop while it runs. So a server returns only if it is drained, and either was told so at least
+// returnDelay ago or was silent in between. A server that an operator drained never asks for its state and is never
+// silent, so it stays drained. So does a server that said in an answer that it is draining, if its next start has
+// another name.
 func (s *server) isReturning(now time.Time) bool {
 	if !s.leaving.drained || s.leaving.reportedByServer && s.uniqueNamePerStart {
 		return false
@@ -64,10 +65,11 @@
 	return wasInformed || s.leaving.wasSilent
 }
 
-// resetAfterReturn lets a drained server begin anew, with a new gate: for the old one, drained is the end.
+// resetAfterReturn gives a drained server a new gate, since drained is the final state of the old one.
 //
-// The new gate knows none of the old one's tombstones. What they refuse can't come any more: nothing is dispatched to
-// a drained server, links keep their order, and comeBackAfter or the silence has passed.
+// The new gate has none of the old one's tombstones. The messages that they guard against can't arrive any more:
+// nothing is dispatched to a drained server, links keep the order of messages, and returnDelay or the silence has
+// passed.
 func (s *server) resetAfterReturn(now time.Time) {
 	s.log.Info("server_back")
 	s.leaving = leaving{}
@@ -80,8 +82,8 @@
 	s.publish()
 }
 
-// updateDeparted takes a drained server out of the directory once it stopped announcing itself. For the gate drained is
-// the end, so it says nothing any more.
+// updateDeparted takes a drained server out of the directory once it has stopped announcing itself. The gate doesn't
+// report that, since drained is its final state.
 func (s *server) updateDeparted(now time.Time) {
 	departed := s.leaving.drained && now.Sub(s.announcedAt) >= departureTimeout
 	if departed != s.leaving.departed {
--- a/agent/server_loop.go
+++ b/agent/server_loop.go
@@ -9,25 +9,25 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// input is something that a gate duty takes from its ring.
+// input is an element of an event loop's ring.
 type input interface {
 	apply(s *server, now time.Time)
 }
 
-// gateEvent is an input that goes to the gate as it is.
+// gateEvent is an input that is passed to the gate as it is.
 type gateEvent struct{ event gate.Event }
 
 func (in gateEvent) apply(s *server, now time.Time) {
 	s.step(now, in.event)
 }
 
-// pendingEvent is an event that a step led to.
+// pendingEvent is an event that resulted from a step.
 type pendingEvent struct {
 	event   gate.Event
 	refusal refusal
 }
 
-// run is the gate duty. It returns only when ctx ends.
+// run is the event loop of the server. It returns only when ctx ends.
 func (s *server) run(ctx context.Context) {
 	s.base = ctx
 	ticks := pause.NewTimer(gate.TickInterval)
@@ -50,7 +50,7 @@
 	}
 }
 
-// nextTick is when the duty has to look again, whatever comes meanwhile.
+// nextTick returns the time until the loop's next tick, if no input arrives before.
 func (s *server) nextTick() time.Duration {
 	if s.unsent.any() || s.leaving.requested {
 		return gate.TickInterval
@@ -58,7 +58,7 @@
 	return s.gate.NextTick()
 }
 
-// applyBatch applies an input and what else is on the ring, up to inputBatch, so that ticks keep their turn.
+// applyBatch applies an input and what else is on the ring, up to maxInputBatch, so that ticks are not starved.
 func (s *server) applyBatch(in input) {
 	now := time.Now()
 	in.apply(s, now)
@@ -72,7 +72,7 @@
 	}
 }
 
-// step gives an event to the gate, carries out what it wants, and goes on with what follows from that.
+// step passes an event to the gate and carries out its actions, and then does the same for all pending events.
 func (s *server) step(now time.Time, event gate.Event) {
 	s.stepWithRefusal(now, event, refusal{})
 }
@@ -91,18 +91,18 @@
 	s.currentRefusal = refusal{}
 }
 
-// enqueue lets an event follow the present step.
+// enqueue adds an event to be handled after the current step.
 func (s *server) enqueue(event gate.Event, reason refusal) {
 	s.pending = append(s.pending, pendingEvent{event: event, refusal: reason})
 }
 
-// refusal names an attempt that the agent refuses, and why. A zero code refuses nothing.
+// refusal is an attempt that the agent refuses, and the code. A zero code refuses nothing.
 type refusal struct {
 	key  attemptKey
 	code result.Code
 }
 
-// closeRuns lets go of what still runs when the agent ends.
+// closeRuns disconnects the attempts that still run when the agent ends.
 func (s *server) closeRuns() {
 	for _, r := range s.runs {
 		r.close()
--- a/agent/server_runs.go
+++ b/agent/server_runs.go
@@ -11,13 +11,13 @@
 	"github.com/carawaypitch/carawaypitch/poison"
 )
 
-// errDispatchInFlight turns an engine's "no such stream" into no proof.
-var errDispatchInFlight = errors.New("agent: the dispatch may still be on its way")
+// errDispatchInFlight is used for an engine's "no such stream" that doesn't prove the end of an attempt.
+var errDispatchInFlight = errors.New("agent: the dispatch may still be in flight")
 
-// executeRun runs an attempt in a goroutine of its own and tells the gate duty how it ended.
+// executeRun runs an attempt at the engine and passes its end to the event loop. It runs in its own goroutine.
 //
-// ctx ends with the agent, callCtx already when the run's connection is dropped. The duty must hear of the end also
-// in the second case.
+// ctx ends with the agent; callCtx ends also when the run's connection is closed. The event loop needs the end of the
+// run in the second case too, so the input is pushed with ctx.
 func (s *server) executeRun(ctx, callCtx context.Context, r *engineRun) {
 	defer r.disconnect()
 	sink := &runSink{
@@ -28,7 +28,7 @@
 	_ = s.push(ctx, runEnded{run: r, outcome: outcome, err: err})
 }
 
-// runProgress says that events of a run are waiting.
+// runProgress is the input for events of a run that are waiting.
 type runProgress struct{ run *engineRun }
 
 func (in runProgress) apply(s *server, now time.Time) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// runEnded says that the engine call of a run returned.
+// runEnded is the input after the engine call of a run returned.
 type runEnded struct {
 	run     *engineRun
 	outcome engine.Outcome
@@ -67,10 +67,11 @@
 		ContentType: r.contentTypeOrDefault(),
 	})
 	if errors.Is(in.err, engine.ErrReplaced) && !s.leaving.requested {
-		// The server is gone, whatever the directory still says: nothing more may go to its address in its name.
+		// The process with this name is gone, even if the directory still lists it: nothing more may be sent to its
+		// address under the name.
 		leaveRequested{reason: "replaced"}.apply(s, now)
 	}
-	// A service's call can't be cancelled, so no later proof is to be had.
+	// A service's call can't be cancelled, so there will be no later proof.
 	if provesEnd(in.err) || r.isService {
 		s.removeRun(r)
 	}
@@ -105,7 +106,8 @@
 	}
 }
 
-// cancelStream asks the engine to end an attempt. Every call is answered to the gate, which repeats it as needed.
+// cancelStream asks the engine to end an attempt. The result of every call is passed to the gate, which repeats the
+// call as needed.
 func (s *server) cancelStream(now time.Time, a gate.CancelEngine) {
 	answer := cancelResult{action: a, run: s.runs[keyOf(a.Attempt)], sentAt: now, err: errNotDispatched}
 	client := s.client
@@ -121,7 +123,7 @@
 	})
 }
 
-// cancelResult carries an engine's answer to a cancel.
+// cancelResult is the input with an engine's answer to a cancel.
 type cancelResult struct {
 	action gate.CancelEngine
 	run    *engineRun // nil if the agent runs no such attempt
@@ -154,18 +156,20 @@
 	}
 }
 
-// unknownIDProvesEnd says whether "no such stream", asked for at that time, proves that the attempt is over.
+// unknownIDProvesEnd reports whether the answer "no such stream" to a cancel sent at sentAt proves that the attempt is
+// over.
 //
 // The run's goroutine and a cancel reach the engine over different connections. A cancel that overtakes the dispatch
-// hears "no such stream", and the engine then starts the attempt all the same: the request would run here and, after
-// the supposed proof, at a second engine. One would notice it as two engines with streams of one request. So it
-// counts only if the engine call had returned, and what it left in the network was read, before the cancel was sent.
+// gets "no such stream", and the engine then starts the attempt nevertheless: the request would run here and, after
+// the supposed proof, on a second engine. So the answer counts only if the engine call had returned, and the engine
+// had read what the call left in the network, before the cancel was sent.
 func (r *engineRun) unknownIDProvesEnd(sentAt time.Time) bool {
 	return !r.returnedAt.IsZero() && sentAt.Sub(r.returnedAt) >= maxDispatchDelay
 }
 
-// scheduleDisconnect ends the connection of a run that the engine confirmed as cancelled, if the engine doesn't end the stream
-// itself. A goroutine and a connection would otherwise stay for each stream that a faulty engine never ends.
+// scheduleDisconnect closes the connection of a run that the engine confirmed as cancelled, unless the engine ends the
+// stream within cancelledRunGrace. Otherwise each stream that a faulty engine never ends would keep a goroutine and a
+// connection.
 func (s *server) scheduleDisconnect(r *engineRun) {
 	if r.returnedAt.IsZero() {
 		time.AfterFunc(cancelledRunGrace, r.disconnect)
--- a/agent/server_starts_test.go
+++ b/agent/server_starts_test.go
@@ -10,23 +10,21 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// announcementStartedAt is an announcement of one start of the followed server, which keeps its id.
+// announcementStartedAt returns an announcement of one start of the followed server. All starts have the same ID.
 func announcementStartedAt(started uint64) *wire.Announcement {
 	a := newAnnouncement("m1", "models", followedAddress)
 	a.StartedUnixMs = started
 	return a
 }
 
-// Symptom: work that may run once runs twice. Sequence: an attempt was sent to a server, and its answer lost; the server crashes
-// and starts again under its id; the agent restarts too, and asks the server, which knows nothing of the attempt. Cause: the
-// later start's ignorance taken for a proof that the earlier one ran nothing. An attempt is at one start of a server, and only
-// what is known of that one says what became of it.
+// Non-repeatable work must not run twice after a crash of its server. A later start of the server under the same ID
+// knows nothing of the attempt; only what is known of the start that the attempt was sent to proves its outcome.
 func TestLaterStartProvesNothingAboutEarlierStart(t *testing.T) {
-	withEnv(t, func(w *testEnv) {
-		w.startFollowingAgent()
-		w.control.setView(followView(2, announcementStartedAt(200)))
-		w.waitUntil("ready", func() bool { return len(w.control.registered()) == 1 })
-		entry := w.startEntry(entryHost, "entry-1")
+	withEnv(t, func(env *testEnv) {
+		env.startFollowingAgent()
+		env.control.setView(followView(2, announcementStartedAt(200)))
+		env.waitUntil("the server is ready", func() bool { return len(env.control.registered()) == 1 })
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("m1@200")
 		entry.cancelAt("m1@100", "r1", 1)
 		time.Sleep(5 * time.Second)
@@ -34,33 +32,32 @@
 			require.Equal(t, wire.Proof_PROOF_UNPROVEN, over.GetProof())
 		}
 		entry.cancelAt("m1@200", "r2", 1)
-		require.NotEqual(t, wire.Proof_PROOF_UNPROVEN, entry.awaitOver("r2", 1).GetProof(), "of its own attempts it can tell")
+		require.NotEqual(t, wire.Proof_PROOF_UNPROVEN, entry.awaitOver("r2", 1).GetProof(), "the server knows about its own attempts")
 	})
 }
 
-// Symptom: a server that has just started drains, or is slow to get work. Sequence: it starts again under its id, at once, after a
-// drain, or twice within a heartbeat; what was known of the start before is taken for its own. Cause: what an agent keeps of a
-// server kept by its id: its condition, its pace, its places and that it leaves.
+// A later start of a server under the same ID must not inherit the state of the earlier one: its condition, pace,
+// slots and leave. Otherwise a new process drains or gets work late.
 func TestLaterStartHasFreshState(t *testing.T) {
-	drains := announcementStartedAt(100)
-	drains.Draining = true
+	drainingAnnouncement := announcementStartedAt(100)
+	drainingAnnouncement.Draining = true
 	for name, before := range map[string][]*session.View{
 		"crashed":                  {followView(2, announcementStartedAt(100))},
-		"drained":                  {followView(2, announcementStartedAt(100)), followView(3, drains)},
+		"drained":                  {followView(2, announcementStartedAt(100)), followView(3, drainingAnnouncement)},
 		"ended":                    {followView(2, announcementStartedAt(100)), followView(3)},
 		"twice within a heartbeat": {followView(2, announcementStartedAt(100)), followView(3, announcementStartedAt(150))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withEnv(t, func(w *testEnv) {
-				w.startFollowingAgent()
+			withEnv(t, func(env *testEnv) {
+				env.startFollowingAgent()
 				for _, view := range before {
-					w.control.setView(view)
+					env.control.setView(view)
 					time.Sleep(10 * time.Millisecond)
 				}
-				w.control.setView(followView(9, announcementStartedAt(200)))
-				w.waitUntil("the later start is ready, and nothing else", func() bool {
+				env.control.setView(followView(9, announcementStartedAt(200)))
+				env.waitUntil("only the later start is ready", func() bool {
 					ready := 0
-					for _, record := range w.control.registered() {
+					for _, record := range env.control.registered() {
 						isReady := record.GetCondition() == wire.ServerCondition_SERVER_CONDITION_READY
 						if isReady && record.GetServer() != "m1@200" {
 							return false
--- a/agent/server_streams.go
+++ b/agent/server_streams.go
@@ -9,8 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// listStreams asks the engine for its streams. The gate wants it when the server announces itself first: an engine may go on
-// with what a dead incarnation of this agent started, and the gate cancels that before it admits anything.
+// listStreams asks the engine for its streams. The gate requests it at the server's first announcement: the engine may
+// still run what an earlier incarnation of this agent started, and the gate cancels that before it admits anything.
 func (s *server) listStreams() {
 	client := s.client
 	if client == nil {
@@ -23,11 +23,10 @@
 	})
 }
 
-// confirmedStreams lists the engine's streams, and lists them again after settleTime if none runs.
+// confirmedStreams lists the engine's streams, and lists them again after maxDispatchDelay if none is running.
 //
-// The last dispatch of a dead process may still be on its way when the first list is made, and the engine would start
-// it after it was taken for free. One would notice it as a stream on the engine that no gate knows, and as a request
-// that runs on two engines.
+// The last dispatch of a dead process may still be in flight when the first list is made. The engine would then start
+// it after it was considered free, as a stream that no gate knows, and the request would run on two engines.
 func confirmedStreams(ctx context.Context, client engine.Client) ([]engine.StreamInfo, error) {
 	streams, err := fetchStreams(ctx, client)
 	if err != nil || anyRunning(streams) {
@@ -54,7 +53,7 @@
 	return false
 }
 
-// streamsListed carries an engine's list of streams.
+// streamsListed is the input with an engine's list of streams.
 type streamsListed struct {
 	client  engine.Client
 	streams []engine.StreamInfo
--- a/agent/servers.go
+++ b/agent/servers.go
@@ -14,15 +14,16 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// servers holds the backend servers of an agent. One that is gone stays known: its gate's tombstones must outlive it.
+// servers holds the backend servers of an agent. A server that is gone is kept, since its gate's tombstones are still
+// needed.
 type servers struct {
 	deps  serverDeps
-	start func(*server) // starts the gate duty
-	limit int           // servers
+	start func(*server) // starts the event loop
+	limit int           // maximum number of servers
 
 	mu      sync.Mutex
 	byName  map[string]*server
-	entries map[gate.EntryID]bool // that are linked
+	entries map[gate.EntryID]bool // with an open link
 }
 
 func newServers(deps serverDeps, start func(*server), limit int) *servers {
@@ -37,17 +38,18 @@
 	return l
 }
 
-// get returns a server by name, nil if it isn't known.
+// get returns a server by name, nil if it is unknown.
 func (l *servers) get(name string) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byName[name]
 }
 
-// getOrCreate returns a server by name, and begins one that isn't known yet. It returns nil if there are too many.
+// getOrCreate returns a server by name, and creates it if it is unknown. It returns nil if the limit is reached or the
+// name is invalid.
 //
-// A message for a server that has not announced itself yet must meet a gate: its refusal leaves a tombstone, so that
-// a copy of a refused dispatch doesn't run once the server is there.
+// A message for a server that has not announced itself yet needs a gate: the refusal leaves a tombstone, so that a
+// copy of a refused dispatch doesn't run once the server has announced itself.
 func (l *servers) getOrCreate(name string) *server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,13 +68,13 @@
 	return s
 }
 
-// entryConnected tells all servers that an entry is linked, also those that are made while it is.
+// entryConnected tells all servers, including those created later, that an entry has an open link.
 func (l *servers) entryConnected(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, true)
 	l.broadcast(ctx, gateEvent{gate.EntryConnected{Entry: id}})
 }
 
-// entryDisconnected tells all servers that an entry's link is lost.
+// entryDisconnected tells all servers that the link of an entry is lost.
 func (l *servers) entryDisconnected(ctx context.Context, id gate.EntryID) {
 	l.setLinked(id, false)
 	l.broadcast(ctx, gateEvent{gate.EntryDisconnected{Entry: id}})
@@ -88,7 +90,7 @@
 	delete(l.entries, id)
 }
 
-// getOrCreateAnnounced is expect for an announcement. Its error has the code ring_full.
+// getOrCreateAnnounced is getOrCreate for an announcement. The error has the code ring_full.
 func (l *servers) getOrCreateAnnounced(name string) (*server, error) {
 	s := l.getOrCreate(name)
 	if s == nil {
@@ -97,7 +99,7 @@
 	return s, nil
 }
 
-// all returns the servers in the order of their names.
+// all returns the servers, sorted by name.
 func (l *servers) all() []*server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +124,7 @@
 	})
 }
 
-// records returns what belongs in the directory, in the order of the names.
+// records returns the records for the directory, sorted by name.
 func (l *servers) records() []*wire.ServerRecord {
 	records := []*wire.ServerRecord{}
 	for _, s := range l.all() {
@@ -137,7 +139,7 @@
 	return slices.EqualFunc(a, b, func(x, y *wire.ServerRecord) bool { return proto.Equal(x, y) })
 }
 
-// broadcast hands an input to all servers, until ctx ends.
+// broadcast pushes an input to all servers, until ctx ends.
 func (l *servers) broadcast(ctx context.Context, in input) {
 	for _, s := range l.all() {
 		if s.push(ctx, in) != nil {
--- a/agent/servers_test.go
+++ b/agent/servers_test.go
@@ -13,10 +13,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Symptom: an entry waits for a proof that its server's gate gave long ago.
-// Sequence: an entry is linked and asks after an attempt at a server that announces itself later; the gate answers once
-// the engine is proved free, but only entries that it knows to be linked.
-// Cause: a gate heard of links that came after it, and not of those that were open already.
+// A new gate must learn of links that are already open. Otherwise it doesn't send its answers to those entries, which
+// wait for a proof that was given long ago.
 func TestNewGateLearnsOpenLinks(t *testing.T) {
 	linked := gate.EntryID{Name: "entry-1", Incarnation: 1}
 	left := gate.EntryID{Name: "entry-2", Incarnation: 1}
@@ -36,12 +34,12 @@
 }
 
 func TestLaterServerServesLinkedEntries(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		second := standin.ServiceDefaults()
 		second.Server = "server-2"
-		w.startEngine(second)
+		env.startEngine(second)
 		entry.awaitRoom("server-2")
-		assert.Len(t, w.control.registered(), 2)
+		assert.Len(t, env.control.registered(), 2)
 		dispatch := serviceDispatch("r1", 1)
 		dispatch.Server = "server-2"
 		entry.dispatch(dispatch)
@@ -49,12 +47,10 @@
 	})
 }
 
-// Symptom: an attempt that was refused as never started runs.
-// Sequence: an entry dispatches for a server that has not announced itself to this incarnation yet; the refused
-// dispatch comes a second time after the announcement.
-// Cause: there was no gate to remember the refusal.
+// A dispatch for a server that has not announced itself yet is refused as never started. A copy of it that arrives
+// after the announcement must not run, so a gate has to hold the tombstone.
 func TestDispatchBeforeServerAnnouncement(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		early := serviceDispatch("r1", 1)
 		early.Server = "server-2"
 		entry.dispatch(early)
@@ -63,7 +59,7 @@
 
 		second := standin.ServiceDefaults()
 		second.Server = "server-2"
-		service := w.startEngine(second)
+		service := env.startEngine(second)
 		entry.awaitRoom("server-2")
 		entry.dispatch(early)
 		time.Sleep(5 * time.Second)
@@ -71,31 +67,29 @@
 	})
 }
 
-// Symptom: "never started" is said of an attempt that may run.
-// Sequence: entries name more servers than an agent takes.
-// Cause: a refusal without a place for its tombstone was given as a proof.
+// Beyond the limit on servers there is no gate and no tombstone, so the refusal of a dispatch must not claim that it
+// never started: a copy may still run.
 func TestNoProofWithoutGate(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, entry *fakeEntry) {
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
 		for i := range maxServers {
-			require.Equal(t, i < maxServers-1, w.agent.servers.getOrCreate(fmt.Sprint("s", i)) != nil)
+			require.Equal(t, i < maxServers-1, env.agent.servers.getOrCreate(fmt.Sprint("s", i)) != nil)
 		}
 		dispatch := completionDispatch("r1", 1)
 		dispatch.Server = "one-more"
 		entry.dispatch(dispatch)
-		w.waitUntil("an answer", func() bool { return entry.over("r1", 1) != nil })
+		env.waitUntil("the dispatch is answered", func() bool { return entry.over("r1", 1) != nil })
 		assert.Equal(t, wire.Proof_PROOF_UNPROVEN, entry.over("r1", 1).GetProof())
 	})
 }
 
-// Symptom: a server that was drained and stopped stays in the directory for ever.
-// Sequence: a server is drained, then stops announcing itself.
-// Cause: nothing looked for the silence of a drained server.
+// A server that was drained and then stops announcing itself must leave the directory. Its gate doesn't report this
+// silence.
 func TestStoppedServerLeavesTheDirectory(t *testing.T) {
-	withModelEnv(t, func(w *testEnv, _ *standin.Server, _ *fakeEntry) {
-		w.askToLeave()
-		w.waitUntil("drained", func() bool { return w.agent.servers.get("server-1").view.Load().drained })
-		w.network.Cut(engineHost, agentHost)
-		w.waitUntil("it left the directory", func() bool { return len(w.control.registered()) == 0 })
-		assert.Contains(t, w.leaveState(), `"drained"`)
+	withModelEnv(t, func(env *testEnv, _ *standin.Server, _ *fakeEntry) {
+		env.askToLeave()
+		env.waitUntil("the server is drained", func() bool { return env.agent.servers.get("server-1").view.Load().drained })
+		env.network.Cut(engineHost, agentHost)
+		env.waitUntil("the server has left the directory", func() bool { return len(env.control.registered()) == 0 })
+		assert.Contains(t, env.leaveState(), `"drained"`)
 	})
 }
--- a/agent/shutdown.go
+++ b/agent/shutdown.go
@@ -9,11 +9,13 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// shutdown waits for the order to stop, and then stops the agent gracefully. own ends with the first of the other duties.
+// shutdown waits for the end of stopCtx and then stops the agent gracefully. ctx ends with the first actor that
+// returns.
 //
-// Without the link to control or to the entries nothing can be drained or removed, so the stop ends with them too. An
-// agent whose session had ended went on waiting for what was in flight, for timing.drain, and then for the answer to its
-// removal; its supervisor saw a process that was neither ready nor gone.
+// Without the links to control and to entries nothing can be drained or deregistered, so the end of ctx ends the
+// shutdown too. Otherwise an agent whose session has ended would wait up to timing.drain for the attempts in flight
+// and then for the answer to its deregistration, and its supervisor would see a process that is neither ready nor
+// ended.
 func (a *Agent) shutdown(stopCtx, ctx context.Context) error {
 	select {
 	case <-stopCtx.Done():
@@ -35,8 +37,8 @@
 	return nil
 }
 
-// awaitDrained waits until nothing is in flight and all outcomes are committed. It returns false at the end of
-// timing.drain or of ctx.
+// awaitDrained waits until nothing is in flight and all outcomes are committed. It returns false if timing.drain or
+// ctx ends before.
 func (a *Agent) awaitDrained(ctx context.Context) bool {
 	deadline := time.Now().Add(a.settings.Timing.Drain)
 	for !a.isDrained() {
@@ -57,8 +59,8 @@
 	return a.reports.Pending() == 0
 }
 
-// deregister has control commit that this incarnation left. Without an answer the directory keeps it until control
-// notices the silence; entries notice the closed links at once.
+// deregister has control commit that this incarnation has left. Without an answer the incarnation stays in the
+// directory until control's silence timeout; entries detect the closed links at once.
 func (a *Agent) deregister(ctx context.Context) {
 	if !a.isRecovered() {
 		return
@@ -79,7 +81,7 @@
 	}
 }
 
-// commandError returns the refusal of a committed command, nil if the state took it.
+// commandError returns the refusal of a committed command, nil if the state machine accepted it.
 func commandError(answer *wire.CommandResult) error {
 	if answer.GetCode() == 0 {
 		return nil
--- a/agent/timing.go
+++ b/agent/timing.go
@@ -6,48 +6,50 @@
 	"github.com/carawaypitch/carawaypitch/gate"
 )
 
-// Durations that settings don't change.
+// Durations that are not configurable.
 const (
 	// engineCallTimeout bounds a short call to an engine: cancel, list, load, order.
 	engineCallTimeout = 2 * time.Second
-	// maxDispatchDelay is how long a dispatch may be under way to an engine after its connection was closed. What a dead
-	// process or a closed connection left in the network is read by the engine within it.
+	// maxDispatchDelay is how long a dispatch may be in flight to an engine after its connection was closed. Within
+	// this time the engine reads what a dead process or a closed connection left in the network.
 	maxDispatchDelay = 250 * time.Millisecond
-	// cancelledRunGrace is how long the engine's own end of a stream is awaited after it confirmed the cancel.
+	// cancelledRunGrace is how long an engine has to end a stream after it confirmed the cancel.
 	cancelledRunGrace = time.Second
-	// returnDelay is how long after a server was told that it is drained its announcements count again. A stopping
-	// server's last announcement may be under way then.
+	// returnDelay is how long after a server was told that it is drained its announcements count as a return. The last
+	// announcement of a stopping server may be in flight until then.
 	returnDelay = 2 * time.Second
 	// departureTimeout is the silence after which a drained server leaves the directory.
 	departureTimeout = gate.DefaultGoneAfter
-	// announceWindow is how long a new incarnation waits for announcements before it counts its servers. Every living
-	// server announces itself within a second.
+	// announceWindow is how long a new incarnation waits for announcements before it checks whether all announced
+	// servers are recovered. Every live server announces itself within a second.
 	announceWindow = 1200 * time.Millisecond
-	// recoveryPollInterval is how often it then looks whether all of them are proved free.
+	// recoveryPollInterval is the interval of that check.
 	recoveryPollInterval = 50 * time.Millisecond
-	// orderPollInterval is the interval at which an engine is asked how far an order is.
+	// orderPollInterval is the interval at which an engine is asked for the progress of an order.
 	orderPollInterval = time.Second
-	// orderTimeout bounds an order. A model of some hundred gigabytes takes minutes at the weight store's rate.
+	// orderTimeout bounds an order. Loading a model of some hundred gigabytes takes minutes at the rate of the weight
+	// store.
 	orderTimeout = 30 * time.Minute
-	// pollsPerCutOff is how often control is polled within the bound on its silence, so that lost polls change nothing.
+	// pollsPerCutOff is the number of polls of control within the silence after which the agent counts as cut off, so
+	// that single lost polls have no effect.
 	pollsPerCutOff = 4
-	// drainPollInterval is how often a stopping agent looks whether its servers are drained.
+	// drainPollInterval is the interval at which a stopping agent checks whether its servers are drained.
 	drainPollInterval = 50 * time.Millisecond
-	// deregisterTimeout bounds how long a stopping agent tries to commit its removal.
+	// deregisterTimeout bounds the commit of a stopping agent's deregistration.
 	deregisterTimeout = 10 * time.Second
 )
 
-// Bounds of what an agent holds.
+// Capacities of an agent.
 const (
-	// maxServers bounds the backend servers of one agent, unless its options say more.
+	// maxServers bounds the backend servers of one agent. Options.MaxServers overrides it.
 	maxServers = 64
-	// maxRuns bounds the attempts that run at one server at a time, above any number of slots in use.
+	// maxRuns bounds the concurrent attempts at one server. It exceeds any number of slots in use.
 	maxRuns = 4096
-	// inputRingCapacity is the capacity of a gate duty's ring.
+	// inputRingCapacity is the capacity of the ring of a server's event loop.
 	inputRingCapacity = 4096
-	// maxInputBatch is how many inputs a gate duty takes before it looks at its clock again.
+	// maxInputBatch bounds the inputs that an event loop applies before it checks for a tick.
 	maxInputBatch = 256
-	// runBufferBytes bounds the events of one attempt that its gate hasn't taken yet.
+	// runBufferBytes bounds the buffered events of one attempt, in bytes.
 	runBufferBytes = 1 << 20
 	// serviceChunkBytes is the size of the chunks in which a service's answer is passed on.
 	serviceChunkBytes = 32 << 10
--- a/agent/unsent.go
+++ b/agent/unsent.go
@@ -10,39 +10,39 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// Bounds of what one server keeps for entries whose rings are full.
+// Bounds of the messages that one server buffers for entries whose rings are full.
 const (
 	maxUnsent      = 4096
 	maxUnsentBytes = 8 << 20
 )
 
-// unsent keeps what the full ring of an entry's open link refused, until the ring has room.
+// unsent buffers messages that the full ring of an entry's open link refused, until the ring has room.
 //
-// The gate repeats what was lost with a link only when the link opens again. Without this, the end of an attempt that
-// met a full ring would be lost while its link stays open: the entry, which heard that the attempt started, would wait
-// until the deadline and answer "unknown" to a caller whose answer is there. One would notice it by the counter of
-// dropped messages and by requests that end at their deadline.
+// The gate repeats messages only when a link opens again. Without the buffer, the end of an attempt that meets a full
+// ring would be lost while the link stays open: the entry, which knows that the attempt started, would wait until the
+// deadline and answer "unknown" although the answer is there. The counter of dropped messages would increase, and
+// requests would end at their deadlines.
 type unsent struct {
 	entries  map[gate.EntryID][]*wire.AgentMessage
 	messages int
 	bytes    int
 }
 
-// needsDelivery tells whether nobody would repeat the message while its link stays open. Room is repeated at each
-// heartbeat, and an offer after it lapsed.
+// needsDelivery reports whether a message isn't repeated while its link stays open. Room is repeated at each
+// heartbeat, and an offer after it expires.
 func needsDelivery(message *wire.AgentMessage) bool {
 	return message.GetOver() != nil || message.GetFrame() != nil || message.GetStarted() != nil
 }
 
-// any tells whether messages are kept.
+// any reports whether messages are buffered.
 func (u *unsent) any() bool { return u.messages > 0 }
 
-// hasMessagesFor tells whether messages for the entry are kept. Later ones go behind them.
+// hasMessagesFor reports whether messages for the entry are buffered. Later ones are sent after them.
 func (u *unsent) hasMessagesFor(id gate.EntryID) bool {
 	return len(u.entries[id]) > 0
 }
 
-// add keeps a message. It returns false if there is no room, or if no link would ever take the message.
+// add buffers a message. It returns false if the buffer is full, or if the message exceeds the limit of a link.
 func (u *unsent) add(id gate.EntryID, message *wire.AgentMessage) bool {
 	size := proto.Size(message)
 	if size > link.MaxMessage || u.messages >= maxUnsent || u.bytes+size > maxUnsentBytes {
@@ -65,7 +65,7 @@
 	return u.entries[id][0]
 }
 
-// removeFirst forgets the oldest message for the entry.
+// removeFirst removes the oldest message for the entry.
 func (u *unsent) removeFirst(id gate.EntryID) {
 	list := u.entries[id]
 	u.messages--
@@ -78,8 +78,8 @@
 	u.entries[id] = list[1:]
 }
 
-// bufferUnsent keeps a message that the entry's ring refused. It returns false if the message is lost. A link that isn't
-// open needs nothing kept: the gate repeats all when it opens.
+// bufferUnsent buffers a message that the entry's ring refused. It returns false if the message is dropped. Nothing is
+// buffered for a link that isn't open, since the gate repeats all messages when it opens.
 func (s *server) bufferUnsent(id gate.EntryID, message *wire.AgentMessage) bool {
 	if !needsDelivery(message) || !s.isLinked(id) || !s.unsent.add(id, message) {
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-// sendUnsent sends what waits for rings, each entry's in its order, as far as there is room.
+// sendUnsent sends buffered messages as far as the rings have room, in order for each entry.
 func (s *server) sendUnsent() {
 	for id := range s.unsent.entries {
 		linked := s.isLinked(id)
--- a/agent/unsent_test.go
+++ b/agent/unsent_test.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// limitedLinks take as many messages as there is room.
+// limitedLinks accept a limited number of messages.
 type limitedLinks struct {
 	room int
 	sent []*wire.AgentMessage
@@ -29,7 +29,7 @@
 
 func (l *limitedLinks) Broadcast(*wire.AgentMessage) {}
 
-// newLimitedLinkServer is a server whose entry is linked by a ring with so much room.
+// newLimitedLinkServer returns a server with one linked entry, whose ring accepts room messages.
 func newLimitedLinkServer(t *testing.T, room int) (*server, *limitedLinks, *[]gate.EntryID) {
 	t.Helper()
 	s, _ := newTestServer(t.Context(), nil)
@@ -58,10 +58,8 @@
 	return &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}}
 }
 
-// Symptom: a caller hears "unknown" at the deadline of a request whose answer was there in time.
-// Sequence: an entry reads slowly for a moment, so that the ring of its link is full; an attempt's last events and its
-// end meet the full ring; the link stays open.
-// Cause: what a full ring refused was only counted, and the gate repeats it only when a link opens.
+// The end of an attempt that meets the full ring of a slow entry must be delivered when the ring has room. The gate
+// repeats it only when the link opens again, so the caller would get "unknown" at the deadline.
 func TestEndOfAttemptSurvivesFullRing(t *testing.T) {
 	s, links, _ := newLimitedLinkServer(t, 1)
 	messages := []*wire.AgentMessage{
@@ -73,7 +71,7 @@
 	s.sendAll(messages[:3]...)
 	links.room = 1
 	s.sendAll(messages[3])
-	assert.Equal(t, messages[:1], links.sent, "an end doesn't pass events that wait")
+	assert.Equal(t, messages[:1], links.sent, "an end is not sent before buffered events")
 	s.sendUnsent()
 	assert.Equal(t, messages[:2], links.sent)
 	links.room = 10
@@ -87,14 +85,13 @@
 	assert.Zero(t, s.meter.set.GetOrCreateCounter(metricDropped).Get())
 }
 
-// Symptom: an agent's memory grows without bound, or an entry gets what was meant for its last link.
-// Sequence: an entry doesn't read; or its link is lost while messages wait for its ring.
-// Cause: messages that wait without a bound, or that outlive their link, after which the gate repeats them anyway.
+// Buffered messages must be bounded, for entries that don't read, and dropped with the link. The gate repeats them on
+// the next link anyway.
 func TestUnsentMessagesAreBounded(t *testing.T) {
 	s, links, open := newLimitedLinkServer(t, 0)
 	room := &wire.AgentMessage{Kind: &wire.AgentMessage_Room{Room: new(wire.Room)}}
 	s.sendAll(room, frameMessage(0, bytes.Repeat([]byte("a"), link.MaxMessage)))
-	assert.Zero(t, s.unsent.messages, "room is told again; a message over the bound never goes")
+	assert.Zero(t, s.unsent.messages, "room is repeated; a message over the limit can't be sent")
 	for range maxUnsent + 1 {
 		s.sendAll(overMessage("r1"))
 	}
@@ -109,7 +106,7 @@
 
 	links.room = 0
 	s.sendAll(overMessage("r1"))
-	assert.Zero(t, s.unsent.messages, "without a link nothing waits")
+	assert.Zero(t, s.unsent.messages, "nothing is buffered without a link")
 	*open = []gate.EntryID{linkedEntry}
 	event := bytes.Repeat([]byte("a"), maxUnsentBytes/8)
 	for range 10 {
