--- a/agent/follow.go
+++ b/agent/announcement_selection.go
@@ -9,17 +9,18 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// followInterval is how often what control says of the servers counts as a new announcement. It fits three times into
-// the shortest silence after which a gate suspects a server.
+// followInterval is the interval at which the announcements held by control are passed to the gates again. Three of
+// them fit into the shortest silence after which a gate marks a server as suspect.
 const followInterval = time.Second
 
-// follow is what the follow duty knows of the servers that announce themselves to control.
-type follow struct {
-	selects func(*session.View) []*wire.Announcement
-	ended   map[string]time.Time // servers whose end was passed on, and when
+// followState is the state of followLoop.
+type followState struct {
+	selectServers func(*session.View) []*wire.Announcement
+	endedAt       map[string]time.Time // when the end of each server was passed to its gate
 }
 
-// AtAddress selects the servers that announced themselves at an address, which is that of the one beside this agent.
+// AtAddress selects the servers that announced themselves with this address, IP:port, such as the server beside an
+// agent.
 func AtAddress(address string) func(*session.View) []*wire.Announcement {
 	return func(view *session.View) []*wire.Announcement {
 		var found []*wire.Announcement
@@ -46,30 +47,30 @@
 	}
 }
 
-// Unattended selects the model servers that no agent of the directory lists, once that has been so for some time. Only one
-// goroutine may call what it returns.
+// WithoutAgent selects the model servers that no agent in the directory has listed for the duration wait. The function
+// that it returns keeps state and may be called by one goroutine only.
 //
-// A deployment may have model servers with no agent's machine beside them, or lose agents for good. Their servers announce
-// themselves, so they are there, and would get no request at all. One would notice by refusals with "no server" while
-// servers are idle. The wait is for agents that have just started and haven't told of their servers yet.
-func Unattended(wait time.Duration) func(*session.View) []*wire.Announcement {
-	alone := make(map[string]time.Time) // since when each run has had no agent
+// A deployment may have model servers on machines without an agent, or lose agents permanently. Without this selection
+// such servers would announce themselves and yet get no requests: requests would be refused with "no server" while
+// servers are idle. The wait covers agents that have just started and haven't listed their servers yet.
+func WithoutAgent(wait time.Duration) func(*session.View) []*wire.Announcement {
+	unlistedSince := make(map[string]time.Time) // time since which each start of a server has had no agent
 	models := OfKind(engine.KindModel)
 	return func(view *session.View) []*wire.Announcement {
-		now, attended := time.Now(), Attended(view)
-		before := alone
-		alone = make(map[string]time.Time)
+		now, listed := time.Now(), ListedByAgents(view)
+		previous := unlistedSince
+		unlistedSince = make(map[string]time.Time)
 		var found []*wire.Announcement
 		for _, announcement := range models(view) {
 			run := announcement.Run().String()
-			if attended[run] {
+			if listed[run] {
 				continue
 			}
-			since, known := before[run]
+			since, known := previous[run]
 			if !known {
 				since = now
 			}
-			alone[run] = since
+			unlistedSince[run] = since
 			if now.Sub(since) >= wait {
 				found = append(found, announcement)
 			}
@@ -78,19 +79,19 @@
 	}
 }
 
-// Attended are the runs of servers that agents of the directory list.
-func Attended(view *session.View) map[string]bool {
-	attended := make(map[string]bool)
+// ListedByAgents returns the set of server starts that agents in the directory list, by name.
+func ListedByAgents(view *session.View) map[string]bool {
+	listed := make(map[string]bool)
 	for _, agent := range view.Agents {
 		for _, server := range agent.GetServers() {
-			attended[server.GetServer()] = true
+			listed[server.GetServer()] = true
 		}
 	}
-	return attended
+	return listed
 }
 
-// Either selects what any of the selections does.
-func Either(selections ...func(*session.View) []*wire.Announcement) func(*session.View) []*wire.Announcement {
+// AnyOf selects what any of the selections does.
+func AnyOf(selections ...func(*session.View) []*wire.Announcement) func(*session.View) []*wire.Announcement {
 	return func(view *session.View) []*wire.Announcement {
 		var found []*wire.Announcement
 		for _, selects := range selections {
@@ -108,8 +109,8 @@
 	return pools
 }
 
-// followDuty takes the servers of this agent from what control says.
-func (a *Agent) followDuty(ctx context.Context) error {
+// followLoop keeps the servers of this agent in line with the announcements that control holds.
+func (a *Agent) followLoop(ctx context.Context) error {
 	changed := make(chan struct{}, 1)
 	a.session.Subscribe(func(*session.View) {
 		select {
@@ -120,7 +121,7 @@
 	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for {
-		a.followOnce(ctx)
+		a.syncServers(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -130,52 +131,53 @@
 	}
 }
 
-func (a *Agent) followOnce(ctx context.Context) {
+func (a *Agent) syncServers(ctx context.Context) {
 	view := a.session.View()
 	pools := poolsByName(view)
 	announced := make(map[string]bool)
-	for _, announcement := range a.follow.selects(view) {
+	for _, announcement := range a.follow.selectServers(view) {
 		pool := pools[announcement.GetPool()]
 		if pool == nil {
 			continue
 		}
 		announced[announcement.Run().String()] = true
-		a.followServer(ctx, announcement, pool)
+		a.followAnnouncement(ctx, announcement, pool)
 	}
 	for _, s := range a.servers.all() {
-		if s.view.Load().announced() && !announced[s.name] && a.follow.noteEnd(s.name) {
+		if s.view.Load().announced() && !announced[s.name] && a.follow.recordEnd(s.name) {
 			_ = s.leave(ctx, "ended")
 		}
 	}
-	a.retire(announced, time.Now())
+	a.removeEndedServers(announced, time.Now())
 }
 
-// noteEnd notes a server's end, and tells whether it is news.
-func (f *follow) noteEnd(server string) bool {
-	if _, known := f.ended[server]; known {
+// recordEnd records that a server ended and reports whether this is its first call for the server.
+func (f *followState) recordEnd(server string) bool {
+	if _, known := f.endedAt[server]; known {
 		return false
 	}
-	f.ended[server] = time.Now()
+	f.endedAt[server] = time.Now()
 	return true
 }
 
-// followServer passes one announcement on. A server that leaves is announced first: its gate must know it.
-func (a *Agent) followServer(ctx context.Context, announcement *wire.Announcement, pool *wire.Pool) {
+// followAnnouncement passes an announcement to the server's gate. It announces also a server that is draining, since
+// only an announced server can leave.
+func (a *Agent) followAnnouncement(ctx context.Context, announcement *wire.Announcement, pool *wire.Pool) {
 	run := announcement.Run().String()
-	s, err := a.servers.admit(run)
+	s, err := a.servers.getOrCreateAnnounced(run)
 	if err == nil {
-		err = s.announce(ctx, recordOf(announcement, pool))
+		err = s.announce(ctx, newServerRecord(announcement, pool))
 	}
 	if err != nil {
 		a.log.WithField("server", run).WithError(err).Warn("announcement_refused")
 		return
 	}
-	if announcement.GetDraining() && a.follow.noteEnd(run) {
+	if announcement.GetDraining() && a.follow.recordEnd(run) {
 		_ = s.leave(ctx, "draining")
 	}
 }
 
-func recordOf(announcement *wire.Announcement, pool *wire.Pool) *wire.ServerRecord {
+func newServerRecord(announcement *wire.Announcement, pool *wire.Pool) *wire.ServerRecord {
 	return &wire.ServerRecord{
 		Server:  announcement.Run().String(),
 		Kind:    pool.GetKind(),
--- a/agent/announcement_test.go
+++ b/agent/announcement_test.go
@@ -11,8 +11,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// goodAnnouncement is one that the checks accept.
-func goodAnnouncement() *engine.Announcement {
+// validAnnouncement returns an announcement that passes all checks.
+func validAnnouncement() *engine.Announcement {
 	return &engine.Announcement{
 		Server:  "server-1",
 		Kind:    engine.KindModel,
@@ -29,7 +29,7 @@
 
 func TestCheckAnnouncementAccepts(t *testing.T) {
 	for _, address := range []string{"10.0.0.7:9000", "http://10.0.0.7:9000", "http://10.0.0.7:9000/"} {
-		announcement := goodAnnouncement()
+		announcement := validAnnouncement()
 		announcement.Address = address
 		record, err := checkAnnouncement(announcement)
 		require.NoError(t, err, address)
@@ -39,9 +39,8 @@
 	}
 }
 
-// Symptom: an agent registers a server that can't be dialled, or takes work that it can't do.
-// Sequence: a misconfigured server announces itself with one wrong field; the agent takes the rest over.
-// Cause: the announcement wasn't checked whole before a part of it was used.
+// An announcement with one invalid field must be refused as a whole. Otherwise the agent registers a server that can't
+// be dialled, or takes work that the server can't do.
 func TestCheckAnnouncementRefuses(t *testing.T) {
 	tests := map[string]func(*engine.Announcement){
 		"server":                     func(a *engine.Announcement) { a.Server = "" },
@@ -64,10 +63,10 @@
 		"capabilities.fencing":       func(a *engine.Announcement) { a.Capabilities.Fencing = "maybe" },
 		"capabilities.on_disconnect": func(a *engine.Announcement) { a.Capabilities.OnDisconnect = "" },
 	}
-	for message, spoil := range tests {
+	for message, invalidate := range tests {
 		t.Run(message, func(t *testing.T) {
-			announcement := goodAnnouncement()
-			spoil(announcement)
+			announcement := validAnnouncement()
+			invalidate(announcement)
 			_, err := checkAnnouncement(announcement)
 			require.Error(t, err)
 			assert.True(t, result.Is(err, result.MalformedBody))
--- a/agent/attempts_test.go
+++ b/agent/attempts_test.go
@@ -15,112 +15,109 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// modelWorld is a world with a slow model engine, a linked entry and room.
-func modelWorld(t *testing.T, test func(w *world, model *standin.Server, entry *fakeEntry)) {
+// withModelEnv runs a test with a slow model engine, a linked entry and free room.
+func withModelEnv(t *testing.T, test func(env *testEnv, model *standin.Server, entry *fakeEntry)) {
 	t.Helper()
-	inWorld(t, func(w *world) {
-		w.startAgent()
-		model := w.startEngine(slowModel())
-		w.ready()
-		entry := w.startEntry(entryHost, "entry-1")
+	withEnv(t, func(env *testEnv) {
+		env.startAgent()
+		model := env.startEngine(slowModel())
+		env.waitReady()
+		entry := env.startEntry(entryHost, "entry-1")
 		entry.awaitRoom("server-1")
-		test(w, model, entry)
+		test(env, model, entry)
 	})
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: the connection to the engine is lost; the engine goes on and, for a while, ignores cancels; the entry hears
-// that the attempt is over and starts the next one elsewhere.
-// Cause: the lost connection was taken for the end of the stream.
-func TestLostConnectionIsNoProof(t *testing.T) {
-	modelWorld(t, func(w *world, model *standin.Server, entry *fakeEntry) {
-		entry.dispatch(longCompletion("r1", 1))
-		w.until("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
+// A lost connection to the engine doesn't end the stream: the engine may go on and ignore cancels for a while. If it
+// were taken as a proof, the entry would start the next attempt elsewhere and two engines would run the request.
+func TestLostConnectionDoesNotProveEnd(t *testing.T) {
+	withModelEnv(t, func(env *testEnv, model *standin.Server, entry *fakeEntry) {
+		entry.dispatch(longCompletionDispatch("r1", 1))
+		env.waitUntil("the stream runs", func() bool { return entry.eventCount("r1", 1) > 3 })
 		require.NoError(t, model.SetFaults(standin.Faults{IgnoreCancel: true}))
-		w.network.Reset(engineHost)
+		env.network.Reset(engineHost)
 
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, 1, w.ledger.Running())
+		assert.Equal(t, 1, env.ledger.Running())
 		assert.Equal(t, wire.Proof_PROOF_UNPROVEN, entry.over("r1", 1).GetProof())
 
 		require.NoError(t, model.SetFaults(standin.Faults{}))
 		over := entry.awaitOver("r1", 1)
 		assert.Equal(t, wire.Proof_PROOF_CANCELLED, over.GetProof())
-		assert.Zero(t, w.ledger.Running())
+		assert.Zero(t, env.ledger.Running())
 	})
 }
 
-// Symptom: work that its entry gave up runs all the same.
-// Sequence: a cancel overtakes the dispatch of its attempt, or the dispatch comes twice, or late.
-// Cause: the agent forgot what it had said of an attempt that it had never run.
+// Work that its entry has cancelled must not run, also if the cancel overtakes the dispatch or the dispatch arrives
+// twice or late. The agent has to remember its answer for attempts that it never ran.
 func TestCancelAndDispatchInAnyOrder(t *testing.T) {
 	tests := map[string]struct {
-		act    func(w *world, e *fakeEntry)
+		act    func(env *testEnv, e *fakeEntry)
 		starts int
 	}{
-		"late dispatch": {
-			act: func(w *world, e *fakeEntry) {
+		"dispatch after the cancel": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
-				e.dispatch(completion("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 			},
 		},
-		"lost dispatch": {
-			act: func(w *world, e *fakeEntry) {
+		"dispatch lost": {
+			act: func(env *testEnv, e *fakeEntry) {
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
 			},
 		},
-		"doubled dispatch": {
-			act: func(w *world, e *fakeEntry) {
-				e.dispatch(completion("r1", 1))
-				e.dispatch(completion("r1", 1))
+		"duplicate dispatch": {
+			act: func(env *testEnv, e *fakeEntry) {
+				e.dispatch(completionDispatch("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 				e.awaitOver("r1", 1)
-				e.dispatch(completion("r1", 1))
+				e.dispatch(completionDispatch("r1", 1))
 			},
 			starts: 1,
 		},
-		"dispatch again after its cancel": {
-			act: func(w *world, e *fakeEntry) {
-				e.dispatch(longCompletion("r1", 1))
-				w.until("it runs", func() bool { return e.eventCount("r1", 1) > 1 })
+		"duplicate dispatch after the cancel": {
+			act: func(env *testEnv, e *fakeEntry) {
+				e.dispatch(longCompletionDispatch("r1", 1))
+				env.waitUntil("the stream runs", func() bool { return e.eventCount("r1", 1) > 1 })
 				e.cancel("r1", 1)
 				e.awaitOver("r1", 1)
-				e.dispatch(longCompletion("r1", 1))
+				e.dispatch(longCompletionDispatch("r1", 1))
 			},
 			starts: 1,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			modelWorld(t, func(w *world, _ *standin.Server, entry *fakeEntry) {
-				test.act(w, entry)
+			withModelEnv(t, func(env *testEnv, _ *standin.Server, entry *fakeEntry) {
+				test.act(env, entry)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, test.starts, w.ledger.Starts()["r1.1"])
-				assert.Zero(t, w.ledger.Running())
+				assert.Equal(t, test.starts, env.ledger.Starts()["r1.1"])
+				assert.Zero(t, env.ledger.Running())
 			})
 		})
 	}
 }
 
-// stepRecorder is an admission that keeps its events and does what the test says.
-type stepRecorder struct {
+// gateRecorder is a serverGate that records its events and returns scripted actions.
+type gateRecorder struct {
 	events  []gate.Event
-	actions []gate.Action // of the next step
+	actions []gate.Action // returned by the next step
 }
 
-func (r *stepRecorder) Step(_ time.Time, event gate.Event) []gate.Action {
+func (r *gateRecorder) Step(_ time.Time, event gate.Event) []gate.Action {
 	r.events = append(r.events, event)
 	actions := r.actions
 	r.actions = nil
 	return actions
 }
 
-// NextTick implements admission.
-func (r *stepRecorder) NextTick() time.Duration { return gate.TickInterval }
+// NextTick implements serverGate.
+func (r *gateRecorder) NextTick() time.Duration { return gate.TickInterval }
 
-// cancels returns the answers to cancels that the gate got.
-func (r *stepRecorder) cancels() []gate.EngineCancelled {
+// cancels returns the answers to cancels that the gate received.
+func (r *gateRecorder) cancels() []gate.EngineCancelled {
 	var list []gate.EngineCancelled
 	for _, event := range r.events {
 		if answer, ok := event.(gate.EngineCancelled); ok {
@@ -130,18 +127,18 @@
 	return list
 }
 
-// bareServer is a server with a scripted engine, without an agent around it. Its duty doesn't run: drain applies what
-// is on its ring.
-func bareServer(ctx context.Context, client engine.Client) (*server, *stepRecorder) {
-	recorder := new(stepRecorder)
+// newTestServer returns a server with a scripted engine and without an agent. Its event loop doesn't run: applyInputs
+// applies what is on its ring.
+func newTestServer(ctx context.Context, client engine.Client) (*server, *gateRecorder) {
+	recorder := new(gateRecorder)
 	s := newServer("server-1", serverDeps{
-		log:     noLog(),
-		meter:   newMeter(),
-		ready:   &readiness{control: func() error { return nil }},
-		newGate: func() admission { return recorder },
-		spawn:   func(task func(context.Context)) { go task(ctx) },
-		changed: func(*server) {},
-		linked:  func() []gate.EntryID { return nil },
+		log:           discardLog(),
+		meter:         newMeter(),
+		ready:         &readiness{control: func() error { return nil }},
+		newGate:       func() serverGate { return recorder },
+		spawn:         func(task func(context.Context)) { go task(ctx) },
+		onChange:      func(*server) {},
+		linkedEntries: func() []gate.EntryID { return nil },
 	})
 	s.base = ctx
 	s.client = client
@@ -154,45 +151,43 @@
 	return s, recorder
 }
 
-func (s *server) drain() {
+func (s *server) applyInputs() {
 	synctest.Wait()
 	for s.inputs.Len() > 0 {
-		s.take(<-s.inputs.C())
+		s.applyBatch(<-s.inputs.C())
 		synctest.Wait()
 	}
 }
 
-// Symptom: a request runs on two engines.
-// Sequence: an attempt is cancelled before its dispatch reached the engine, or just after its connection was closed;
-// the engine says that it has no such stream, which passes for a proof; then the dispatch arrives and the stream runs.
-// Cause: "no such stream" proves an end only if the dispatch can't arrive any more.
-func TestUnknownStreamIsNoProofWhileTheDispatchMayArrive(t *testing.T) {
+// A cancel may reach the engine before the dispatch does, or just after its connection was closed. The engine's "no
+// such stream" is no proof then: the dispatch may still arrive, and the request would run on two engines.
+func TestUnknownStreamIsNoProofWhileDispatchMayArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		returns := make(chan struct{})
+		finishCall := make(chan struct{})
 		client := &scriptedEngine{
 			run: func(context.Context) (engine.Outcome, error) {
-				<-returns
+				<-finishCall
 				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown}
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelUnknownID, nil },
 		}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 1)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 1)
 		cancel := func() gate.EngineCancelled {
 			recorder.actions = []gate.Action{gate.CancelEngine{Attempt: dispatch.GetAttempt(), Stream: "r1.1"}}
 			s.step(time.Now(), gate.Tick{})
-			s.drain()
+			s.applyInputs()
 			answers := recorder.cancels()
 			return answers[len(answers)-1]
 		}
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
 
-		assert.Error(t, cancel().Err, "the call goes on")
-		close(returns)
-		s.drain()
-		assert.Error(t, cancel().Err, "what the call left in the network may not be read yet")
-		time.Sleep(settleTime)
+		assert.Error(t, cancel().Err, "the engine call has not returned")
+		close(finishCall)
+		s.applyInputs()
+		assert.Error(t, cancel().Err, "the dispatch may still be in flight")
+		time.Sleep(maxDispatchDelay)
 		answer := cancel()
 		assert.NoError(t, answer.Err)
 		assert.Equal(t, engine.CancelUnknownID, answer.Result)
@@ -200,9 +195,8 @@
 	})
 }
 
-// Symptom: connections and goroutines of cancelled streams stay for ever.
-// Sequence: an engine confirms a cancel and never ends the stream.
-// Cause: nothing but the engine's end of the stream ended the run.
+// An engine may confirm a cancel and never end the stream. The run must end nevertheless, or its connection and
+// goroutine would be leaked.
 func TestRunIsDroppedAfterConfirmedCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{
@@ -212,57 +206,55 @@
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelConfirmed, nil },
 		}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 1)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 1)
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
 		recorder.actions = []gate.Action{gate.CancelEngine{Attempt: dispatch.GetAttempt(), Stream: "r1.1", Try: 7}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		assert.Equal(t, uint32(7), recorder.cancels()[0].Try)
 		time.Sleep(cancelledRunGrace)
-		s.drain()
+		s.applyInputs()
 		assert.IsType(t, gate.EngineEnded{}, recorder.events[len(recorder.events)-1])
 	})
 }
 
-// Symptom: a cancel at the engine misses a resumed attempt, which then runs beside the next one.
-// Sequence: an attempt resumes the stream of an earlier one; whoever cancels it names the later attempt.
-// Cause: the engine knew the resumed stream under the earlier attempt's identity.
-func TestResumeKeepsTheAttemptsOwnIdentity(t *testing.T) {
+// A resumed attempt must run under its own ID at the engine, not that of the attempt it resumes. Otherwise a cancel of
+// the attempt misses it, and it runs beside the next one.
+func TestResumeUsesItsOwnAttemptID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
 			return engine.Outcome{End: engine.EndCompleted}, nil
 		}}
-		s, recorder := bareServer(t.Context(), client)
-		dispatch := completion("r1", 2)
+		s, recorder := newTestServer(t.Context(), client)
+		dispatch := completionDispatch("r1", 2)
 		dispatch.ResumeFrom = 4 // the role event and 3 tokens
 		dispatch.ResumeTokens = 3
 		dispatch.ResumeAttempt = "r1.1"
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		assert.Equal(t, []engine.AttemptID{"r1.2"}, client.imported)
 		assert.Equal(t, []engine.AttemptID{"r1.2"}, client.resumed)
 	})
 }
 
-// Symptom: a caller gets an answer put together from two different ones.
-// Sequence: an attempt that should go on at token 3 is dispatched to an engine that can't resume.
-// Cause: it was run from its beginning, and only the tokens after the third were passed on.
-func TestResumeIsRefusedWithoutTheEnginesSupport(t *testing.T) {
+// An attempt that resumes at token 3 must not start on an engine that can't resume. It would run from the beginning,
+// and the caller would get an answer combined from two different ones.
+func TestResumeIsRefusedWithoutEngineSupport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &scriptedEngine{run: func(context.Context) (engine.Outcome, error) {
 			return engine.Outcome{End: engine.EndCompleted}, nil
 		}}
-		s, recorder := bareServer(t.Context(), client)
+		s, recorder := newTestServer(t.Context(), client)
 		s.record.Capabilities = &wire.Capabilities{}
-		dispatch := completion("r1", 2)
+		dispatch := completionDispatch("r1", 2)
 		dispatch.ResumeFrom = 4 // the role event and 3 tokens
 		dispatch.ResumeTokens = 3
 		recorder.actions = []gate.Action{gate.StartEngine{Dispatch: dispatch}}
 		s.step(time.Now(), gate.Tick{})
-		s.drain()
+		s.applyInputs()
 		ended, ok := recorder.events[len(recorder.events)-1].(gate.EngineEnded)
 		require.True(t, ok)
 		assert.ErrorIs(t, ended.Err, engine.ErrNeverSent)
--- a/agent/run.go
+++ b/agent/engine_run.go
@@ -24,57 +24,57 @@
 	return attemptKey{request: id.GetRequest(), number: id.GetNumber()}
 }
 
-// engineID is the identity of an attempt at its engine. Every call for an attempt uses this one, also a resumed one,
-// so that whoever knows the attempt can cancel it at the engine.
+// engineID returns the ID of an attempt at its engine. All calls for the attempt use it, also for a resumed one, so
+// that everyone who knows the attempt can cancel it at the engine.
 func engineID(id *wire.AttemptID) engine.AttemptID {
 	return engine.AttemptID(id.GetRequest() + "." + strconv.FormatUint(id.GetNumber(), 10))
 }
 
-// engineRun is one attempt at the engine. Its goroutine calls the engine; its gate duty takes the events.
+// engineRun is one attempt at the engine. Its goroutine calls the engine; the server's event loop takes the events.
 //
-// The context of a run is the server's and never a link's. Were it tied to the link, the loss of a link would drop
-// the engine's connection: an engine that goes on after that would run an attempt that nobody reads, and one would
-// notice it as an outcome that stays unknown although the engine finished.
+// The context of a run is derived from the server's and not from that of a link. Otherwise the loss of a link would
+// close the connection to the engine: an engine that goes on after that would run an attempt whose answer is not read,
+// and its outcome would stay unknown although the engine finished.
 type engineRun struct {
-	dispatch   *wire.Dispatch
-	key        attemptKey
-	client     engine.Client
-	service    bool // a plain service and no model
-	resumes    bool // the engine can resume
-	exports    bool // the engine can export and import KV cache
-	wantsUsage bool
-	stop       context.CancelFunc // drops the engine's connection
-
-	arrived  time.Time // when the dispatch came
-	beside   int       // other runs at that time
-	returned time.Time // when the engine call returned, zero while it goes on; the gate duty's own
-
-	mu          sync.Mutex
-	changed     *sync.Cond
-	events      [][]byte
-	tokens      []uint32 // in each of events
-	bytes       int
-	announced   bool // the gate duty was told that there are events
-	closed      bool // nobody takes events any more
-	contentType string
+	dispatch      *wire.Dispatch
+	key           attemptKey
+	client        engine.Client
+	isService     bool // a plain service, not a model
+	canResume     bool // whether the engine can resume
+	canTransferKV bool // whether the engine can export and import KV cache
+	wantsUsage    bool
+	disconnect    context.CancelFunc // closes the connection to the engine
+
+	arrivedAt      time.Time // when the dispatch was received
+	concurrentRuns int       // other runs of the server at that time
+	returnedAt     time.Time // when the engine call returned, zero while it runs; used by the event loop only
+
+	mu            sync.Mutex
+	changed       *sync.Cond
+	events        [][]byte
+	tokens        []uint32 // in each of events
+	bufferedBytes int
+	notified      bool // whether the event loop was notified of waiting events
+	closed        bool // whether further events are refused
+	contentType   string
 }
 
 func newRun(d *wire.Dispatch, client engine.Client, capabilities *wire.Capabilities) *engineRun {
 	r := &engineRun{
-		dispatch:   d,
-		key:        keyOf(d.GetAttempt()),
-		client:     client,
-		arrived:    time.Now(),
-		service:    d.GetWork().GetService(),
-		resumes:    capabilities.GetResume(),
-		exports:    capabilities.GetKv(),
-		wantsUsage: !d.GetVerbatim() && wantsUsage(d.GetBody()),
+		dispatch:      d,
+		key:           keyOf(d.GetAttempt()),
+		client:        client,
+		arrivedAt:     time.Now(),
+		isService:     d.GetWork().GetService(),
+		canResume:     capabilities.GetResume(),
+		canTransferKV: capabilities.GetKv(),
+		wantsUsage:    !d.GetVerbatim() && wantsUsage(d.GetBody()),
 	}
 	r.changed = sync.NewCond(&r.mu)
 	return r
 }
 
-// wantsUsage says whether the caller asked for the usage event. The adapter always asks the engine for it.
+// wantsUsage reports whether the caller asked for the usage event. The adapter always asks the engine for it.
 func wantsUsage(body []byte) bool {
 	var parsed struct {
 		Options struct {
@@ -88,7 +88,7 @@
 func (r *engineRun) call(ctx context.Context, sink engine.Sink) (engine.Outcome, error) {
 	d := r.dispatch
 	if d.GetVerbatim() {
-		return r.client.Run(ctx, r.verbatim(), sink)
+		return r.client.Run(ctx, r.verbatimRequest(), sink)
 	}
 	if d.GetResumeTokens() > 0 || d.GetResumeAttempt() != "" {
 		return r.resume(ctx, sink)
@@ -101,7 +101,7 @@
 		Body:           d.GetBody(),
 		IdempotencyKey: d.GetIdempotencyKey(),
 	}
-	if r.service {
+	if r.isService {
 		request.Kind = engine.KindService
 	}
 	if contentType := d.GetContentType(); contentType != "" {
@@ -110,8 +110,8 @@
 	return r.client.Run(ctx, request, sink)
 }
 
-// verbatim makes the request of a dispatch that is passed on as its caller wrote it.
-func (r *engineRun) verbatim() engine.Request {
+// verbatimRequest returns the engine request of a dispatch that is passed on as its caller sent it.
+func (r *engineRun) verbatimRequest() engine.Request {
 	d := r.dispatch
 	work := d.GetWork()
 	header := make(http.Header, len(d.GetHeaders()))
@@ -129,24 +129,25 @@
 			Host:         d.GetHost(),
 			Organisation: work.GetOrganisation(),
 			Server:       d.GetServer(),
-			Remaining:    time.Duration(work.GetRemainingMs())*time.Millisecond - time.Since(r.arrived),
+			Remaining:    time.Duration(work.GetRemainingMs())*time.Millisecond - time.Since(r.arrivedAt),
 			Repeatable:   work.GetRepeatable(),
 			LastEvent:    d.GetLastEvent(),
 			SkipHead:     d.GetResumeFrom() > 0,
 		},
 	}
-	if r.service {
+	if r.isService {
 		request.Kind = engine.KindService
 	}
 	return request
 }
 
-// resume goes on with an answer of which earlier attempts delivered the first tokens. Without the engine's support
-// the attempt never starts: a run from the beginning would give other tokens, and the caller a mixture of two answers.
+// resume continues an answer whose first tokens were delivered by earlier attempts. If the engine doesn't support
+// that, the attempt never starts: a run from the beginning could give other tokens, and the caller would get a mixture
+// of two answers.
 func (r *engineRun) resume(ctx context.Context, sink engine.Sink) (engine.Outcome, error) {
 	d := r.dispatch
 	id := engineID(d.GetAttempt())
-	if !r.resumes {
+	if !r.canResume {
 		return engine.Outcome{}, &engine.CallError{
 			Call:  "resume",
 			ID:    id,
@@ -154,15 +155,15 @@
 			Err:   engine.ErrUnsupported,
 		}
 	}
-	if d.GetResumeAttempt() != "" && r.exports {
-		r.moveCache(ctx, engine.AttemptID(d.GetResumeAttempt()), id)
+	if d.GetResumeAttempt() != "" && r.canTransferKV {
+		r.transferKVCache(ctx, engine.AttemptID(d.GetResumeAttempt()), id)
 	}
 	return r.client.Resume(ctx, id, int(d.GetResumeTokens()), d.GetBody(), sink)
 }
 
-// moveCache gives the KV cache of an earlier attempt to this one. A failure costs only a second prefill: the engine
-// then begins anew from the body.
-func (r *engineRun) moveCache(ctx context.Context, from, to engine.AttemptID) {
+// transferKVCache copies the KV cache of an earlier attempt to this one. A failure only costs a second prefill, since
+// the engine then begins again from the body.
+func (r *engineRun) transferKVCache(ctx context.Context, from, to engine.AttemptID) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	cache, err := r.client.ExportKV(ctx, from)
@@ -172,7 +173,7 @@
 	_ = r.client.ImportKV(ctx, to, cache)
 }
 
-// proven says whether a returned call proves that the attempt is over.
-func proven(err error) bool {
+// provesEnd reports whether the error of a returned engine call, nil included, proves that the attempt is over.
+func provesEnd(err error) bool {
 	return err == nil || errors.Is(err, engine.ErrNeverSent)
 }
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -12,30 +12,30 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// entryServer makes the link server whose messages go to the gate duties.
-func (a *Agent) entryServer() *link.EntryServer {
+// newEntryServer returns the link server that passes messages of entries to the servers' event loops.
+func (a *Agent) newEntryServer() *link.EntryServer {
 	return &link.EntryServer{
 		Hello:   a.hello,
 		Admit:   a.admitEntry,
-		Up:      a.entryUp,
-		Down:    a.entryDown,
+		Up:      a.entryConnected,
+		Down:    a.entryDisconnected,
 		Receive: a.receive,
 		Timing:  link.Timing{HeartbeatInterval: a.settings.Timing.Heartbeat},
 	}
 }
 
-// admitEntry lets in only entry incarnations that control has in its directory, once a quorum has confirmed that.
+// admitEntry accepts only entry incarnations that are in a directory confirmed by a quorum. It returns nil for those.
 //
-// The leases of an ended entry are void, but an agent that starts knows of no ended entries. Otherwise: an entry is cut
-// off from control but not from the agents; control ends it, another entry takes its request over and has every proof;
-// an agent restarts; the ended entry links to it and dispatches, beside the new owner's attempt. One would notice by two
-// engines at one request.
+// The leases of an ended entry are void, but an agent that has just started knows of no ended entries. Without this
+// check: an entry is cut off from control but not from the agents; control removes it, and another entry takes over
+// its request with every proof that it needs; an agent restarts; the removed entry connects to it and dispatches, so
+// that two engines run one request.
 func (a *Agent) admitEntry(hello *wire.EntryHello) error {
-	if !a.confirmed.Load() {
+	if !a.directoryConfirmed.Load() {
 		if err := a.session.Ready(); err != nil {
 			return err
 		}
-		a.confirmed.Store(true)
+		a.directoryConfirmed.Store(true)
 	}
 	listed := a.session.View().Entries[hello.GetEntry()]
 	if listed.GetIncarnation() != hello.GetIncarnation() {
@@ -54,40 +54,41 @@
 	}
 }
 
-func (a *Agent) entryUp(ctx context.Context, hello *wire.EntryHello) {
+func (a *Agent) entryConnected(ctx context.Context, hello *wire.EntryHello) {
 	id := gate.EntryID{Name: hello.GetEntry(), Incarnation: hello.GetIncarnation()}
 	a.log.WithField("entry", id.Name).WithField("incarnation", id.Incarnation).Info("entry_up")
 	a.session.ObserveVersion(hello.GetConfigVersion())
-	a.servers.entryUp(ctx, id)
+	a.servers.entryConnected(ctx, id)
 }
 
-func (a *Agent) entryDown(id link.EntryID, cause error) {
+func (a *Agent) entryDisconnected(id link.EntryID, cause error) {
 	a.log.WithField("entry", id.Name).WithField("incarnation", id.Incarnation).WithError(cause).Warn("entry_down")
-	a.servers.entryDown(a.base, gate.EntryID(id))
+	a.servers.entryDisconnected(a.baseContext, gate.EntryID(id))
 }
 
-// receive passes a message of an entry to the gate of its server, a heartbeat to all gates.
+// receive passes a message of an entry to the event loop of the server that it names, a heartbeat to those of all
+// servers.
 func (a *Agent) receive(ctx context.Context, id link.EntryID, message *wire.EntryMessage) error {
 	entry := gate.EntryID(id)
-	if beat := message.GetHeartbeat(); beat != nil {
-		a.session.ObserveVersion(beat.GetConfigVersion())
-		a.servers.tellAll(ctx, gateEvent{gate.MessageReceived{Entry: entry, Message: message}})
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil {
+		a.session.ObserveVersion(heartbeat.GetConfigVersion())
+		a.servers.broadcast(ctx, gateEvent{gate.MessageReceived{Entry: entry, Message: message}})
 		return nil
 	}
-	name, attempt := addressee(message)
+	name, attempt := serverAndAttempt(message)
 	if attempt == nil {
 		return nil
 	}
-	s := a.servers.expect(name)
+	s := a.servers.getOrCreate(name)
 	if s == nil {
-		a.unknownServer(entry, name, attempt, message)
+		a.answerUnknownServer(entry, name, attempt, message)
 		return nil
 	}
-	return s.push(ctx, received{entry: entry, message: message})
+	return s.push(ctx, entryMessage{entry: entry, message: message})
 }
 
-// addressee returns the server and the attempt that a message is about; no attempt if it is about none.
-func addressee(message *wire.EntryMessage) (string, *wire.AttemptID) {
+// serverAndAttempt returns the server and the attempt that a message is about. The attempt is nil if it is about none.
+func serverAndAttempt(message *wire.EntryMessage) (string, *wire.AttemptID) {
 	switch kind := message.GetKind().(type) {
 	case *wire.EntryMessage_Reserve:
 		return kind.Reserve.GetServer(), kind.Reserve.GetAttempt()
@@ -104,9 +105,9 @@
 	}
 }
 
-// unknownServer answers for a server that the agent has no gate for and no room to make one. Without a gate there is
-// no tombstone, so the answer is no proof.
-func (a *Agent) unknownServer(entry gate.EntryID, name string, id *wire.AttemptID, message *wire.EntryMessage) {
+// answerUnknownServer answers for a server without a gate, when the limit on servers prevents making one. Without a
+// gate there is no tombstone, so the answer is marked as unproven.
+func (a *Agent) answerUnknownServer(entry gate.EntryID, name string, id *wire.AttemptID, message *wire.EntryMessage) {
 	if message.GetDispatch() == nil && message.GetCancel() == nil {
 		return
 	}
@@ -121,28 +122,28 @@
 	a.links.Send(link.EntryID(entry), &wire.AgentMessage{Kind: &wire.AgentMessage_Over{Over: over}})
 }
 
-// received is a message of an entry for one server.
-type received struct {
+// entryMessage is an input with a message of an entry for one server.
+type entryMessage struct {
 	entry   gate.EntryID
 	message *wire.EntryMessage
 }
 
-func (in received) apply(s *server, now time.Time) {
+func (in entryMessage) apply(s *server, now time.Time) {
 	reserve := in.message.GetReserve()
-	code := s.ready.closed()
+	code := s.ready.refusalCode()
 	if reserve == nil || code == 0 {
 		s.step(now, gate.MessageReceived{Entry: in.entry, Message: in.message})
 		return
 	}
-	s.stepRefusing(now, gate.MessageReceived{Entry: in.entry, Message: unservable(reserve)}, refusal{
+	s.stepWithRefusal(now, gate.MessageReceived{Entry: in.entry, Message: withoutTarget(reserve)}, refusal{
 		key:  keyOf(reserve.GetAttempt()),
 		code: code,
 	})
 }
 
-// unservable returns a reservation of something that no server has. The gate refuses it with a tombstone, which is
-// how an agent without admission answers at once; a dispatch is refused where it would start.
-func unservable(reserve *wire.Reserve) *wire.EntryMessage {
+// withoutTarget returns a copy of a reservation whose target no server has, so that the gate refuses it at once and
+// leaves a tombstone. An agent that admits no work uses it for reservations; dispatches are refused by startRun.
+func withoutTarget(reserve *wire.Reserve) *wire.EntryMessage {
 	reserve = proto.CloneOf(reserve)
 	if reserve.Work == nil {
 		reserve.Work = new(wire.Work)
@@ -151,7 +152,7 @@
 	return &wire.EntryMessage{Kind: &wire.EntryMessage_Reserve{Reserve: reserve}}
 }
 
-// linkSender is the link server as gates see it.
+// linkSender adapts the link server to entryLinks.
 type linkSender struct{ server *link.EntryServer }
 
 // Send implements entryLinks.
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -32,14 +32,14 @@
 	entryHost2 = "10.0.0.4"
 )
 
-// longWait bounds waits in bubble time; a test that reaches it has failed.
-const longWait = 2 * time.Minute
+// waitTimeout bounds a wait, in the fake time of the synctest bubble. A test that reaches it fails.
+const waitTimeout = 2 * time.Minute
 
-// settleDown is longer than net/http goes on dialling for a call that was given up.
-const settleDown = 5 * time.Second
+// dialDrainTime is longer than net/http goes on dialling for a cancelled call.
+const dialDrainTime = 5 * time.Second
 
-// world is an agent with stand-in engines, entries and a fake of control. It lives in a synctest bubble.
-type world struct {
+// testEnv is an agent with simulated engines, entries and a fake of control, in a synctest bubble.
+type testEnv struct {
 	t       *testing.T
 	network *memory.Network
 	ledger  *standin.Ledger
@@ -48,14 +48,14 @@
 	stop    context.CancelFunc
 	ended   chan error
 	http    *http.Client
-	senders int // of the agent's servers; 0 is the default
+	senders int // number of agents that send to the agent's servers; 0 means the default
 }
 
-// inWorld runs a test in a bubble.
-func inWorld(t *testing.T, test func(w *world)) {
+// withEnv runs a test in a synctest bubble.
+func withEnv(t *testing.T, test func(env *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		env := &testEnv{
 			t:       t,
 			network: memory.New(),
 			ledger:  standin.NewLedger(1000),
@@ -63,18 +63,18 @@
 		}
 		transport := &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return w.network.Host(agentHost).Dial(ctx, address)
+				return env.network.Host(agentHost).Dial(ctx, address)
 			},
 		}
-		w.http = &http.Client{Transport: transport}
-		test(w)
-		_ = w.stopAgent()
-		time.Sleep(settleDown)
+		env.http = &http.Client{Transport: transport}
+		test(env)
+		_ = env.stopAgent()
+		time.Sleep(dialDrainTime)
 		transport.CloseIdleConnections()
 	})
 }
 
-func (w *world) settings() settings.Agent {
+func (env *testEnv) settings() settings.Agent {
 	s := settings.DefaultAgent()
 	s.Instance = "agent-1"
 	s.AvailabilityZone = "zone-1"
@@ -85,116 +85,116 @@
 	return s
 }
 
-// startAgent starts an incarnation of the agent. The one before must have ended.
-func (w *world) startAgent(change ...func(*settings.Agent)) {
-	w.t.Helper()
-	s := w.settings()
+// startAgent starts an incarnation of the agent. The previous one must have ended.
+func (env *testEnv) startAgent(change ...func(*settings.Agent)) {
+	env.t.Helper()
+	s := env.settings()
 	for _, f := range change {
 		f(&s)
 	}
-	time.Sleep(time.Millisecond) // so that the incarnations differ
-	w.control.begin()
+	time.Sleep(time.Millisecond) // incarnations must differ
+	env.control.reset()
 	options := Options{
-		Network:    w.network.Host(agentHost),
-		newSession: func(session.Config) Control { return w.control },
+		Network:    env.network.Host(agentHost),
+		newSession: func(session.Config) Control { return env.control },
 	}
-	if w.senders > 0 {
-		options.Senders = func(*session.View) int { return w.senders }
+	if env.senders > 0 {
+		options.Senders = func(*session.View) int { return env.senders }
 	}
 	agent, err := New(s, options)
-	require.NoError(w.t, err)
-	w.run(agent)
+	require.NoError(env.t, err)
+	env.run(agent)
 }
 
-func (w *world) run(agent *Agent) {
-	ctx, stop := context.WithCancel(w.t.Context())
-	w.agent = agent
-	w.stop = stop
-	w.ended = make(chan error, 1)
-	go func() { w.ended <- agent.Run(ctx) }()
+func (env *testEnv) run(agent *Agent) {
+	ctx, stop := context.WithCancel(env.t.Context())
+	env.agent = agent
+	env.stop = stop
+	env.ended = make(chan error, 1)
+	go func() { env.ended <- agent.Run(ctx) }()
 }
 
-// stopAgent stops the agent gracefully.
-func (w *world) stopAgent() error {
-	if w.stop == nil {
+// stopAgent stops the agent gracefully and returns the error of its Run.
+func (env *testEnv) stopAgent() error {
+	if env.stop == nil {
 		return nil
 	}
-	w.stop()
-	w.stop = nil
-	return <-w.ended
+	env.stop()
+	env.stop = nil
+	return <-env.ended
 }
 
-// supersede has control list a newer incarnation of the agent.
-func (w *world) supersede() {
-	view := *w.control.View()
+// supersede makes control list a newer incarnation of the agent.
+func (env *testEnv) supersede() {
+	view := *env.control.View()
 	view.Agents = map[string]*wire.AgentRecord{
-		"agent-1": {Agent: "agent-1", Incarnation: w.agent.incarnation + 1},
+		"agent-1": {Agent: "agent-1", Incarnation: env.agent.incarnation + 1},
 	}
-	w.control.setView(&view)
+	env.control.setView(&view)
 }
 
-// killAgent ends the agent as a crash does: nobody hears of it but by its closed connections.
-func (w *world) killAgent() {
-	w.t.Helper()
-	w.agent.end()
-	<-w.ended
-	w.stop()
-	w.stop = nil
+// killAgent ends the agent like a crash: it is visible only through its closed connections.
+func (env *testEnv) killAgent() {
+	env.t.Helper()
+	env.agent.cancelBase()
+	<-env.ended
+	env.stop()
+	env.stop = nil
 }
 
-// startEngine starts a stand-in that announces itself to the agent.
-func (w *world) startEngine(options standin.Options) *standin.Server {
+// startEngine starts a simulated server that announces itself to the agent.
+func (env *testEnv) startEngine(options standin.Options) *standin.Server {
 	options.Listen = engineHost + ":0"
 	options.Agent = "http://" + agentHost + ":9100"
-	return w.startStandin(options)
+	return env.startStandin(options)
 }
 
-// startStandin starts a stand-in as it is.
-func (w *world) startStandin(options standin.Options) *standin.Server {
-	options.Network = w.network.Host(engineHost)
-	options.Ledger = w.ledger
+// startStandin starts a simulated server whose options say where it announces itself, if anywhere.
+func (env *testEnv) startStandin(options standin.Options) *standin.Server {
+	options.Network = env.network.Host(engineHost)
+	options.Ledger = env.ledger
 	if options.LeaveTimeout == 0 {
 		options.LeaveTimeout = time.Second
 	}
 	server := standin.New(options)
-	ctx, stop := context.WithCancel(w.t.Context())
+	ctx, stop := context.WithCancel(env.t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = server.Run(ctx)
 	}()
 	<-server.Ready()
-	w.t.Cleanup(func() {
+	env.t.Cleanup(func() {
 		stop()
 		<-done
 	})
 	return server
 }
 
-// until waits until the condition holds.
-func (w *world) until(what string, holds func() bool) {
-	w.t.Helper()
-	end := time.Now().Add(longWait)
+// waitUntil waits until the condition holds, and fails the test after waitTimeout.
+func (env *testEnv) waitUntil(what string, condition func() bool) {
+	env.t.Helper()
+	end := time.Now().Add(waitTimeout)
 	for {
 		synctest.Wait()
-		if holds() {
+		if condition() {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			env.t.Fatalf("condition not reached: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (w *world) ready() {
-	w.t.Helper()
-	w.until("agent is ready", func() bool { return w.agent.notReady() == nil })
+func (env *testEnv) waitReady() {
+	env.t.Helper()
+	env.waitUntil("the agent is ready", func() bool { return env.agent.notReady() == nil })
 }
 
-// call makes an HTTP call to the agent and returns status and body.
-func (w *world) call(method, path string, body any) (int, string) {
-	w.t.Helper()
+// call makes an HTTP call to the agent and returns the status and the body.
+func (env *testEnv) call(method, path string, body any) (int, string) {
+	env.t.Helper()
 	var text []byte
 	switch b := body.(type) {
 	case nil:
@@ -202,31 +202,31 @@
 		text = []byte(b)
 	default:
 		encoded, err := json.Marshal(b)
-		require.NoError(w.t, err)
+		require.NoError(env.t, err)
 		text = encoded
 	}
-	request, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+w.agent.HTTPAddr()+path, bytes.NewReader(text))
-	require.NoError(w.t, err)
-	response, err := w.http.Do(request)
-	require.NoError(w.t, err)
+	request, err := http.NewRequestWithContext(env.t.Context(), method, "http://"+env.agent.HTTPAddr()+path, bytes.NewReader(text))
+	require.NoError(env.t, err)
+	response, err := env.http.Do(request)
+	require.NoError(env.t, err)
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	return response.StatusCode, string(answer)
 }
 
-// fakeControl is a session whose control does what the test says.
+// fakeControl is a session with a scripted control.
 type fakeControl struct {
-	mu         sync.Mutex
-	running    bool
-	readyErr   error
-	view       *session.View
-	subscriber func(*session.View)
-	sets       [][]*wire.ServerRecord
-	proposed   []*wire.Command
-	failures   int // proposals that fail before one is committed
-	orders     chan *wire.Order
-	results    []*wire.OrderResult
+	mu            sync.Mutex
+	running       bool
+	readyErr      error
+	view          *session.View
+	subscriber    func(*session.View)
+	serverUpdates [][]*wire.ServerRecord
+	proposed      []*wire.Command
+	failures      int // number of proposals that fail before one is committed
+	orders        chan *wire.Order
+	results       []*wire.OrderResult
 }
 
 func newFakeControl() *fakeControl {
@@ -236,8 +236,8 @@
 	}
 }
 
-// begin prepares the fake for another incarnation of the agent.
-func (c *fakeControl) begin() {
+// reset prepares the fake for another incarnation of the agent.
+func (c *fakeControl) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running = false
@@ -255,7 +255,7 @@
 func (c *fakeControl) SetServers(servers []*wire.ServerRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sets = append(c.sets, servers)
+	c.serverUpdates = append(c.serverUpdates, servers)
 }
 
 func (c *fakeControl) Propose(_ context.Context, command *wire.Command) (*wire.CommandResult, error) {
@@ -304,8 +304,8 @@
 
 func (c *fakeControl) ObserveVersion(uint64) bool { return true }
 
-// list puts an entry into the directory.
-func (c *fakeControl) list(name string, incarnation uint64) {
+// addEntry adds an entry to the directory.
+func (c *fakeControl) addEntry(name string, incarnation uint64) {
 	view := *c.View()
 	view.Entries = maps.Clone(view.Entries)
 	if view.Entries == nil {
@@ -344,20 +344,20 @@
 	return c.running
 }
 
-// registered returns the servers that the agent wanted in the directory last.
+// registered returns the servers of the agent's last directory record.
 func (c *fakeControl) registered() []*wire.ServerRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.sets) == 0 {
+	if len(c.serverUpdates) == 0 {
 		return nil
 	}
-	return c.sets[len(c.sets)-1]
+	return c.serverUpdates[len(c.serverUpdates)-1]
 }
 
-func (c *fakeControl) setCount() int {
+func (c *fakeControl) serverUpdateCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.sets)
+	return len(c.serverUpdates)
 }
 
 func (c *fakeControl) commands() []*wire.Command {
@@ -383,7 +383,7 @@
 	return list
 }
 
-// slowModel is a model engine whose streams take a while: one token each 100 ms.
+// slowModel returns options of a model engine whose streams take one token per 100 ms.
 func slowModel() standin.Options {
 	options := standin.ModelDefaults()
 	options.Server = "server-1"
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -12,33 +12,32 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Names of the agent's metrics. What entries count too, for the same requests, has a name of its own here.
-//
-// Otherwise a sum over all processes, which is how such metrics are read, counts each token and each refusal twice: once
-// where the gate decided and once where the caller was answered.
+// Names of the agent's metrics. Refusals and tokens that entries count too, for the same requests, have names of their
+// own here. Metrics are usually summed over all processes, and under a common name such a sum would count each token
+// and each refusal twice: once where the gate decided and once where the caller was answered.
 const (
-	metricRefusals     = "carawaypitch_refusals_total"
-	metricRetries      = "carawaypitch_retries_total"
-	metricPreemptions  = "carawaypitch_preemptions_total"
-	metricGateRefusals = "carawaypitch_gate_refusals_total"
-	metricWasted       = "carawaypitch_gate_wasted_prefill_tokens_total"
-	metricServed       = "carawaypitch_gate_served_tokens_total"
-	metricLeases       = "carawaypitch_leases_expired_total"
-	metricChartErrors  = "carawaypitch_chart_errors_total"
-	metricRuns         = "carawaypitch_engine_runs_total"
-	metricCancels      = "carawaypitch_engine_cancels_total"
-	metricOrders       = "carawaypitch_orders_total"
-	metricRingRefused  = "carawaypitch_ring_refused_total"
-	metricDropped      = "carawaypitch_link_dropped_total"
-	metricPeersRefused = "carawaypitch_link_peers_refused_total"
-	metricDelayed      = "carawaypitch_link_delayed_total"
-	metricCrashes      = "carawaypitch_server_crashes_total"
-	metricAdvice       = "carawaypitch_server_advice_total"
-	metricThrottled    = "carawaypitch_throttled_total"
-	metricMalformed    = "carawaypitch_server_advice_malformed_total"
+	metricRefusals      = "carawaypitch_refusals_total"
+	metricRetries       = "carawaypitch_retries_total"
+	metricPreemptions   = "carawaypitch_preemptions_total"
+	metricGateRefusals  = "carawaypitch_gate_refusals_total"
+	metricWastedPrefill = "carawaypitch_gate_wasted_prefill_tokens_total"
+	metricServedTokens  = "carawaypitch_gate_served_tokens_total"
+	metricLeases        = "carawaypitch_leases_expired_total"
+	metricChartErrors   = "carawaypitch_chart_errors_total"
+	metricRuns          = "carawaypitch_engine_runs_total"
+	metricCancels       = "carawaypitch_engine_cancels_total"
+	metricOrders        = "carawaypitch_orders_total"
+	metricRingRefused   = "carawaypitch_ring_refused_total"
+	metricDropped       = "carawaypitch_link_dropped_total"
+	metricPeersRefused  = "carawaypitch_link_peers_refused_total"
+	metricDelayed       = "carawaypitch_link_delayed_total"
+	metricCrashes       = "carawaypitch_server_crashes_total"
+	metricAdvice        = "carawaypitch_server_advice_total"
+	metricThrottled     = "carawaypitch_throttled_total"
+	metricMalformed     = "carawaypitch_server_advice_malformed_total"
 )
 
-// Reasons of retries.
+// Reasons of retries, used as label values.
 const (
 	retryReport  = "report"
 	retryRemove  = "remove"
@@ -46,7 +45,7 @@
 	retryAdvice  = "advice"
 )
 
-// meter holds one agent's metrics. It has a set of its own, so that several daemons fit in one process.
+// meter holds the metrics of one agent. Each has its own set, so that several daemons can run in one process.
 type meter struct {
 	set *metrics.Set
 }
@@ -63,7 +62,7 @@
 	m.set.GetOrCreateCounter(name).AddInt64(int64(n))
 }
 
-// count adds what a gate counted.
+// count adds a count of a gate to its metric.
 func (m *meter) count(c gate.Count) {
 	tier := strconv.FormatUint(uint64(c.Tier), 10)
 	label := strconv.Quote(c.Label)
@@ -73,9 +72,9 @@
 	case gate.Preemptions:
 		m.add(fmt.Sprintf(`%s{tier="%s"}`, metricPreemptions, tier), c.Add)
 	case gate.WastedPrefill:
-		m.add(fmt.Sprintf(`%s{cause=%s}`, metricWasted, label), c.Add)
+		m.add(fmt.Sprintf(`%s{cause=%s}`, metricWastedPrefill, label), c.Add)
 	case gate.ServedTokens:
-		m.add(fmt.Sprintf(`%s{organisation=%s,tier="%s"}`, metricServed, label, tier), c.Add)
+		m.add(fmt.Sprintf(`%s{organisation=%s,tier="%s"}`, metricServedTokens, label, tier), c.Add)
 	case gate.LeasesExpired:
 		m.add(metricLeases, c.Add)
 	case gate.ChartErrors:
@@ -83,7 +82,7 @@
 	}
 }
 
-// refused counts a refusal of the agent itself.
+// refused counts a refusal by the agent itself.
 func (m *meter) refused(code result.Code, tier uint32) {
 	m.add(fmt.Sprintf(`%s{code="%d",tier="%d"}`, metricRefusals, code, tier), 1)
 }
@@ -92,7 +91,7 @@
 	m.add(fmt.Sprintf(`%s{reason=%q}`, metricRetries, reason), 1)
 }
 
-func (m *meter) ended(end string) {
+func (m *meter) runEnded(end string) {
 	m.add(fmt.Sprintf(`%s{end=%q}`, metricRuns, end), 1)
 }
 
@@ -101,17 +100,17 @@
 	m.add(metricCrashes, 1)
 }
 
-// advised counts a change of what a server asks of its senders.
-func (m *meter) advised(route backpressure.Route) {
+// adviceChanged counts a change in a server's rate limit, backoff or draining state, by the route of the answer.
+func (m *meter) adviceChanged(route backpressure.Route) {
 	m.add(fmt.Sprintf(`%s{route=%q}`, metricAdvice, string(route)), 1)
 }
 
-// throttled counts an attempt that was kept from a server for what the server asked.
+// throttled counts an attempt that was held back because of a server's advice.
 func (m *meter) throttled(reason backpressure.Reason) {
 	m.add(fmt.Sprintf(`%s{reason=%q}`, metricThrottled, string(reason)), 1)
 }
 
-// malformedAdvice counts header fields of servers that mean nothing.
+// malformedAdvice counts header fields of servers that can't be parsed.
 func (m *meter) malformedAdvice(field string) {
 	m.add(fmt.Sprintf(`%s{field=%q}`, metricMalformed, field), 1)
 }
@@ -120,7 +119,7 @@
 	m.add(fmt.Sprintf(`%s{result=%q}`, metricCancels, result), 1)
 }
 
-func (m *meter) ordered(code result.Code) {
+func (m *meter) orderEnded(code result.Code) {
 	m.add(fmt.Sprintf(`%s{code="%d"}`, metricOrders, code), 1)
 }
 
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// verifyTries and verifyPause bound how often and how soon a server that broke off an answer is looked for again while a
-	// look tells nothing: its process may be about to close its listener.
-	verifyTries = 5
-	verifyPause = 50 * time.Millisecond
+	// verifyTries and verifyInterval bound the checks of a server that broke off an answer, while a check is
+	// inconclusive: the process may be about to close its listener.
+	verifyTries    = 5
+	verifyInterval = 50 * time.Millisecond
 )
 
-// verify finds out whether the server's process is still there, for the gate.
-func (s *server) verify() {
+// verifyServer checks for the gate whether the server's process still runs.
+func (s *server) verifyServer() {
 	client := s.client
 	if client == nil {
-		s.then(gate.ServerVerified{}, refusal{})
+		s.enqueue(gate.ServerVerified{}, refusal{})
 		return
 	}
 	s.spawn(func(ctx context.Context) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// processEnded tells whether nothing listens at the server's address. A refused connection says so at once; silence, as of a
-// machine without power or behind a cut, says nothing.
+// processEnded reports whether nothing listens at the server's address. A refused connection shows that at once; no
+// answer, as from a machine without power or behind a network partition, shows nothing.
 func processEnded(ctx context.Context, client engine.Client) bool {
 	for range verifyTries {
 		err := reach(ctx, client)
@@ -46,14 +46,14 @@
 		case err == nil || errors.Is(err, engine.ErrUnsupported) || errors.Is(err, context.DeadlineExceeded):
 			return false
 		}
-		if !pause.For(ctx, verifyPause) {
+		if !pause.For(ctx, verifyInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-// reach connects to the server's process, or calls it where the client can't do less.
+// reach connects to the server's process. If the client can't only connect, it makes a load call.
 func reach(ctx context.Context, client engine.Client) error {
 	ctx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
@@ -64,8 +64,8 @@
 	return err
 }
 
-// crashed tells control and the log what the server ran when it crashed.
-func (s *server) crashed(a gate.Crashed) {
+// reportCrash reports to control and logs which requests the server ran when it crashed.
+func (s *server) reportCrash(a gate.Crashed) {
 	note := &wire.NoteCrash{Crash: a.Crash}
 	requests := make([]string, 0, len(a.Runs))
 	fingerprints := make([]string, 0, len(a.Runs))
--- a/agent/server_leave.go
+++ b/agent/server_leave.go
@@ -7,83 +7,85 @@
 	"github.com/carawaypitch/carawaypitch/gate"
 )
 
-// leaving says where a graceful leave stands.
+// leaving is the state of a graceful leave.
 type leaving struct {
-	asked   bool
-	said    bool // the server itself said so in an answer
-	drained bool
-	silent  bool      // the server stopped announcing for a while since it was asked to leave
-	heard   time.Time // when the server was first told that it is drained, zero before
+	requested        bool
+	reportedByServer bool // an answer of the server said that it is draining
+	drained          bool
+	wasSilent        bool      // the server stopped announcing itself for a while after the leave was requested
+	drainedReadAt    time.Time // when the server first read that it is drained, zero before
 
-	departed bool // drained, and silent for departedAfter
+	departed bool // drained, and silent for departureTimeout
 }
 
-// leave hands the wish to leave to the gate duty. It has an error only if ctx ends.
+// leave requests a graceful leave from the event loop. It fails only if ctx ends.
 func (s *server) leave(ctx context.Context, reason string) error {
-	return s.push(ctx, leaveAsked{reason: reason})
+	return s.push(ctx, leaveRequested{reason: reason})
 }
 
-type leaveAsked struct{ reason string }
+type leaveRequested struct{ reason string }
 
-func (in leaveAsked) apply(s *server, now time.Time) {
-	if !s.leaving.asked {
-		s.leaving.asked = true
+func (in leaveRequested) apply(s *server, now time.Time) {
+	if !s.leaving.requested {
+		s.leaving.requested = true
 		s.log.WithField("reason", in.reason).Info("server_leaving")
 	}
 	s.step(now, gate.Leaving{})
 	s.publish()
 }
 
-// drainHeard says that the server was told that it is drained.
-type drainHeard struct{}
+// drainedStateRead is the input after the server was told that it is drained.
+type drainedStateRead struct{}
 
-func (drainHeard) apply(s *server, now time.Time) {
-	if s.leaving.drained && s.leaving.heard.IsZero() {
-		s.leaving.heard = now
+func (drainedStateRead) apply(s *server, now time.Time) {
+	if s.leaving.drained && s.leaving.drainedReadAt.IsZero() {
+		s.leaving.drainedReadAt = now
 	}
 }
 
-// noteSilence looks at an announcement for a silence before it.
-func (s *server) noteSilence(now time.Time) {
-	if s.leaving.asked && now.Sub(s.announced) >= s.timing.Silent {
-		s.leaving.silent = true
+// detectSilence records whether a leaving server was silent before the announcement that arrives at now.
+func (s *server) detectSilence(now time.Time) {
+	if s.leaving.requested && now.Sub(s.announcedAt) >= s.timing.Silent {
+		s.leaving.wasSilent = true
 	}
 }
 
-// comesBack says whether an announcement of a leaving server means that it is back.
+// isReturning reports whether an announcement of a leaving server means that it has returned.
 //
-// A server goes on announcing while it drains, and for a moment after. Were that taken for a return, it would get new
-// work and stop under it. So it is back only if it is drained and either was told so a while ago or was silent in
-// between. A server that an operator drained asks nothing and is never silent, and stays drained. So does one that said in an answer
-// that it leaves, where its next start has another name.
-func (s *server) comesBack(now time.Time) bool {
-	if !s.leaving.drained || s.leaving.said && s.runNames {
+// A server goes on announcing itself while it drains, and for a moment after. If that counted as a return, it would
+// get new work and then stop while it runs. So a server returns only if it is drained, and either was told so at least
+// returnDelay ago or was silent in between. A server that an operator drained never asks for its state and is never
+// silent, so it stays drained. So does a server that said in an answer that it is draining, if its next start has
+// another name.
+func (s *server) isReturning(now time.Time) bool {
+	if !s.leaving.drained || s.leaving.reportedByServer && s.uniqueNamePerStart {
 		return false
 	}
-	told := !s.leaving.heard.IsZero() && now.Sub(s.leaving.heard) >= comeBackAfter
-	return told || s.leaving.silent
+	wasInformed := !s.leaving.drainedReadAt.IsZero() && now.Sub(s.leaving.drainedReadAt) >= returnDelay
+	return wasInformed || s.leaving.wasSilent
 }
 
-// comeBack lets a drained server begin anew, with a new gate: for the old one, drained is the end.
+// resetAfterReturn gives a drained server a new gate, since drained is the final state of the old one.
 //
-// The new gate knows none of the old one's tombstones. What they refuse can't come any more: nothing is dispatched to
-// a drained server, links keep their order, and comeBackAfter or the silence has passed.
-func (s *server) comeBack(now time.Time) {
+// The new gate has none of the old one's tombstones. The messages that they guard against can't arrive any more:
+// nothing is dispatched to a drained server, links keep the order of messages, and returnDelay or the silence has
+// passed.
+func (s *server) resetAfterReturn(now time.Time) {
 	s.log.Info("server_back")
 	s.leaving = leaving{}
-	s.published = nil
+	s.gateRecord = nil
 	s.gate = s.newGate()
-	s.advised.expects.Store(true)
-	for _, id := range s.linked() {
+	s.adviceState.observeEmpty.Store(true)
+	for _, id := range s.linkedEntries() {
 		s.step(now, gate.EntryConnected{Entry: id})
 	}
 	s.publish()
 }
 
-// noteDeparture takes a drained server out of the directory once it stopped announcing itself. For the gate drained is
-// the end, so it says nothing any more.
-func (s *server) noteDeparture(now time.Time) {
-	departed := s.leaving.drained && now.Sub(s.announced) >= departedAfter
+// updateDeparted takes a drained server out of the directory once it has stopped announcing itself. The gate doesn't
+// report that, since drained is its final state.
+func (s *server) updateDeparted(now time.Time) {
+	departed := s.leaving.drained && now.Sub(s.announcedAt) >= departureTimeout
 	if departed != s.leaving.departed {
 		s.leaving.departed = departed
 		s.log.WithField("departed", departed).Info("server_departed")
--- a/agent/server_loop.go
+++ b/agent/server_loop.go
@@ -9,25 +9,25 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// input is something that a gate duty takes from its ring.
+// input is an element of an event loop's ring.
 type input interface {
 	apply(s *server, now time.Time)
 }
 
-// gateEvent is an input that goes to the gate as it is.
+// gateEvent is an input that is passed to the gate as it is.
 type gateEvent struct{ event gate.Event }
 
 func (in gateEvent) apply(s *server, now time.Time) {
 	s.step(now, in.event)
 }
 
-// followUp is an event that a step led to.
-type followUp struct {
+// pendingEvent is an event that resulted from a step.
+type pendingEvent struct {
 	event   gate.Event
 	refusal refusal
 }
 
-// run is the gate duty. It returns only when ctx ends.
+// run is the event loop of the server. It returns only when ctx ends.
 func (s *server) run(ctx context.Context) {
 	s.base = ctx
 	ticks := pause.NewTimer(gate.TickInterval)
@@ -35,34 +35,34 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.abandonRuns()
+			s.closeRuns()
 			return
 		case in := <-s.inputs.C():
-			s.take(in)
+			s.applyBatch(in)
 			ticks.Within(s.nextTick())
 		case now := <-ticks.C():
 			s.sendUnsent()
-			s.noteDeparture(now)
-			s.shareAdvice(now)
+			s.updateDeparted(now)
+			s.proposeAdvice(now)
 			s.step(now, gate.Tick{})
 			ticks.Fired(s.nextTick())
 		}
 	}
 }
 
-// nextTick is when the duty has to look again, whatever comes meanwhile.
+// nextTick returns the time until the loop's next tick, if no input arrives before.
 func (s *server) nextTick() time.Duration {
-	if s.unsent.any() || s.leaving.asked {
+	if s.unsent.any() || s.leaving.requested {
 		return gate.TickInterval
 	}
 	return s.gate.NextTick()
 }
 
-// take applies an input and what else is on the ring, up to inputBatch, so that ticks keep their turn.
-func (s *server) take(in input) {
+// applyBatch applies an input and what else is on the ring, up to maxInputBatch, so that ticks are not starved.
+func (s *server) applyBatch(in input) {
 	now := time.Now()
 	in.apply(s, now)
-	for range inputBatch {
+	for range maxInputBatch {
 		select {
 		case in = <-s.inputs.C():
 			in.apply(s, now)
@@ -72,41 +72,41 @@
 	}
 }
 
-// step gives an event to the gate, carries out what it wants, and goes on with what follows from that.
+// step passes an event to the gate and carries out its actions, and then does the same for all pending events.
 func (s *server) step(now time.Time, event gate.Event) {
-	s.stepRefusing(now, event, refusal{})
+	s.stepWithRefusal(now, event, refusal{})
 }
 
-// stepRefusing is step for an event by which the gate refuses an attempt for a reason that only the agent knows.
-func (s *server) stepRefusing(now time.Time, event gate.Event, why refusal) {
-	s.follow = append(s.follow, followUp{event: event, refusal: why})
-	for len(s.follow) > 0 {
-		next := s.follow[0]
-		s.follow = s.follow[1:]
-		s.refusing = next.refusal
+// stepWithRefusal is step for an event by which the gate refuses an attempt for a reason that only the agent knows.
+func (s *server) stepWithRefusal(now time.Time, event gate.Event, reason refusal) {
+	s.pending = append(s.pending, pendingEvent{event: event, refusal: reason})
+	for len(s.pending) > 0 {
+		next := s.pending[0]
+		s.pending = s.pending[1:]
+		s.currentRefusal = next.refusal
 		for _, action := range s.gate.Step(now, next.event) {
 			s.perform(now, action)
 		}
 	}
-	s.refusing = refusal{}
+	s.currentRefusal = refusal{}
 }
 
-// then lets an event follow the present step.
-func (s *server) then(event gate.Event, why refusal) {
-	s.follow = append(s.follow, followUp{event: event, refusal: why})
+// enqueue adds an event to be handled after the current step.
+func (s *server) enqueue(event gate.Event, reason refusal) {
+	s.pending = append(s.pending, pendingEvent{event: event, refusal: reason})
 }
 
-// refusal names an attempt that the agent refuses, and why. A zero code refuses nothing.
+// refusal is an attempt that the agent refuses, and the code. A zero code refuses nothing.
 type refusal struct {
 	key  attemptKey
 	code result.Code
 }
 
-// abandonRuns lets go of what still runs when the agent ends.
-func (s *server) abandonRuns() {
+// closeRuns disconnects the attempts that still run when the agent ends.
+func (s *server) closeRuns() {
 	for _, r := range s.runs {
 		r.close()
-		r.stop()
+		r.disconnect()
 	}
 	closeClient(s.client)
 }
--- a/entry/agentless_servers.go
+++ b/entry/agentless_servers.go
@@ -32,7 +32,7 @@
 }
 
 func newAgentlessSelector(entry, zone string, wait time.Duration) *agentlessSelector {
-	return &agentlessSelector{entry: entry, zone: zone, list: agent.Unattended(wait)}
+	return &agentlessSelector{entry: entry, zone: zone, list: agent.WithoutAgent(wait)}
 }
 
 // choose returns the servers that this entry serves. It must not be called concurrently.
--- a/entry/local_agent.go
+++ b/entry/local_agent.go
@@ -96,7 +96,7 @@
 		Log:       e.log,
 		NewEngine: e.options.NewEngine,
 		Control:   localControl{l},
-		Select: agent.Either(
+		Select: agent.AnyOf(
 			agent.OfKind(engine.KindService),
 			newAgentlessSelector(e.settings.Instance, e.settings.AvailabilityZone, agentlessGracePeriod).choose,
 		),
@@ -119,7 +119,7 @@
 // record returns the agent's record in the form used by the directory. Servers that are listed by an agent in the
 // directory are omitted.
 func (l *localAgent) record(view *session.View) *wire.AgentRecord {
-	withAgent := agent.Attended(view)
+	withAgent := agent.ListedByAgents(view)
 	return &wire.AgentRecord{
 		Agent:            l.name,
 		AvailabilityZone: l.entry.settings.AvailabilityZone,
