--- a/control/directory_scope.go
+++ b/control/directory_scope.go
@@ -30,7 +30,7 @@
 // coversAll reports whether the client gets the records of all agents, not only its own.
 func (s *directoryScope) coversAll() bool { return s.agent == "" }
 
-// filter returns a new update with the part filter u that the client gets.
+// filter returns a new update with the part of u that the client gets.
 func (s *directoryScope) filter(u *wire.DirectoryUpdate) *wire.DirectoryUpdate {
 	out := &wire.DirectoryUpdate{
 		Version: u.GetVersion(), Full: u.GetFull(),
--- a/control/directory_scope_test.go
+++ b/control/directory_scope_test.go
@@ -14,7 +14,7 @@
 	return &wire.ClientHello{Instance: "me", Role: wire.Role_ROLE_AGENT, ServerAddress: ownAddress}
 }
 
-// cachedUpdates returns a cache that holds the given cachedUpdates, keyed by their base version.
+// cachedUpdates returns a cache that holds the given updates, keyed by their base version.
 func cachedUpdates(byBase map[uint64]*wire.DirectoryUpdate) *updateCache {
 	return &updateCache{directories: byBase}
 }
--- a/control/peer_server.go
+++ b/control/peer_server.go
@@ -116,7 +116,7 @@
 	return config, directory
 }
 
-// elapsed returns the time elapsed t, or 0 if t is in the future.
+// elapsed returns the time since t, or 0 if t is in the future.
 func elapsed(t time.Time) time.Duration {
 	return max(0, time.Since(t))
 }
--- a/control/propose.go
+++ b/control/propose.go
@@ -92,10 +92,10 @@
 // resendAdvice is the message that an operator gets after an unknown outcome.
 const resendAdvice = "the change may or may not have been committed: send it again with the same Change-Id and If-Match"
 
-// commitChange commits an operator's commitChange at whichever instance leads. Errors are those of propose.
+// commitChange commits an operator's change at whichever instance leads. Errors are those of propose.
 //
-// It retries only if the commitChange was certainly not proposed. After an unknown outcome it returns an error that says so,
-// and the operator may send the commitChange again with the same Change-Id.
+// It retries only if the change was certainly not proposed. After an unknown outcome it returns an error that says so,
+// and the operator may send the change again with the same Change-Id.
 func (c *Control) commitChange(ctx context.Context, cmd *wire.Command) (*wire.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/control/reads.go
+++ b/control/reads.go
@@ -153,7 +153,7 @@
 	return r.round, r.replies
 }
 
-// handleReply passes a leader's handleReply to the current round. It drops a handleReply to an earlier round, which says nothing
+// handleReply passes a leader's reply to the current round. It drops a reply to an earlier round, which says nothing
 // about requests that arrived after that round.
 func (r *readConfirmer) handleReply(reply *wire.ReadReply) {
 	r.mu.Lock()
--- a/control/replication.go
+++ b/control/replication.go
@@ -141,7 +141,7 @@
 	return voters
 }
 
-// memberPeers returns the instances and link addresses of the group's memberPeers.
+// memberPeers returns the instances and link addresses of the group's members.
 func (c *Control) memberPeers() []*wire.Peer {
 	var members []*wire.Peer
 	for _, m := range c.replica.Status().Members {
--- a/control/reports.go
+++ b/control/reports.go
@@ -137,7 +137,7 @@
 	return out
 }
 
-// newestIncarnations returns the newestIncarnations incarnation of each entry. Requests that were queued at an older one no longer
+// newestIncarnations returns the newest incarnation of each entry. Requests that were queued at an older one no longer
 // exist.
 func (r *reports) newestIncarnations() map[string]uint64 {
 	newest := make(map[string]uint64)
--- a/control/reports_test.go
+++ b/control/reports_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// testTime returns the time a number of seconds testTime the start of a test.
+// testTime returns the time a number of seconds after the start of a test.
 func testTime(seconds int) time.Time {
 	return time.Unix(1_000_000, 0).Add(time.Duration(seconds) * time.Second)
 }
--- a/control/session.go
+++ b/control/session.go
@@ -233,7 +233,7 @@
 	s.send(&wire.ControlMessage{Kind: &wire.ControlMessage_Reply{Reply: r}})
 }
 
-// sendOrder sends an sendOrder to the agent.
+// sendOrder sends an order to the agent.
 func (s *session) sendOrder(o *wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// agentSession returns the newest session agentSession an agent, or nil.
+// agentSession returns the newest session of an agent, or nil.
 func (s *sessions) agentSession(agent string) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/voter_loss_test.go
+++ b/control/voter_loss_test.go
@@ -107,7 +107,7 @@
 		c.startAll()
 		defer c.stopAll()
 		c.leader()
-		c.addAndStart(4, 3) // knows only the one ephemeral a disk
+		c.addAndStart(4, 3) // knows only the one without a disk
 		ephemeral := c.instances[2]
 		c.eventually("all instances with a disk vote", func() bool { return countVoters(c, c.leader()) == 3 })
 		require.Zero(t, votersSeenByVoter(c, ephemeral))
--- a/entry/inflight_keys.go
+++ b/entry/inflight_keys.go
@@ -50,7 +50,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// acquire returns the inflightKey of an ID and whether this call created it. The call that created it must release it.
+// acquire returns the in-flight key with the given ID, and reports whether this call created it. The call that created
+// it must release it.
 func (f *inflightKeys) acquire(id string, digest [sha256.Size]byte) (*inflightKey, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gate/runs.go
+++ b/gate/runs.go
@@ -196,7 +196,7 @@
 	g.issueCancel(a)
 }
 
-// issueCancel asks the engine to end an attempt. The Try tells whether the run had ended before: only then does an
+// issueCancel asks the engine to end an attempt. The Try shows whether the run had ended before: only then does an
 // unknown id prove that the attempt isn't running and won't start.
 func (g *Gate) issueCancel(a *attempt) {
 	a.cancel.try++
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -269,7 +269,7 @@
 	time.Sleep(engineDowntime + propagationDelay)
 }
 
-// crashCount returns the total number of engine crashCount.
+// crashCount returns the total number of engine crashes.
 func (f *fleet) crashCount() int {
 	total := 0
 	for _, e := range f.engines {
