--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -27,7 +27,7 @@
 		c.stop(full)
 		var isFull atomic.Bool
 		var latest atomic.Pointer[control.Control]
-		full.fs.Fault(func(op, _ string) error {
+		full.fs.SetFault(func(op, _ string) error {
 			if isFull.Load() && op == "write" {
 				return syscall.ENOSPC
 			}
--- a/control/replication.go
+++ b/control/replication.go
@@ -185,7 +185,7 @@
 
 		AvailabilityZone: c.settings.AvailabilityZone,
 	}
-	for _, v := range c.replica.FirstVoters() {
+	for _, v := range c.replica.InitialVoters() {
 		hello.FirstVoters = append(hello.FirstVoters, &wire.FirstVoter{Replica: string(v.ID), Address: v.Address})
 	}
 	return hello
--- a/control/usage_file_test.go
+++ b/control/usage_file_test.go
@@ -92,7 +92,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	u.Record(e[0], usagePoll(800), now)
 	full := journaltest.New()
-	full.Fault(func(string, string) error { return syscall.ENOSPC })
+	full.SetFault(func(string, string) error { return syscall.ENOSPC })
 	require.ErrorIs(t, usageFileOn(full).save(u, now), syscall.ENOSPC)
 
 	damaged := journaltest.New()
--- a/quorum/journal/journal_test.go
+++ b/quorum/journal/journal_test.go
@@ -183,14 +183,14 @@
 	fs := journaltest.New()
 	j, _ := open(t, fs)
 	require.NoError(t, j.Save(hard(1), log(1, 1, 1)))
-	fs.Fault(func(op, _ string) error {
+	fs.SetFault(func(op, _ string) error {
 		if op == "sync" {
 			return journaltest.ErrCrashed
 		}
 		return nil
 	})
 	require.Error(t, j.Save(hard(2), log(2, 2, 2)))
-	fs.Fault(nil)
+	fs.SetFault(nil)
 	fs.Kill()
 	_, state := open(t, fs)
 	require.Len(t, state.Entries, 2)
@@ -222,7 +222,7 @@
 			fs := journaltest.New()
 			j, _ := open(t, fs)
 			require.NoError(t, j.Save(hard(1), log(1, 1, 1)))
-			fs.Fault(func(op, name string) error {
+			fs.SetFault(func(op, name string) error {
 				if op == c.op {
 					return errors.Wrap(c.err, name)
 				}
@@ -236,7 +236,7 @@
 				err = j.Save(nil, log(i, i, 1))
 			}
 			requireCode(t, c.code, err)
-			fs.Fault(nil)
+			fs.SetFault(nil)
 			require.Equal(t, err, j.Save(nil, log(2, 2, 1)), "the journal went on after an error")
 			require.Equal(t, err, j.SaveSnapshot(snapshotAt(1, 1)))
 			require.Equal(t, err, j.Release(1))
--- a/quorum/journal/journaltest/fs.go
+++ b/quorum/journal/journaltest/fs.go
@@ -68,9 +68,9 @@
 	f.steps, f.stopStep, f.stopKeep = 0, step, keep
 }
 
-// Fault makes changes fail with the error that fault returns; nil lets them
+// SetFault makes changes fail with the error that fault returns; nil lets them
 // pass. op is write, sync, create, truncate, rename, remove or syncdir.
-func (f *FS) Fault(fault func(op, name string) error) {
+func (f *FS) SetFault(fault func(op, name string) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
--- a/quorum/replica/replica.go
+++ b/quorum/replica/replica.go
@@ -26,7 +26,7 @@
 	// while it waits; Status takes it in between.
 	mu    sync.Mutex
 	node  *quorum.Node
-	first []Member // see FirstVoters
+	first []Member // see InitialVoters
 
 	inbox     chan *quorumpb.Message
 	proposals chan *request
@@ -174,9 +174,9 @@
 	return voters, nil
 }
 
-// FirstVoters returns the voters that the group began with, or nil if the log
+// InitialVoters returns the voters that the group began with, or nil if the log
 // held none or was compacted when the replica was opened.
-func (r *Replica) FirstVoters() []Member {
+func (r *Replica) InitialVoters() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.first
@@ -197,7 +197,7 @@
 // Bootstrap makes this replica one of the first voters of a new group. Call it
 // before Run, at every one of the voters with the same list. It returns
 // ErrNotEmpty where the disk holds a log already, which after a restart is the
-// normal case, and ErrRunTwice after Run.
+// normal case, and ErrAlreadyRun after Run.
 //
 // Only an operator may decide to call it, for a group that never existed. On
 // the wiped disk of an existing group's instance it would start a second group
@@ -206,7 +206,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.started.Load() {
-		return ErrRunTwice
+		return ErrAlreadyRun
 	}
 	if s := r.node.Status(); s.Last > 0 || s.Term > 0 {
 		return ErrNotEmpty
@@ -251,15 +251,15 @@
 	return uuid.NewSHA1(uuid.NameSpaceOID, name).String()
 }
 
-// ErrRunTwice is returned by a second call of Run.
-var ErrRunTwice = errors.New("replica: Run was called before")
+// ErrAlreadyRun is returned by a second call of Run.
+var ErrAlreadyRun = errors.New("replica: Run was called before")
 
 // Run runs the replica until ctx ends, then returns nil after the journal is
 // closed. Any other error is one that the replica must not go on after: one of
 // the journal, quorum.ErrLostLog, or one of the state machine.
 func (r *Replica) Run(ctx context.Context) error {
 	if !r.started.CompareAndSwap(false, true) {
-		return ErrRunTwice
+		return ErrAlreadyRun
 	}
 	dutyCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/quorum/replica/replica_test.go
+++ b/quorum/replica/replica_test.go
@@ -41,8 +41,8 @@
 		n = g.start("a")
 		g.leader()
 		require.Equal(t, []string{"one", "two", "three"}, n.store.all())
-		require.ErrorIs(t, n.r.Bootstrap(nil), replica.ErrRunTwice)
-		require.ErrorIs(t, n.r.Run(t.Context()), replica.ErrRunTwice)
+		require.ErrorIs(t, n.r.Bootstrap(nil), replica.ErrAlreadyRun)
+		require.ErrorIs(t, n.r.Run(t.Context()), replica.ErrAlreadyRun)
 	})
 }
 
@@ -185,7 +185,7 @@
 		bubble(t, 6, func(t *testing.T, g *group) {
 			g.bootstrap("a")
 			n := g.leader()
-			n.fs.Fault(func(op, _ string) error {
+			n.fs.SetFault(func(op, _ string) error {
 				if op == "sync" {
 					return c.err
 				}
@@ -216,7 +216,7 @@
 			if n == l {
 				continue
 			}
-			n.fs.Fault(func(op, _ string) error {
+			n.fs.SetFault(func(op, _ string) error {
 				if op == "sync" {
 					return syscall.EIO
 				}
