--- a/quorum/journal/damage_test.go
+++ b/quorum/journal/damage_test.go
@@ -21,16 +21,16 @@
 // Cause: the end of the newest segment is a part of a record.
 func TestTornTailAtEveryByte(t *testing.T) {
 	fs := journaltest.New()
-	j, _ := open(t, fs)
-	require.NoError(t, j.Save(hard(1), log(1, 2, 1)))
+	j, _ := openJournal(t, fs)
+	require.NoError(t, j.Save(hardState(1), logEntries(1, 2, 1)))
 	synced := len(fs.Content(newestSegment(t, fs)))
-	require.NoError(t, j.Save(hard(2), log(3, 3, 2)))
+	require.NoError(t, j.Save(hardState(2), logEntries(3, 3, 2)))
 	path := newestSegment(t, fs)
-	whole := fs.Content(path)
-	for size := synced; size <= len(whole); size++ {
-		for _, garbled := range []bool{false, true} {
-			data := append([]byte(nil), whole[:size]...)
-			if garbled && size > synced {
+	original := fs.Content(path)
+	for size := synced; size <= len(original); size++ {
+		for _, corrupted := range []bool{false, true} {
+			data := append([]byte(nil), original[:size]...)
+			if corrupted && size > synced {
 				data[size-1] ^= 0x40
 			}
 			torn := journaltest.New()
@@ -38,20 +38,20 @@
 				torn.SetContent(filepath.Join(dir, name), fs.Content(filepath.Join(dir, name)))
 			}
 			torn.SetContent(path, data)
-			_, state := open(t, torn)
-			if size == len(whole) && !garbled {
-				requireLog(t, append(log(1, 2, 1), log(3, 3, 2)...), state.Entries)
+			_, state := openJournal(t, torn)
+			if size == len(original) && !corrupted {
+				requireLog(t, append(logEntries(1, 2, 1), logEntries(3, 3, 2)...), state.Entries)
 				require.Zero(t, state.TornBytes)
 				continue
 			}
-			requireLog(t, log(1, 2, 1), state.Entries)
-			require.True(t, proto.Equal(hard(1), state.HardState))
+			requireLog(t, logEntries(1, 2, 1), state.Entries)
+			require.True(t, proto.Equal(hardState(1), state.HardState))
 			require.Equal(t, int64(size-synced), state.TornBytes)
 			// The cut is durable, and the journal goes on.
 			torn.Crash(func(int) int { return 0 })
-			again, state := open(t, torn)
+			reopened, state := openJournal(t, torn)
 			require.Zero(t, state.TornBytes)
-			require.NoError(t, again.Save(hard(2), log(3, 3, 2)))
+			require.NoError(t, reopened.Save(hardState(2), logEntries(3, 3, 2)))
 		}
 	}
 }
@@ -59,18 +59,18 @@
 // Symptom: a replica votes twice or lacks entries that it had acknowledged.
 // Sequence: a byte of a synced record changes on disk.
 // Cause: it is taken for a torn write, and the log is cut there.
-func TestDamageStops(t *testing.T) {
+func TestOpenRefusesDamage(t *testing.T) {
 	for _, segmentBytes := range []int64{512, 1 << 20} {
-		t.Run(fmt.Sprint(segmentBytes), func(t *testing.T) { damageStops(t, segmentBytes) })
+		t.Run(fmt.Sprint(segmentBytes), func(t *testing.T) { testDamageRefused(t, segmentBytes) })
 	}
 }
 
-func damageStops(t *testing.T, segmentBytes int64) {
+func testDamageRefused(t *testing.T, segmentBytes int64) {
 	fs := journaltest.New()
 	j, _, err := journal.Open(dir, journal.Options{FS: fs, SegmentBytes: segmentBytes})
 	require.NoError(t, err)
 	for i := range uint64(30) {
-		require.NoError(t, j.Save(hard(1), log(i+1, i+1, 1)))
+		require.NoError(t, j.Save(hardState(1), logEntries(i+1, i+1, 1)))
 	}
 	require.NoError(t, j.SaveSnapshot(snapshotAt(2, 1)))
 	require.NoError(t, j.Close())
@@ -78,15 +78,15 @@
 	require.NoError(t, err)
 	for _, name := range names {
 		path := filepath.Join(dir, name)
-		whole := fs.Content(path)
-		end := len(whole)
+		original := fs.Content(path)
+		end := len(original)
 		if path == newestSegment(t, fs) {
 			// The last record only says that the journal was closed.
-			end -= closedRecord
+			end -= closeRecordBytes
 		}
-		for at := range end {
-			data := append([]byte(nil), whole...)
-			data[at] ^= 0x10
+		for offset := range end {
+			data := append([]byte(nil), original...)
+			data[offset] ^= 0x10
 			fs.SetContent(path, data)
 			_, _, err := journal.Open(dir, journal.Options{FS: fs})
 			code := result.JournalDamaged
@@ -96,21 +96,21 @@
 			requireCode(t, code, err)
 			require.Equal(t, data, fs.Content(path), "a damaged file was changed")
 		}
-		fs.SetContent(path, whole)
+		fs.SetContent(path, original)
 	}
-	_, state := open(t, fs)
+	_, state := openJournal(t, fs)
 	require.Len(t, state.Entries, 28)
 }
 
-// closedRecord is the size of the record that Close leaves, in bytes.
-const closedRecord = 12 + 2
+// closeRecordBytes is the size of the record that Close leaves, in bytes.
+const closeRecordBytes = 12 + 2
 
-func TestMissingFileStops(t *testing.T) {
+func TestOpenRefusesMissingFile(t *testing.T) {
 	for _, missing := range []string{"identity", "log-0000000000000001.seg", "log-0000000000000003.seg"} {
 		fs := journaltest.New()
-		j, _ := open(t, fs)
+		j, _ := openJournal(t, fs)
 		for i := range uint64(40) {
-			require.NoError(t, j.Save(hard(1), log(i+1, i+1, 1)))
+			require.NoError(t, j.Save(hardState(1), logEntries(i+1, i+1, 1)))
 		}
 		require.NoError(t, j.Close())
 		fs.SetContent(filepath.Join(dir, missing), nil)
@@ -119,11 +119,11 @@
 	}
 }
 
-func TestForeignSegmentStops(t *testing.T) {
+func TestOpenRefusesSegmentOfAnotherDisk(t *testing.T) {
 	fs, other := journaltest.New(), journaltest.New()
 	for _, f := range []*journaltest.FS{fs, other} {
-		j, _ := open(t, f)
-		require.NoError(t, j.Save(hard(1), log(1, 3, 1)))
+		j, _ := openJournal(t, f)
+		require.NoError(t, j.Save(hardState(1), logEntries(1, 3, 1)))
 		require.NoError(t, j.Close())
 	}
 	path := newestSegment(t, fs)
--- a/quorum/journal/journal.go
+++ b/quorum/journal/journal.go
@@ -56,8 +56,8 @@
 // segment is a segment on disk.
 type segment struct {
 	sequence uint64
-	// last is the highest index of an entry in it.
-	last uint64
+	// lastIndex is the highest index of an entry in it.
+	lastIndex uint64
 }
 
 // Journal is one replica's disk. Save, Reset, Release and Close are for one
@@ -66,7 +66,7 @@
 type Journal struct {
 	fs           FS
 	dir          string
-	disk         string
+	diskID       string
 	segmentBytes int64
 	lock         io.Closer
 
@@ -75,23 +75,23 @@
 	seed     uint32
 	size     int64
 	buf      []byte
-	// hard is the newest hard state, repeated at the head of each segment so
+	// hardState is the newest hardState state, repeated at the head of each segment so
 	// that older ones can be removed.
-	hard *quorumpb.HardState
+	hardState *quorumpb.HardState
 
 	// snapshotMu orders the saving and reading of snapshots, which two
 	// goroutines do.
 	snapshotMu     sync.Mutex
 	newestSnapshot string
 
-	// failed holds the first error of a write; nothing is written after it.
-	failed atomic.Pointer[error]
+	// firstErr holds the first error of a write; nothing is written after it.
+	firstErr atomic.Pointer[error]
 
 	syncs, bytes, records, segmentCount atomic.Uint64
 }
 
 // Disk returns the identity of the disk.
-func (j *Journal) Disk() string { return j.disk }
+func (j *Journal) Disk() string { return j.diskID }
 
 // Stats returns the counters.
 func (j *Journal) Stats() Stats {
@@ -107,11 +107,11 @@
 // replace those on disk from the index of the first one on. A nil hard state
 // keeps the one before. Errors carry result.DiskFull or result.SyncFailed and
 // end the journal.
-func (j *Journal) Save(hard *quorumpb.HardState, entries []*quorumpb.Entry) error {
-	if hard == nil && len(entries) == 0 {
+func (j *Journal) Save(hardState *quorumpb.HardState, entries []*quorumpb.Entry) error {
+	if hardState == nil && len(entries) == 0 {
 		return nil
 	}
-	return j.write(&quorumpb.Record{HardState: hard, Entries: entries})
+	return j.write(&quorumpb.Record{HardState: hardState, Entries: entries})
 }
 
 // Reset records that the log was replaced by a snapshot, which must have been
@@ -126,7 +126,7 @@
 	var err error
 	if j.err() == nil {
 		err = j.write(&quorumpb.Record{Closed: true})
-		j.stop(ErrClosed)
+		j.failWith(ErrClosed)
 	}
 	if j.file != nil {
 		err = errors.Join(err, j.file.Close())
@@ -135,15 +135,15 @@
 }
 
 func (j *Journal) err() error {
-	if p := j.failed.Load(); p != nil {
+	if p := j.firstErr.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
-// stop makes err the answer of all later calls and returns it.
-func (j *Journal) stop(err error) error {
-	j.failed.CompareAndSwap(nil, &err)
+// failWith makes err the answer of all later calls and returns it.
+func (j *Journal) failWith(err error) error {
+	j.firstErr.CompareAndSwap(nil, &err)
 	return err
 }
 
@@ -153,7 +153,7 @@
 		return err
 	}
 	if j.size >= j.segmentBytes {
-		if err := j.roll(); err != nil {
+		if err := j.startSegment(); err != nil {
 			return err
 		}
 	}
@@ -161,11 +161,11 @@
 		return err
 	}
 	if r.GetHardState() != nil {
-		j.hard = proto.Clone(r.GetHardState()).(*quorumpb.HardState)
+		j.hardState = proto.Clone(r.GetHardState()).(*quorumpb.HardState)
 	}
 	if n := len(r.GetEntries()); n > 0 {
 		s := &j.segments[len(j.segments)-1]
-		s.last = max(s.last, r.GetEntries()[n-1].GetIndex())
+		s.lastIndex = max(s.lastIndex, r.GetEntries()[n-1].GetIndex())
 	}
 	return nil
 }
@@ -176,17 +176,17 @@
 func (j *Journal) append(r *quorumpb.Record) error {
 	buf, err := appendRecord(j.buf[:0], j.seed, j.size, r)
 	if err != nil {
-		return j.stop(result.Wrap(err, result.EntryTooLarge, "journal: record"))
+		return j.failWith(result.Wrap(err, result.EntryTooLarge, "journal: record"))
 	}
 	j.buf = buf
-	if cap(j.buf) > keepBufferBytes {
+	if cap(j.buf) > maxRetainedBufferBytes {
 		j.buf = nil
 	}
 	if _, err := j.file.Write(buf); err != nil {
-		return j.stop(fail(err, "write"))
+		return j.failWith(ioError(err, "write"))
 	}
 	if err := j.file.Sync(); err != nil {
-		return j.stop(fail(err, "sync"))
+		return j.failWith(ioError(err, "sync"))
 	}
 	j.size += int64(len(buf))
 	j.syncs.Add(1)
@@ -195,14 +195,14 @@
 	return nil
 }
 
-// keepBufferBytes is the largest write buffer that is kept for the next write.
-const keepBufferBytes = 1 << 20
+// maxRetainedBufferBytes is the largest write buffer that is kept for the next write.
+const maxRetainedBufferBytes = 1 << 20
 
-// roll begins a new segment.
-func (j *Journal) roll() error {
+// startSegment begins a new segment.
+func (j *Journal) startSegment() error {
 	if j.file != nil {
 		if err := j.file.Close(); err != nil {
-			return j.stop(fail(err, "close segment"))
+			return j.failWith(ioError(err, "close segment"))
 		}
 	}
 	sequence := uint64(1)
@@ -212,10 +212,10 @@
 	name := segmentName(sequence)
 	file, err := j.fs.Create(filepath.Join(j.dir, name))
 	if err != nil {
-		return j.stop(fail(err, "create segment"))
+		return j.failWith(ioError(err, "create segment"))
 	}
-	j.file, j.seed, j.size = file, seed(j.disk, name), 0
-	if err := j.append(segmentHeader(j.disk, sequence, j.hard)); err != nil {
+	j.file, j.seed, j.size = file, checksumSeed(j.diskID, name), 0
+	if err := j.append(segmentHeader(j.diskID, sequence, j.hardState)); err != nil {
 		return err
 	}
 	if err := j.syncDir(); err != nil {
@@ -226,16 +226,16 @@
 	return nil
 }
 
-func segmentHeader(disk string, sequence uint64, hard *quorumpb.HardState) *quorumpb.Record {
+func segmentHeader(diskID string, sequence uint64, hardState *quorumpb.HardState) *quorumpb.Record {
 	return &quorumpb.Record{
-		Header:    &quorumpb.SegmentHeader{Version: formatVersion, Disk: disk, Sequence: sequence},
-		HardState: hard,
+		Header:    &quorumpb.SegmentHeader{Version: formatVersion, Disk: diskID, Sequence: sequence},
+		HardState: hardState,
 	}
 }
 
 func (j *Journal) syncDir() error {
 	if err := j.fs.SyncDir(j.dir); err != nil {
-		return j.stop(fail(err, "sync folder"))
+		return j.failWith(ioError(err, "sync folder"))
 	}
 	j.syncs.Add(1)
 	return nil
@@ -249,10 +249,10 @@
 	}
 	removed := false
 	// Oldest first: a gap in the numbers would look like damage.
-	for len(j.segments) > 1 && j.segments[0].last <= index {
+	for len(j.segments) > 1 && j.segments[0].lastIndex <= index {
 		name := segmentName(j.segments[0].sequence)
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
-			return j.stop(fail(err, "remove segment"))
+			return j.failWith(ioError(err, "remove segment"))
 		}
 		// Each removal is made durable by itself: without this a crash could
 		// undo the first of two and leave a gap.
--- a/quorum/journal/journal_test.go
+++ b/quorum/journal/journal_test.go
@@ -19,7 +19,7 @@
 
 const dir = "/data"
 
-func open(t *testing.T, fs journal.FS) (*journal.Journal, journal.State) {
+func openJournal(t *testing.T, fs journal.FS) (*journal.Journal, journal.State) {
 	t.Helper()
 	j, state, err := journal.Open(dir, journal.Options{FS: fs, SegmentBytes: 512})
 	require.NoError(t, err)
@@ -37,15 +37,15 @@
 	return &quorumpb.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
 
-func log(first, last, term uint64) []*quorumpb.Entry {
-	var es []*quorumpb.Entry
+func logEntries(first, last, term uint64) []*quorumpb.Entry {
+	var entries []*quorumpb.Entry
 	for i := first; i <= last; i++ {
-		es = append(es, entry(i, term))
+		entries = append(entries, entry(i, term))
 	}
-	return es
+	return entries
 }
 
-func hard(term uint64) *quorumpb.HardState { return &quorumpb.HardState{Term: term, Vote: "a/1"} }
+func hardState(term uint64) *quorumpb.HardState { return &quorumpb.HardState{Term: term, Vote: "a/1"} }
 
 func snapshotAt(index, term uint64) *quorumpb.Snapshot {
 	return &quorumpb.Snapshot{
@@ -84,32 +84,32 @@
 	}{
 		{"empty", func(*testing.T, *journal.Journal) {}, journal.State{}},
 		{"entries", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), log(1, 3, 1)))
-			require.NoError(t, j.Save(nil, log(4, 4, 1)))
-		}, journal.State{HardState: hard(1), Entries: log(1, 4, 1)}},
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 3, 1)))
+			require.NoError(t, j.Save(nil, logEntries(4, 4, 1)))
+		}, journal.State{HardState: hardState(1), Entries: logEntries(1, 4, 1)}},
 		{"end replaced", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), log(1, 9, 1)))
-			require.NoError(t, j.Save(hard(2), log(4, 5, 2)))
-		}, journal.State{HardState: hard(2), Entries: append(log(1, 3, 1), log(4, 5, 2)...)}},
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 9, 1)))
+			require.NoError(t, j.Save(hardState(2), logEntries(4, 5, 2)))
+		}, journal.State{HardState: hardState(2), Entries: append(logEntries(1, 3, 1), logEntries(4, 5, 2)...)}},
 		{"all replaced", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), log(1, 9, 1)))
-			require.NoError(t, j.Save(hard(2), log(1, 2, 2)))
-		}, journal.State{HardState: hard(2), Entries: log(1, 2, 2)}},
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 9, 1)))
+			require.NoError(t, j.Save(hardState(2), logEntries(1, 2, 2)))
+		}, journal.State{HardState: hardState(2), Entries: logEntries(1, 2, 2)}},
 		{"many segments", func(t *testing.T, j *journal.Journal) {
 			for i := range uint64(50) {
-				require.NoError(t, j.Save(hard(i+1), log(i+1, i+1, i+1)))
+				require.NoError(t, j.Save(hardState(i+1), logEntries(i+1, i+1, i+1)))
 			}
 			require.Greater(t, j.Stats().Segments, uint64(3))
-		}, journal.State{HardState: hard(50), Entries: func() (es []*quorumpb.Entry) {
+		}, journal.State{HardState: hardState(50), Entries: func() (entries []*quorumpb.Entry) {
 			for i := range uint64(50) {
-				es = append(es, entry(i+1, i+1))
+				entries = append(entries, entry(i+1, i+1))
 			}
-			return es
+			return entries
 		}()}},
 		{"own snapshot", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), nil))
+			require.NoError(t, j.Save(hardState(1), nil))
 			for i := range uint64(50) {
-				require.NoError(t, j.Save(nil, log(i+1, i+1, 1)))
+				require.NoError(t, j.Save(nil, logEntries(i+1, i+1, 1)))
 			}
 			before := j.Stats().Segments
 			require.NoError(t, j.SaveSnapshot(snapshotAt(20, 1)))
@@ -117,28 +117,28 @@
 			require.NoError(t, j.SaveSnapshot(snapshotAt(30, 1)))
 			require.NoError(t, j.Release(40))
 			require.Less(t, j.Stats().Segments, before)
-		}, journal.State{HardState: hard(1), Snapshot: snapshotAt(40, 1), Entries: log(41, 50, 1)}},
+		}, journal.State{HardState: hardState(1), Snapshot: snapshotAt(40, 1), Entries: logEntries(41, 50, 1)}},
 		{"received snapshot", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), log(1, 5, 1)))
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 5, 1)))
 			require.NoError(t, j.SaveSnapshot(snapshotAt(40, 2)))
 			require.NoError(t, j.Reset(snapshotAt(40, 2).GetMeta()))
-			require.NoError(t, j.Save(hard(3), log(41, 42, 3)))
-		}, journal.State{HardState: hard(3), Snapshot: snapshotAt(40, 2), Entries: log(41, 42, 3)}},
+			require.NoError(t, j.Save(hardState(3), logEntries(41, 42, 3)))
+		}, journal.State{HardState: hardState(3), Snapshot: snapshotAt(40, 2), Entries: logEntries(41, 42, 3)}},
 		{"received snapshot, crash before the reset", func(t *testing.T, j *journal.Journal) {
-			require.NoError(t, j.Save(hard(1), log(1, 5, 1)))
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 5, 1)))
 			require.NoError(t, j.SaveSnapshot(snapshotAt(40, 2)))
-		}, journal.State{HardState: hard(1), Snapshot: snapshotAt(40, 2)}},
+		}, journal.State{HardState: hardState(1), Snapshot: snapshotAt(40, 2)}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			fs := journaltest.New()
-			j, _ := open(t, fs)
+			j, _ := openJournal(t, fs)
 			disk := j.Disk()
 			c.write(t, j)
 			// Twice: the second start reads what the first one wrote.
 			for range 2 {
 				fs.Crash(func(int) int { return 0 })
-				next, state := open(t, fs)
+				next, state := openJournal(t, fs)
 				require.Equal(t, disk, next.Disk())
 				require.True(t, proto.Equal(c.want.HardState, state.HardState), "%v", state.HardState)
 				require.True(t, proto.Equal(c.want.Snapshot, state.Snapshot), "%v", state.Snapshot)
@@ -146,11 +146,11 @@
 			}
 			// The log goes on after a start.
 			fs.Kill()
-			next, state := open(t, fs)
+			next, state := openJournal(t, fs)
 			last := state.Snapshot.GetMeta().GetIndex() + uint64(len(state.Entries))
-			require.NoError(t, next.Save(hard(60), log(last+1, last+1, 60)))
+			require.NoError(t, next.Save(hardState(60), logEntries(last+1, last+1, 60)))
 			require.NoError(t, next.Close())
-			_, state = open(t, fs)
+			_, state = openJournal(t, fs)
 			require.Len(t, state.Entries, len(c.want.Entries)+1)
 		})
 	}
@@ -163,7 +163,7 @@
 // Cause: a file under its final name is not whole, or the order of syncs,
 // renames and removals is wrong.
 func TestCrashAtEveryStep(t *testing.T) {
-	steps := scenarioSteps(t)
+	steps := workloadSteps(t)
 	require.Greater(t, steps, 40)
 	for step := 1; step <= steps; step++ {
 		for _, keep := range []int{0, 1, 13, 1 << 20} {
@@ -179,30 +179,30 @@
 // Sequence: the process is killed between write and sync; it starts again and
 // acknowledges what it reads; then power is lost.
 // Cause: what was read from the page cache was never synced.
-func TestReadBackIsSynced(t *testing.T) {
+func TestRecoveredRecordsAreSynced(t *testing.T) {
 	fs := journaltest.New()
-	j, _ := open(t, fs)
-	require.NoError(t, j.Save(hard(1), log(1, 1, 1)))
+	j, _ := openJournal(t, fs)
+	require.NoError(t, j.Save(hardState(1), logEntries(1, 1, 1)))
 	fs.SetFault(func(op, _ string) error {
 		if op == "sync" {
 			return journaltest.ErrCrashed
 		}
 		return nil
 	})
-	require.Error(t, j.Save(hard(2), log(2, 2, 2)))
+	require.Error(t, j.Save(hardState(2), logEntries(2, 2, 2)))
 	fs.SetFault(nil)
 	fs.Kill()
-	_, state := open(t, fs)
+	_, state := openJournal(t, fs)
 	require.Len(t, state.Entries, 2)
 	fs.Crash(func(int) int { return 0 })
-	_, state = open(t, fs)
+	_, state = openJournal(t, fs)
 	require.Len(t, state.Entries, 2)
 }
 
 // Symptom: entries are acknowledged that the disk does not hold.
 // Sequence: a sync or write fails once; the next one succeeds.
 // Cause: after a failed sync the kernel may have dropped the pages.
-func TestErrorIsFinal(t *testing.T) {
+func TestJournalStopsAfterIOError(t *testing.T) {
 	cases := []struct {
 		op   string
 		err  error
@@ -220,8 +220,8 @@
 	for _, c := range cases {
 		t.Run(c.op+" "+c.err.Error(), func(t *testing.T) {
 			fs := journaltest.New()
-			j, _ := open(t, fs)
-			require.NoError(t, j.Save(hard(1), log(1, 1, 1)))
+			j, _ := openJournal(t, fs)
+			require.NoError(t, j.Save(hardState(1), logEntries(1, 1, 1)))
 			fs.SetFault(func(op, name string) error {
 				if op == c.op {
 					return errors.Wrap(c.err, name)
@@ -233,11 +233,11 @@
 				err = j.SaveSnapshot(snapshotAt(1, 1))
 			}
 			for i := uint64(2); err == nil && i < 50; i++ {
-				err = j.Save(nil, log(i, i, 1))
+				err = j.Save(nil, logEntries(i, i, 1))
 			}
 			requireCode(t, c.code, err)
 			fs.SetFault(nil)
-			require.Equal(t, err, j.Save(nil, log(2, 2, 1)), "the journal went on after an error")
+			require.Equal(t, err, j.Save(nil, logEntries(2, 2, 1)), "the journal went on after an error")
 			require.Equal(t, err, j.SaveSnapshot(snapshotAt(1, 1)))
 			require.Equal(t, err, j.Release(1))
 		})
@@ -246,38 +246,38 @@
 
 func TestLockAndClose(t *testing.T) {
 	fs := journaltest.New()
-	j, _ := open(t, fs)
+	j, _ := openJournal(t, fs)
 	_, _, err := journal.Open(dir, journal.Options{FS: fs})
 	requireCode(t, result.JournalLocked, err)
 	require.NoError(t, j.Close())
-	require.ErrorIs(t, j.Save(hard(1), nil), journal.ErrClosed)
-	open(t, fs)
+	require.ErrorIs(t, j.Save(hardState(1), nil), journal.ErrClosed)
+	openJournal(t, fs)
 }
 
 func TestWipedDiskGetsNewIdentity(t *testing.T) {
 	fs := journaltest.New()
-	j, _ := open(t, fs)
+	j, _ := openJournal(t, fs)
 	fs.Wipe()
-	next, state := open(t, fs)
+	next, state := openJournal(t, fs)
 	require.NotEqual(t, j.Disk(), next.Disk())
 	require.Equal(t, journal.State{}, state)
 }
 
-func TestMachineFileSystem(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "a", "b")
-	j, _, err := journal.Open(folder, journal.Options{SegmentBytes: 256})
+func TestOSFileSystem(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "a", "b")
+	j, _, err := journal.Open(path, journal.Options{SegmentBytes: 256})
 	require.NoError(t, err)
-	_, _, err = journal.Open(folder, journal.Options{})
+	_, _, err = journal.Open(path, journal.Options{})
 	requireCode(t, result.JournalLocked, err)
 	for i := range uint64(20) {
-		require.NoError(t, j.Save(hard(1), log(i+1, i+1, 1)))
+		require.NoError(t, j.Save(hardState(1), logEntries(i+1, i+1, 1)))
 	}
 	require.NoError(t, j.SaveSnapshot(snapshotAt(10, 1)))
 	require.NoError(t, j.Release(10))
 	require.NoError(t, j.Close())
-	next, state, err := journal.Open(folder, journal.Options{})
+	next, state, err := journal.Open(path, journal.Options{})
 	require.NoError(t, err)
 	require.Equal(t, j.Disk(), next.Disk())
-	requireLog(t, log(11, 20, 1), state.Entries)
+	requireLog(t, logEntries(11, 20, 1), state.Entries)
 	require.NoError(t, next.Close())
 }
--- a/quorum/journal/journaltest/fs.go
+++ b/quorum/journal/journaltest/fs.go
@@ -29,26 +29,26 @@
 // FS implements journal.FS. It is safe for concurrent use.
 type FS struct {
 	mu sync.Mutex
-	// now is the folder as processes see it, durable what a crash leaves.
-	now, durable map[string]*inode
-	// pending changes of the folder, in order, since the last SyncDir.
-	pending []func(folder map[string]*inode)
-	locked  map[string]bool
+	// visible is the folder as processes see it, durable what a crash leaves.
+	visible, durable map[string]*inode
+	// pendingDirChanges changes of the folder, in order, since the last SyncDir.
+	pendingDirChanges []func(folder map[string]*inode)
+	lockedDirs        map[string]bool
 	// epoch grows with each crash; files of an earlier one are dead.
 	epoch int
 
-	steps    int
-	stopStep int
-	stopKeep int
-	fault    func(op string, name string) error
+	changes       int
+	stopAt        int
+	stopKeepBytes int
+	injectedFault func(op string, name string) error
 }
 
 // New returns an empty file system.
 func New() *FS {
 	return &FS{
-		now:     map[string]*inode{},
-		durable: map[string]*inode{},
-		locked:  map[string]bool{},
+		visible:    map[string]*inode{},
+		durable:    map[string]*inode{},
+		lockedDirs: map[string]bool{},
 	}
 }
 
@@ -57,15 +57,15 @@
 func (f *FS) Steps() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.steps
+	return f.changes
 }
 
 // StopAt makes the change of the given number, from 1, the last one. If it is
 // a write, only its first keep bytes are written. Zero lifts the stop.
-func (f *FS) StopAt(step, keep int) {
+func (f *FS) StopAt(step, keepBytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.steps, f.stopStep, f.stopKeep = 0, step, keep
+	f.changes, f.stopAt, f.stopKeepBytes = 0, step, keepBytes
 }
 
 // SetFault makes changes fail with the error that fault returns; nil lets them
@@ -73,7 +73,7 @@
 func (f *FS) SetFault(fault func(op, name string) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fault = fault
+	f.injectedFault = fault
 }
 
 // Kill ends the process: locks are released and open files are dead, but
@@ -97,8 +97,8 @@
 func (f *FS) CrashRandom(r *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(f.now)) {
-		if n := f.now[name]; len(n.data) > n.synced && r.IntN(4) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(f.visible)) {
+		if n := f.visible[name]; len(n.data) > n.synced && r.IntN(4) == 0 {
 			n.data[n.synced+r.IntN(len(n.data)-n.synced)] ^= 1 << r.IntN(8)
 		}
 	}
@@ -106,16 +106,16 @@
 	f.crash(func() bool { return r.IntN(2) == 0 }, func(unsynced int) int { return r.IntN(unsynced + 1) })
 }
 
-func (f *FS) crash(survives func() bool, keep func(int) int) {
-	for _, change := range f.pending {
-		if survives() {
+func (f *FS) crash(dirChangeSurvives func() bool, keep func(int) int) {
+	for _, change := range f.pendingDirChanges {
+		if dirChangeSurvives() {
 			change(f.durable)
 		}
 	}
-	f.pending = nil
-	f.now = maps.Clone(f.durable)
-	for _, name := range slices.Sorted(maps.Keys(f.now)) {
-		n := f.now[name]
+	f.pendingDirChanges = nil
+	f.visible = maps.Clone(f.durable)
+	for _, name := range slices.Sorted(maps.Keys(f.visible)) {
+		n := f.visible[name]
 		n.data = n.data[:n.synced+keep(len(n.data)-n.synced)]
 		n.synced = len(n.data)
 	}
@@ -124,15 +124,15 @@
 
 func (f *FS) restart() {
 	f.epoch++
-	f.locked = map[string]bool{}
-	f.steps, f.stopStep, f.stopKeep = 0, 0, 0
+	f.lockedDirs = map[string]bool{}
+	f.changes, f.stopAt, f.stopKeepBytes = 0, 0, 0
 }
 
 // Wipe removes everything, as a replaced disk does.
 func (f *FS) Wipe() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now, f.durable, f.pending = map[string]*inode{}, map[string]*inode{}, nil
+	f.visible, f.durable, f.pendingDirChanges = map[string]*inode{}, map[string]*inode{}, nil
 	f.restart()
 }
 
@@ -140,7 +140,7 @@
 func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.now[name]; n != nil {
+	if n := f.visible[name]; n != nil {
 		return slices.Clone(n.data)
 	}
 	return nil
@@ -151,31 +151,31 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if data == nil {
-		delete(f.now, name)
+		delete(f.visible, name)
 		delete(f.durable, name)
 		return
 	}
 	n := &inode{data: slices.Clone(data), synced: len(data)}
-	f.now[name], f.durable[name] = n, n
+	f.visible[name], f.durable[name] = n, n
 }
 
-// step counts a change; an error means that it must not happen.
-func (f *FS) step(op, name string) error {
-	if f.fault != nil {
-		if err := f.fault(op, name); err != nil {
+// countChange counts a change; an error means that it must not happen.
+func (f *FS) countChange(op, name string) error {
+	if f.injectedFault != nil {
+		if err := f.injectedFault(op, name); err != nil {
 			return err
 		}
 	}
-	if f.stopStep > 0 && f.steps >= f.stopStep {
+	if f.stopAt > 0 && f.changes >= f.stopAt {
 		return ErrCrashed
 	}
-	f.steps++
+	f.changes++
 	return nil
 }
 
-func (f *FS) changeFolder(change func(map[string]*inode)) {
-	change(f.now)
-	f.pending = append(f.pending, change)
+func (f *FS) changeDir(change func(map[string]*inode)) {
+	change(f.visible)
+	f.pendingDirChanges = append(f.pendingDirChanges, change)
 }
 
 // MkdirAll implements journal.FS.
@@ -186,7 +186,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var names []string
-	for path := range f.now {
+	for path := range f.visible {
 		if filepath.Dir(path) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(path))
 		}
@@ -199,7 +199,7 @@
 func (f *FS) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.now[name]
+	n := f.visible[name]
 	if n == nil {
 		return nil, errors.Wrap(fs.ErrNotExist, name)
 	}
@@ -210,14 +210,14 @@
 func (f *FS) Create(name string) (journal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("create", name); err != nil {
+	if err := f.countChange("create", name); err != nil {
 		return nil, err
 	}
-	if f.now[name] != nil {
+	if f.visible[name] != nil {
 		return nil, errors.Wrap(fs.ErrExist, name)
 	}
 	n := &inode{}
-	f.changeFolder(func(folder map[string]*inode) { folder[name] = n })
+	f.changeDir(func(folder map[string]*inode) { folder[name] = n })
 	return &file{fs: f, inode: n, name: name, epoch: f.epoch}, nil
 }
 
@@ -225,10 +225,10 @@
 func (f *FS) Truncate(name string, size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("truncate", name); err != nil {
+	if err := f.countChange("truncate", name); err != nil {
 		return err
 	}
-	n := f.now[name]
+	n := f.visible[name]
 	if n == nil {
 		return errors.Wrap(fs.ErrNotExist, name)
 	}
@@ -241,14 +241,14 @@
 func (f *FS) Rename(oldName, newName string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("rename", oldName); err != nil {
+	if err := f.countChange("rename", oldName); err != nil {
 		return err
 	}
-	n := f.now[oldName]
+	n := f.visible[oldName]
 	if n == nil {
 		return errors.Wrap(fs.ErrNotExist, oldName)
 	}
-	f.changeFolder(func(folder map[string]*inode) {
+	f.changeDir(func(folder map[string]*inode) {
 		delete(folder, oldName)
 		folder[newName] = n
 	})
@@ -259,13 +259,13 @@
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("remove", name); err != nil {
+	if err := f.countChange("remove", name); err != nil {
 		return err
 	}
-	if f.now[name] == nil {
+	if f.visible[name] == nil {
 		return errors.Wrap(fs.ErrNotExist, name)
 	}
-	f.changeFolder(func(folder map[string]*inode) { delete(folder, name) })
+	f.changeDir(func(folder map[string]*inode) { delete(folder, name) })
 	return nil
 }
 
@@ -273,13 +273,13 @@
 func (f *FS) SyncDir(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step("syncdir", dir); err != nil {
+	if err := f.countChange("syncdir", dir); err != nil {
 		return err
 	}
-	for _, change := range f.pending {
+	for _, change := range f.pendingDirChanges {
 		change(f.durable)
 	}
-	f.pending = nil
+	f.pendingDirChanges = nil
 	return nil
 }
 
@@ -287,25 +287,25 @@
 func (f *FS) Lock(dir string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.locked[dir] {
+	if f.lockedDirs[dir] {
 		return nil, errors.New("journaltest: locked")
 	}
-	f.locked[dir] = true
-	return &unlocker{fs: f, dir: dir, epoch: f.epoch}, nil
+	f.lockedDirs[dir] = true
+	return &dirLock{fs: f, dir: dir, epoch: f.epoch}, nil
 }
 
-type unlocker struct {
+type dirLock struct {
 	fs    *FS
 	dir   string
 	epoch int
 }
 
 // Close releases the lock.
-func (u *unlocker) Close() error {
+func (u *dirLock) Close() error {
 	u.fs.mu.Lock()
 	defer u.fs.mu.Unlock()
 	if u.epoch == u.fs.epoch {
-		delete(u.fs.locked, u.dir)
+		delete(u.fs.lockedDirs, u.dir)
 	}
 	return nil
 }
@@ -325,11 +325,11 @@
 	if f.epoch != f.fs.epoch {
 		return 0, ErrCrashed
 	}
-	if err := f.fs.step("write", f.name); err != nil {
+	if err := f.fs.countChange("write", f.name); err != nil {
 		return 0, err
 	}
-	if f.fs.steps == f.fs.stopStep {
-		p = p[:min(f.fs.stopKeep, len(p))]
+	if f.fs.changes == f.fs.stopAt {
+		p = p[:min(f.fs.stopKeepBytes, len(p))]
 		f.inode.data = append(f.inode.data, p...)
 		return len(p), ErrCrashed
 	}
@@ -344,7 +344,7 @@
 	if f.epoch != f.fs.epoch {
 		return ErrCrashed
 	}
-	if err := f.fs.step("sync", f.name); err != nil {
+	if err := f.fs.countChange("sync", f.name); err != nil {
 		return err
 	}
 	f.inode.synced = len(f.inode.data)
--- a/quorum/journal/open.go
+++ b/quorum/journal/open.go
@@ -41,26 +41,26 @@
 		o.SegmentBytes = DefaultSegmentBytes
 	}
 	if err := o.FS.MkdirAll(dir); err != nil {
-		return nil, State{}, fail(err, "create folder")
+		return nil, State{}, ioError(err, "create folder")
 	}
 	lock, err := o.FS.Lock(dir)
 	if err != nil {
 		return nil, State{}, result.Wrap(err, result.JournalLocked, "journal: %s", dir)
 	}
 	j := &Journal{fs: o.FS, dir: dir, segmentBytes: o.SegmentBytes, lock: lock}
-	state, err := j.recover()
+	state, err := j.recoverState()
 	if err != nil {
 		return nil, State{}, errors.Join(err, lock.Close())
 	}
 	return j, state, nil
 }
 
-// recover reads the folder, cuts a torn end and begins a new segment. The old
+// recoverState reads the folder, cuts a torn end and begins a new segment. The old
 // ones are never appended to: a torn end stays the end of its file.
-func (j *Journal) recover() (State, error) {
+func (j *Journal) recoverState() (State, error) {
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
-		return State{}, fail(err, "read folder")
+		return State{}, ioError(err, "read folder")
 	}
 	if err := j.removeTemporary(names); err != nil {
 		return State{}, err
@@ -72,16 +72,16 @@
 	if err != nil {
 		return State{}, err
 	}
-	p := replay{state: State{Snapshot: snapshot}}
-	if err := j.readSegments(names, &p); err != nil {
+	r := replay{state: State{Snapshot: snapshot}}
+	if err := j.readSegments(names, &r); err != nil {
 		return State{}, err
 	}
-	reset, err := p.finish()
+	reset, err := r.joinSnapshot()
 	if err != nil {
 		return State{}, err
 	}
-	j.hard = p.state.HardState
-	if err := j.roll(); err != nil {
+	j.hardState = r.state.HardState
+	if err := j.startSegment(); err != nil {
 		return State{}, err
 	}
 	if reset {
@@ -90,7 +90,7 @@
 			return State{}, err
 		}
 	}
-	return p.state, nil
+	return r.state, nil
 }
 
 func (j *Journal) removeTemporary(names []string) error {
@@ -99,7 +99,7 @@
 			continue
 		}
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
-			return fail(err, "remove "+name)
+			return ioError(err, "remove "+name)
 		}
 	}
 	return nil
@@ -114,13 +114,13 @@
 		if strings.HasSuffix(name, segmentSuffix) || strings.HasSuffix(name, snapshotSuffix) {
 			// With a new identity this log would vote as a new replica, and as
 			// the old one where a copy of it runs.
-			return damaged("%s without the disk's identity", name)
+			return damagedError("%s without the disk's identity", name)
 		}
 	}
-	j.disk = uuid.NewString()
-	buf, err := appendRecord(nil, seed("", identityName), 0, &quorumpb.SegmentHeader{
+	j.diskID = uuid.NewString()
+	buf, err := appendRecord(nil, checksumSeed("", identityName), 0, &quorumpb.SegmentHeader{
 		Version: formatVersion,
-		Disk:    j.disk,
+		Disk:    j.diskID,
 	})
 	if err != nil {
 		return err
@@ -131,31 +131,31 @@
 func (j *Journal) readIdentity() error {
 	data, err := j.fs.ReadFile(filepath.Join(j.dir, identityName))
 	if err != nil {
-		return fail(err, "read identity")
+		return ioError(err, "read identity")
 	}
-	payload, ok := payloadAt(data, seed("", identityName), 0)
+	payload, ok := payloadAt(data, checksumSeed("", identityName), 0)
 	header := &quorumpb.SegmentHeader{}
 	if !ok || proto.Unmarshal(payload, header) != nil || header.GetDisk() == "" {
-		return damaged("identity of the disk")
+		return damagedError("identity of the disk")
 	}
 	if header.GetVersion() > formatVersion {
 		return result.New(result.JournalVersion, "journal: version %d", header.GetVersion())
 	}
-	j.disk = header.GetDisk()
+	j.diskID = header.GetDisk()
 	return nil
 }
 
 // readSegments replays all segments in order and cuts the newest one's torn end.
-func (j *Journal) readSegments(names []string, p *replay) error {
+func (j *Journal) readSegments(names []string, r *replay) error {
 	sequences, err := segmentSequences(names)
 	if err != nil {
 		return err
 	}
 	for i, sequence := range sequences {
 		if i > 0 && sequence != sequences[i-1]+1 {
-			return damaged("segment %d is missing", sequences[i-1]+1)
+			return damagedError("segment %d is missing", sequences[i-1]+1)
 		}
-		if err := j.readSegment(sequence, i == len(sequences)-1, p); err != nil {
+		if err := j.readSegment(sequence, i == len(sequences)-1, r); err != nil {
 			return err
 		}
 	}
@@ -171,7 +171,7 @@
 		digits := strings.TrimSuffix(strings.TrimPrefix(name, segmentPrefix), segmentSuffix)
 		sequence, err := strconv.ParseUint(digits, 16, 64)
 		if err != nil || segmentName(sequence) != name {
-			return nil, damaged("file name %q", name)
+			return nil, damagedError("file name %q", name)
 		}
 		sequences = append(sequences, sequence)
 	}
@@ -179,43 +179,43 @@
 	return sequences, nil
 }
 
-func (j *Journal) readSegment(sequence uint64, newest bool, p *replay) error {
+func (j *Journal) readSegment(sequence uint64, newest bool, r *replay) error {
 	name := segmentName(sequence)
 	path := filepath.Join(j.dir, name)
 	data, err := j.fs.ReadFile(path)
 	if err != nil {
-		return fail(err, "read "+name)
+		return ioError(err, "read "+name)
 	}
-	if disk := diskOf(data, name); disk != "" && disk != j.disk {
-		return result.New(result.WrongDisk, "journal: %s is of disk %s, this one is %s", name, disk, j.disk)
+	if disk := segmentDiskID(data, name); disk != "" && disk != j.diskID {
+		return result.New(result.WrongDisk, "journal: %s is of disk %s, this one is %s", name, disk, j.diskID)
 	}
-	records, end, bad := readRecords(data, seed(j.disk, name))
+	records, end, damaged := readRecords(data, checksumSeed(j.diskID, name))
 	torn := int64(len(data)) - end
 	// Only the newest segment can have a torn end: the others were complete
 	// before their successor was begun.
-	if bad || torn > 0 && !newest {
-		return damaged("%s at offset %d", name, end)
+	if damaged || torn > 0 && !newest {
+		return damagedError("%s at offset %d", name, end)
 	}
-	p.state.TornBytes += torn
+	r.state.TornBytes += torn
 	if len(records) == 0 {
 		if !newest {
-			return damaged("%s is empty", name)
+			return damagedError("%s is empty", name)
 		}
-		header, err := headerRecord(j.disk, sequence, p.state.HardState)
+		header, err := encodeSegmentHeader(j.diskID, sequence, r.state.HardState)
 		if err != nil {
 			return err
 		}
 		if len(data) > len(header) {
-			return damaged("%s at offset 0", name)
+			return damagedError("%s at offset 0", name)
 		}
 		// The crash came while the segment was begun. Nothing was saved in it.
-		return j.removeUnfinished(path)
+		return j.removeUnfinishedSegment(path)
 	}
-	last, err := j.replaySegment(sequence, records, p)
+	lastIndex, err := j.replaySegment(sequence, records, r)
 	if err != nil {
 		return err
 	}
-	j.segments = append(j.segments, segment{sequence: sequence, last: last})
+	j.segments = append(j.segments, segment{sequence: sequence, lastIndex: lastIndex})
 	if !newest {
 		return nil
 	}
@@ -223,33 +223,33 @@
 	// sync left records that are readable but not durable. They count as
 	// acknowledged from now on, and a power cut would take them away.
 	if err := j.fs.Truncate(path, end); err != nil {
-		return fail(err, "cut "+name)
+		return ioError(err, "cut "+name)
 	}
 	return nil
 }
 
-func (j *Journal) removeUnfinished(path string) error {
+func (j *Journal) removeUnfinishedSegment(path string) error {
 	if err := j.fs.Remove(path); err != nil {
-		return fail(err, "remove unfinished segment")
+		return ioError(err, "remove unfinished segment")
 	}
 	return j.syncDir()
 }
 
-func (j *Journal) replaySegment(sequence uint64, records []*quorumpb.Record, p *replay) (last uint64, err error) {
+func (j *Journal) replaySegment(sequence uint64, records []*quorumpb.Record, r *replay) (lastIndex uint64, err error) {
 	header := records[0].GetHeader()
 	switch {
 	case header == nil || header.GetSequence() != sequence:
-		return 0, damaged("segment %d has no header", sequence)
+		return 0, damagedError("segment %d has no header", sequence)
 	case header.GetVersion() > formatVersion:
 		return 0, result.New(result.JournalVersion, "journal: version %d", header.GetVersion())
 	}
-	for _, r := range records {
-		if err := p.add(r); err != nil {
+	for _, record := range records {
+		if err := r.apply(record); err != nil {
 			return 0, err
 		}
-		if n := len(r.GetEntries()); n > 0 {
-			last = max(last, r.GetEntries()[n-1].GetIndex())
+		if n := len(record.GetEntries()); n > 0 {
+			lastIndex = max(lastIndex, record.GetEntries()[n-1].GetIndex())
 		}
 	}
-	return last, nil
+	return lastIndex, nil
 }
--- a/quorum/journal/record.go
+++ b/quorum/journal/record.go
@@ -13,77 +13,77 @@
 // A record is framed by magic number, payload length and checksum, four bytes
 // each, little endian.
 const (
-	recordMagic  = 0xC1A5_5EED
-	headerSize   = 12
-	lengthOffset = 4
-	sumOffset    = 8
+	recordMagic         = 0xC1A5_5EED
+	recordHeaderSize    = 12
+	payloadLengthOffset = 4
+	checksumOffset      = 8
 )
 
-// maxPayload bounds the payload of a record, in bytes.
-const maxPayload = 1 << 30
+// maxPayloadBytes bounds the payload of a record, in bytes.
+const maxPayloadBytes = 1 << 30
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// seed starts the checksums of one file: records of another disk or another
+// checksumSeed starts the checksums of one file: records of another disk or another
 // file do not pass in it.
-func seed(disk, file string) uint32 {
-	return crc32.Checksum([]byte(disk+"/"+file), castagnoli)
+func checksumSeed(diskID, file string) uint32 {
+	return crc32.Checksum([]byte(diskID+"/"+file), castagnoliTable)
 }
 
 func checksum(seed uint32, offset int64, payload []byte) uint32 {
-	var head [12]byte
-	binary.LittleEndian.PutUint64(head[:], uint64(offset))
-	binary.LittleEndian.PutUint32(head[8:], uint32(len(payload)))
-	return crc32.Update(crc32.Update(seed, castagnoli, head[:]), castagnoli, payload)
+	var prefix [12]byte
+	binary.LittleEndian.PutUint64(prefix[:], uint64(offset))
+	binary.LittleEndian.PutUint32(prefix[8:], uint32(len(payload)))
+	return crc32.Update(crc32.Update(seed, castagnoliTable, prefix[:]), castagnoliTable, payload)
 }
 
 // appendRecord appends the framed message, which will stand at offset.
 func appendRecord(buf []byte, seed uint32, offset int64, m proto.Message) ([]byte, error) {
 	start := len(buf)
-	buf = append(buf, make([]byte, headerSize)...)
+	buf = append(buf, make([]byte, recordHeaderSize)...)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, m)
 	if err != nil {
 		return nil, errors.Wrap(err, "journal: encode")
 	}
-	payload := buf[start+headerSize:]
-	if len(payload) > maxPayload {
+	payload := buf[start+recordHeaderSize:]
+	if len(payload) > maxPayloadBytes {
 		return nil, errors.Errorf("journal: record of %d bytes", len(payload))
 	}
-	head := buf[start:]
-	binary.LittleEndian.PutUint32(head, recordMagic)
-	binary.LittleEndian.PutUint32(head[lengthOffset:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(head[sumOffset:], checksum(seed, offset, payload))
+	header := buf[start:]
+	binary.LittleEndian.PutUint32(header, recordMagic)
+	binary.LittleEndian.PutUint32(header[payloadLengthOffset:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(header[checksumOffset:], checksum(seed, offset, payload))
 	return buf, nil
 }
 
 // payloadAt returns the payload of the record at offset; ok is false where
 // there is no whole record.
 func payloadAt(data []byte, seed uint32, offset int64) (payload []byte, ok bool) {
-	rest := data[offset:]
-	if len(rest) < headerSize || binary.LittleEndian.Uint32(rest) != recordMagic {
+	remaining := data[offset:]
+	if len(remaining) < recordHeaderSize || binary.LittleEndian.Uint32(remaining) != recordMagic {
 		return nil, false
 	}
-	length := binary.LittleEndian.Uint32(rest[lengthOffset:])
-	if int64(length) > int64(len(rest)-headerSize) {
+	length := binary.LittleEndian.Uint32(remaining[payloadLengthOffset:])
+	if int64(length) > int64(len(remaining)-recordHeaderSize) {
 		return nil, false
 	}
-	payload = rest[headerSize : headerSize+int64(length)]
-	if checksum(seed, offset, payload) != binary.LittleEndian.Uint32(rest[sumOffset:]) {
+	payload = remaining[recordHeaderSize : recordHeaderSize+int64(length)]
+	if checksum(seed, offset, payload) != binary.LittleEndian.Uint32(remaining[checksumOffset:]) {
 		return nil, false
 	}
 	return payload, true
 }
 
-// recordAfter tells whether a whole record starts anywhere after offset.
-func recordAfter(data []byte, seed uint32, offset int64) bool {
+// validRecordAfter tells whether a whole record starts anywhere after offset.
+func validRecordAfter(data []byte, seed uint32, offset int64) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, recordMagic)
-	for at := offset + 1; at < int64(len(data)); at++ {
-		i := bytes.Index(data[at:], magic)
+	for candidate := offset + 1; candidate < int64(len(data)); candidate++ {
+		i := bytes.Index(data[candidate:], magic)
 		if i < 0 {
 			return false
 		}
-		at += int64(i)
-		if _, ok := payloadAt(data, seed, at); ok {
+		candidate += int64(i)
+		if _, ok := payloadAt(data, seed, candidate); ok {
 			return true
 		}
 	}
@@ -98,41 +98,41 @@
 	for end < int64(len(data)) {
 		payload, ok := payloadAt(data, seed, end)
 		if !ok {
-			return records, end, recordAfter(data, seed, end)
+			return records, end, validRecordAfter(data, seed, end)
 		}
 		r := &quorumpb.Record{}
 		if err := proto.Unmarshal(payload, r); err != nil {
 			return records, end, true
 		}
 		records = append(records, r)
-		end += int64(headerSize + len(payload))
+		end += int64(recordHeaderSize + len(payload))
 	}
 	return records, end, false
 }
 
-// headerRecord returns the bytes that a segment begins with.
-func headerRecord(disk string, sequence uint64, hard *quorumpb.HardState) ([]byte, error) {
-	return appendRecord(nil, seed(disk, segmentName(sequence)), 0, segmentHeader(disk, sequence, hard))
+// encodeSegmentHeader returns the bytes that a segment begins with.
+func encodeSegmentHeader(diskID string, sequence uint64, hardState *quorumpb.HardState) ([]byte, error) {
+	return appendRecord(nil, checksumSeed(diskID, segmentName(sequence)), 0, segmentHeader(diskID, sequence, hardState))
 }
 
-// diskOf returns the identity of the disk that a segment was written on; empty
+// segmentDiskID returns the identity of the disk that a segment was written on; empty
 // where its first record is not whole. Without it a log copied from another
 // disk would look like damage, or like a segment that was never begun.
-func diskOf(data []byte, name string) string {
-	if len(data) < headerSize {
+func segmentDiskID(data []byte, name string) string {
+	if len(data) < recordHeaderSize {
 		return ""
 	}
-	length := binary.LittleEndian.Uint32(data[lengthOffset:])
-	if int64(length) > int64(len(data)-headerSize) {
+	length := binary.LittleEndian.Uint32(data[payloadLengthOffset:])
+	if int64(length) > int64(len(data)-recordHeaderSize) {
 		return ""
 	}
 	r := &quorumpb.Record{}
-	if err := proto.Unmarshal(data[headerSize:headerSize+int64(length)], r); err != nil {
+	if err := proto.Unmarshal(data[recordHeaderSize:recordHeaderSize+int64(length)], r); err != nil {
 		return ""
 	}
-	disk := r.GetHeader().GetDisk()
-	if _, ok := payloadAt(data, seed(disk, name), 0); !ok {
+	diskID := r.GetHeader().GetDisk()
+	if _, ok := payloadAt(data, checksumSeed(diskID, name), 0); !ok {
 		return ""
 	}
-	return disk
+	return diskID
 }
--- a/quorum/journal/replay.go
+++ b/quorum/journal/replay.go
@@ -9,69 +9,69 @@
 	state State
 }
 
-func (p *replay) add(r *quorumpb.Record) error {
-	if r.GetHardState() != nil {
-		p.state.HardState = r.GetHardState()
+func (r *replay) apply(record *quorumpb.Record) error {
+	if record.GetHardState() != nil {
+		r.state.HardState = record.GetHardState()
 	}
-	if r.GetReplacedBy() != nil {
-		p.state.Entries = nil
+	if record.GetReplacedBy() != nil {
+		r.state.Entries = nil
 	}
-	if len(r.GetEntries()) > 0 {
-		return p.addEntries(r.GetEntries())
+	if len(record.GetEntries()) > 0 {
+		return r.replaceTail(record.GetEntries())
 	}
 	return nil
 }
 
-// addEntries replaces the log's end by entries.
-func (p *replay) addEntries(entries []*quorumpb.Entry) error {
+// replaceTail replaces the log's end by entries.
+func (r *replay) replaceTail(entries []*quorumpb.Entry) error {
 	for i, e := range entries {
 		if e.GetIndex() != entries[0].GetIndex()+uint64(i) {
-			return damaged("entry %d in place of %d", e.GetIndex(), entries[0].GetIndex()+uint64(i))
+			return damagedError("entry %d in place of %d", e.GetIndex(), entries[0].GetIndex()+uint64(i))
 		}
 	}
-	log := p.state.Entries
+	log := r.state.Entries
 	if len(log) == 0 {
-		p.state.Entries = entries
+		r.state.Entries = entries
 		return nil
 	}
 	first, next := log[0].GetIndex(), entries[0].GetIndex()
 	if next > first+uint64(len(log)) {
-		return damaged("no entries from %d to %d", first+uint64(len(log)), next-1)
+		return damagedError("no entries from %d to %d", first+uint64(len(log)), next-1)
 	}
 	if next <= first {
-		p.state.Entries = entries
+		r.state.Entries = entries
 		return nil
 	}
-	p.state.Entries = append(log[:next-first:next-first], entries...)
+	r.state.Entries = append(log[:next-first:next-first], entries...)
 	return nil
 }
 
-func (p *replay) find(index uint64) (at int, ok bool) {
-	log := p.state.Entries
+func (r *replay) positionOf(index uint64) (position int, ok bool) {
+	log := r.state.Entries
 	if len(log) == 0 || index < log[0].GetIndex() || index > log[len(log)-1].GetIndex() {
 		return 0, false
 	}
 	return int(index - log[0].GetIndex()), true
 }
 
-// finish joins log and snapshot. reset is true where the snapshot replaces a
+// joinSnapshot joins log and snapshot. reset is true where the snapshot replaces a
 // log that does not reach it.
-func (p *replay) finish() (reset bool, err error) {
-	meta := p.state.Snapshot.GetMeta()
-	log := p.state.Entries
+func (r *replay) joinSnapshot() (reset bool, err error) {
+	meta := r.state.Snapshot.GetMeta()
+	log := r.state.Entries
 	if len(log) == 0 {
 		return false, nil
 	}
 	if log[0].GetIndex() > meta.GetIndex()+1 {
-		return false, damaged("no entries from %d to %d", meta.GetIndex()+1, log[0].GetIndex()-1)
+		return false, damagedError("no entries from %d to %d", meta.GetIndex()+1, log[0].GetIndex()-1)
 	}
 	if log[0].GetIndex() == meta.GetIndex()+1 {
 		return false, nil
 	}
-	if at, ok := p.find(meta.GetIndex()); ok && log[at].GetTerm() == meta.GetTerm() {
-		p.state.Entries = log[at+1:]
+	if position, ok := r.positionOf(meta.GetIndex()); ok && log[position].GetTerm() == meta.GetTerm() {
+		r.state.Entries = log[position+1:]
 		return false, nil
 	}
-	p.state.Entries = nil
+	r.state.Entries = nil
 	return true, nil
 }
--- a/quorum/journal/snapshot.go
+++ b/quorum/journal/snapshot.go
@@ -31,15 +31,15 @@
 	if name < j.newestSnapshot {
 		return nil
 	}
-	buf, err := appendRecord(nil, seed(j.disk, name), 0, s)
+	buf, err := appendRecord(nil, checksumSeed(j.diskID, name), 0, s)
 	if err != nil {
-		return j.stop(result.Wrap(err, result.EntryTooLarge, "journal: snapshot"))
+		return j.failWith(result.Wrap(err, result.EntryTooLarge, "journal: snapshot"))
 	}
 	if err := j.replaceFile(name, buf); err != nil {
-		return j.stop(err)
+		return j.failWith(err)
 	}
 	j.newestSnapshot = name
-	return j.removeSnapshots(name)
+	return j.removeSnapshotsBefore(name)
 }
 
 // replaceFile writes a file under a temporary name and renames it when it is
@@ -49,40 +49,40 @@
 	temporary := path + temporarySuffix
 	f, err := j.fs.Create(temporary)
 	if err != nil {
-		return fail(err, "create "+name)
+		return ioError(err, "create "+name)
 	}
 	if _, err := f.Write(data); err != nil {
-		return fail(err, "write "+name)
+		return ioError(err, "write "+name)
 	}
 	if err := f.Sync(); err != nil {
-		return fail(err, "sync "+name)
+		return ioError(err, "sync "+name)
 	}
 	if err := f.Close(); err != nil {
-		return fail(err, "close "+name)
+		return ioError(err, "close "+name)
 	}
 	if err := j.fs.Rename(temporary, path); err != nil {
-		return fail(err, "rename "+name)
+		return ioError(err, "rename "+name)
 	}
 	// Without this a crash could lose the name although its content is synced.
 	if err := j.fs.SyncDir(j.dir); err != nil {
-		return fail(err, "sync folder")
+		return ioError(err, "sync folder")
 	}
 	j.syncs.Add(2)
 	j.bytes.Add(uint64(len(data)))
 	return nil
 }
 
-func (j *Journal) removeSnapshots(keep string) error {
+func (j *Journal) removeSnapshotsBefore(newest string) error {
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
-		return j.stop(fail(err, "read folder"))
+		return j.failWith(ioError(err, "read folder"))
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, snapshotSuffix) || name >= keep {
+		if !strings.HasSuffix(name, snapshotSuffix) || name >= newest {
 			continue
 		}
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
-			return j.stop(fail(err, "remove snapshot"))
+			return j.failWith(ioError(err, "remove snapshot"))
 		}
 	}
 	return nil
@@ -95,7 +95,7 @@
 	defer j.snapshotMu.Unlock()
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
-		return nil, fail(err, "read folder")
+		return nil, ioError(err, "read folder")
 	}
 	newest := ""
 	for _, name := range names {
@@ -108,18 +108,18 @@
 	}
 	data, err := j.fs.ReadFile(filepath.Join(j.dir, newest))
 	if err != nil {
-		return nil, fail(err, "read snapshot")
+		return nil, ioError(err, "read snapshot")
 	}
-	return decodeSnapshot(data, j.disk, newest)
+	return decodeSnapshot(data, j.diskID, newest)
 }
 
 // decodeSnapshot checks a snapshot file. It got its name after it was synced,
 // so whatever is wrong with it is damage; an older snapshot would not reach
 // the log's first entry.
-func decodeSnapshot(data []byte, disk, name string) (*quorumpb.Snapshot, error) {
-	payload, ok := payloadAt(data, seed(disk, name), 0)
+func decodeSnapshot(data []byte, diskID, name string) (*quorumpb.Snapshot, error) {
+	payload, ok := payloadAt(data, checksumSeed(diskID, name), 0)
 	s := &quorumpb.Snapshot{}
-	if !ok || len(payload)+headerSize != len(data) || proto.Unmarshal(payload, s) != nil {
+	if !ok || len(payload)+recordHeaderSize != len(data) || proto.Unmarshal(payload, s) != nil {
 		return nil, result.New(result.SnapshotDamaged, "journal: snapshot %s", name)
 	}
 	if snapshotName(s.GetMeta()) != name {
--- a/quorum/journal/volatile.go
+++ b/quorum/journal/volatile.go
@@ -16,7 +16,7 @@
 //
 // All methods may be called by any goroutine.
 type Volatile struct {
-	disk string
+	diskID string
 
 	mu       sync.Mutex
 	snapshot *quorumpb.Snapshot
@@ -24,10 +24,10 @@
 }
 
 // NewVolatile returns an empty journal.
-func NewVolatile() *Volatile { return &Volatile{disk: uuid.NewString()} }
+func NewVolatile() *Volatile { return &Volatile{diskID: uuid.NewString()} }
 
 // Disk returns the identity, which is this start's alone.
-func (v *Volatile) Disk() string { return v.disk }
+func (v *Volatile) Disk() string { return v.diskID }
 
 // Stats returns zeros: nothing is written.
 func (v *Volatile) Stats() Stats { return Stats{} }
--- a/quorum/journal/volatile_test.go
+++ b/quorum/journal/volatile_test.go
@@ -24,11 +24,11 @@
 	require.Zero(t, v.Stats())
 }
 
-func TestVolatileIsAnotherDiskAtEachStart(t *testing.T) {
+func TestVolatileHasNewIdentityAtEachStart(t *testing.T) {
 	require.NotEqual(t, journal.NewVolatile().Disk(), journal.NewVolatile().Disk())
 }
 
-func TestClosedVolatileTakesNothing(t *testing.T) {
+func TestClosedVolatileRejectsWrites(t *testing.T) {
 	v := journal.NewVolatile()
 	require.NoError(t, v.Close())
 	require.ErrorIs(t, v.Save(nil, nil), journal.ErrClosed)
--- a/quorum/replica/bench_test.go
+++ b/quorum/replica/bench_test.go
@@ -19,33 +19,33 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// direct is a transport without a network. Its map is fixed before the start.
-type direct map[string]*replica.Replica
+// directTransport is a transport without a network. Its map is fixed before the start.
+type directTransport map[string]*replica.Replica
 
 // Send implements replica.Transport.
-func (d direct) Send(to quorum.ID, msgs []*quorumpb.Message) {
+func (t directTransport) Send(to quorum.ID, msgs []*quorumpb.Message) {
 	for _, m := range msgs {
-		d[to.Instance()].Deliver(m)
+		t[to.Instance()].Deliver(m)
 	}
 }
 
-// counter is a state machine of constant size.
-type counter struct{ n int }
+// countingStateMachine is a state machine of constant size.
+type countingStateMachine struct{ applied int }
 
-func (c *counter) Apply(uint64, []byte) []byte  { c.n++; return nil }
-func (c *counter) Snapshot() ([]byte, error)    { return bytes.Repeat([]byte{1}, 1<<16), nil }
-func (c *counter) Restore(uint64, []byte) error { return nil }
+func (c *countingStateMachine) Apply(uint64, []byte) []byte  { c.applied++; return nil }
+func (c *countingStateMachine) Snapshot() ([]byte, error)    { return bytes.Repeat([]byte{1}, 1<<16), nil }
+func (c *countingStateMachine) Restore(uint64, []byte) error { return nil }
 
 // runGroup runs replicas on real disks until the benchmark ends and returns
 // the leader.
 func runGroup(b *testing.B, size int) (leader *replica.Replica, dirs []string) {
-	transport := direct{}
+	transport := directTransport{}
 	var members []replica.Member
 	for i := range size {
 		instance := fmt.Sprint("i", i)
 		dir := filepath.Join(b.TempDir(), instance)
 		r, err := replica.New(replica.Config{
-			Instance: instance, Dir: dir, Transport: transport, StateMachine: &counter{},
+			Instance: instance, Dir: dir, Transport: transport, StateMachine: &countingStateMachine{},
 		})
 		require.NoError(b, err)
 		transport[instance] = r
@@ -53,14 +53,14 @@
 		members = append(members, replica.Member{ID: r.ID(), Voter: true})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	b.Cleanup(func() {
 		cancel()
-		wait.Wait()
+		running.Wait()
 	})
 	for _, r := range transport {
 		require.NoError(b, r.Bootstrap(members))
-		wait.Go(func() { _ = r.Run(ctx) })
+		running.Go(func() { _ = r.Run(ctx) })
 	}
 	for {
 		for _, r := range transport {
@@ -83,11 +83,11 @@
 				leader, _ := runGroup(b, size)
 				before := leader.Status().Counters.Syncs
 				b.ResetTimer()
-				var next atomic.Int64
-				var wait sync.WaitGroup
+				var started atomic.Int64
+				var workers sync.WaitGroup
 				for range proposers {
-					wait.Go(func() {
-						for next.Add(1) <= int64(b.N) {
+					workers.Go(func() {
+						for started.Add(1) <= int64(b.N) {
 							if _, err := leader.Propose(context.Background(), payload); err != nil {
 								b.Error(err)
 								return
@@ -95,7 +95,7 @@
 						}
 					})
 				}
-				wait.Wait()
+				workers.Wait()
 				b.StopTimer()
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 				b.ReportMetric(float64(b.N)/float64(leader.Status().Counters.Syncs-before), "commits/sync")
@@ -125,11 +125,11 @@
 	for range b.N {
 		leader, dirs := runGroup(b, 3)
 		heap := heapBytes()
-		var next atomic.Int64
-		var wait sync.WaitGroup
+		var started atomic.Int64
+		var workers sync.WaitGroup
 		for range 64 {
-			wait.Go(func() {
-				for next.Add(1) <= changes {
+			workers.Go(func() {
+				for started.Add(1) <= changes {
 					if _, err := leader.Propose(context.Background(), payload); err != nil {
 						b.Error(err)
 						return
@@ -137,7 +137,7 @@
 				}
 			})
 		}
-		wait.Wait()
+		workers.Wait()
 		b.ReportMetric(float64(heapBytes()-heap)/3/changes, "heap-B/change")
 		b.ReportMetric(float64(diskBytes(b, dirs[0]))/changes, "disk-B/change")
 	}
--- a/quorum/replica/core.go
+++ b/quorum/replica/core.go
@@ -9,21 +9,21 @@
 	"github.com/go-faster/errors"
 )
 
-// maxDrain bounds how many queued items of one kind the core takes up before it
+// maxItemsPerEvent bounds how many queued items of one kind the core takes up before it
 // looks at the others, so that none of them starves.
-const maxDrain = 256
+const maxItemsPerEvent = 256
 
-// core is the state of the core's goroutine.
-type core struct {
+// eventLoop is the state of the eventLoop's goroutine.
+type eventLoop struct {
 	r *Replica
-	// proposed requests wait for their entry to be applied, by index.
-	proposed map[uint64]*request
-	// reads wait for their confirmation, by ID; confirmed ones for the state
+	// pendingProposals requests wait for their entry to be applied, by index.
+	pendingProposals map[uint64]*request
+	// pendingReads wait for their confirmation, by ID; confirmed ones for the state
 	// machine.
-	reads     map[uint64]*request
-	nextRead  uint64
-	confirmed []*request
-	transfers []*request
+	pendingReads     map[uint64]*request
+	lastReadID       uint64
+	confirmedReads   []*request
+	pendingTransfers []*request
 
 	// Jobs that wait for their duty. Each is bounded by what the Node lets run
 	// at once: one batch, one apply, one snapshot for each peer.
@@ -31,71 +31,71 @@
 	applyJobs    []applyJob
 	snapshotJobs []snapshotJob
 
-	applied uint64
+	appliedIndex uint64
 	// Entries and bytes applied since the newest snapshot.
-	sinceEntries, sinceBytes int
-	snapshotting             bool
+	entriesSinceSnapshot, bytesSinceSnapshot int
+	snapshotInProgress                       bool
 
-	// changes to report.
-	changes []quorum.StateChange
+	// unreportedChanges to report.
+	unreportedChanges []quorum.StateChange
 
-	outgoing map[quorum.ID]*outgoingSnapshot
-	incoming *incomingSnapshot
+	outgoingSnapshots map[quorum.ID]*outgoingSnapshot
+	incoming          *incomingSnapshot
 }
 
-func newCore(r *Replica) core {
-	return core{
-		r:        r,
-		proposed: map[uint64]*request{},
-		reads:    map[uint64]*request{},
-		applied:  r.node.Status().Applied,
-		outgoing: map[quorum.ID]*outgoingSnapshot{},
+func newEventLoop(r *Replica) eventLoop {
+	return eventLoop{
+		r:                 r,
+		pendingProposals:  map[uint64]*request{},
+		pendingReads:      map[uint64]*request{},
+		appliedIndex:      r.node.Status().Applied,
+		outgoingSnapshots: map[quorum.ID]*outgoingSnapshot{},
 	}
 }
 
-// runCore is the core's duty.
-func (r *Replica) runCore(ctx context.Context) error {
+// runEventLoop is the core's duty.
+func (r *Replica) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
-	c := &r.core
+	l := &r.loop
 	for {
-		journal, journalJob := queueHead(r.toJournal, c.journalJobs)
-		apply, applyJob := queueHead(r.toApply, c.applyJobs)
-		snapshot, snapshotJob := queueHead(r.toSnapshot, c.snapshotJobs)
+		journal, journalJob := queueHead(r.toJournal, l.journalJobs)
+		apply, applyJob := queueHead(r.toApply, l.applyJobs)
+		snapshot, snapshotJob := queueHead(r.toSnapshot, l.snapshotJobs)
 		var event func() error
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case journal <- journalJob:
-			c.journalJobs = c.journalJobs[1:]
+			l.journalJobs = l.journalJobs[1:]
 			continue
 		case apply <- applyJob:
-			c.applyJobs = c.applyJobs[1:]
+			l.applyJobs = l.applyJobs[1:]
 			continue
 		case snapshot <- snapshotJob:
-			c.snapshotJobs = c.snapshotJobs[1:]
+			l.snapshotJobs = l.snapshotJobs[1:]
 			continue
 		case <-ticker.C:
-			event = c.tick
+			event = l.handleTick
 		case m := <-r.inbox:
-			event = func() error { return drain(r.inbox, m, c.deliver) }
+			event = func() error { return handleQueued(r.inbox, m, l.handleMessage) }
 		case q := <-r.proposals:
-			event = func() error { return drain(r.proposals, q, c.propose) }
+			event = func() error { return handleQueued(r.proposals, q, l.handleProposal) }
 		case q := <-r.reads:
-			event = func() error { return drain(r.reads, q, c.read) }
+			event = func() error { return handleQueued(r.reads, q, l.handleRead) }
 		case q := <-r.commands:
-			event = func() error { return c.command(q) }
+			event = func() error { return l.handleCommand(q) }
 		case d := <-r.fromJournal:
-			event = func() error { return c.persisted(d) }
+			event = func() error { return l.handlePersisted(d) }
 		case d := <-r.fromApply:
-			event = func() error { return c.appliedDone(d) }
-		case d := <-r.fromSnaps:
-			event = func() error { return c.snapshotDone(d) }
+			event = func() error { return l.handleApplied(d) }
+		case d := <-r.fromSnapshot:
+			event = func() error { return l.handleSnapshotDone(d) }
 		}
-		if err := c.step(event); err != nil {
+		if err := l.step(event); err != nil {
 			return err
 		}
-		c.reportChanges()
+		l.reportChanges()
 	}
 }
 
@@ -109,13 +109,13 @@
 	return to, jobs[0]
 }
 
-// drain handles first and what else is queued behind it, up to a bound. The
+// handleQueued handles first and what else is queued behind it, up to a bound. The
 // Node then puts all of it into one batch.
-func drain[T any](queue <-chan T, first T, handle func(T) error) error {
+func handleQueued[T any](queue <-chan T, first T, handle func(T) error) error {
 	if err := handle(first); err != nil {
 		return err
 	}
-	for range maxDrain - 1 {
+	for range maxItemsPerEvent - 1 {
 		select {
 		case item := <-queue:
 			if err := handle(item); err != nil {
@@ -129,222 +129,222 @@
 }
 
 // step handles one event and then does what the Node wants done.
-func (c *core) step(event func() error) error {
-	c.r.mu.Lock()
-	defer c.r.mu.Unlock()
+func (l *eventLoop) step(event func() error) error {
+	l.r.mu.Lock()
+	defer l.r.mu.Unlock()
 	if err := event(); err != nil {
 		return err
 	}
 	for {
-		batch, ok := c.r.node.Ready()
+		batch, ok := l.r.node.Ready()
 		if !ok {
 			return nil
 		}
-		c.handle(batch)
+		l.handleBatch(batch)
 	}
 }
 
-func (c *core) handle(b quorum.Batch) {
-	c.send(b.Early)
+func (l *eventLoop) handleBatch(b quorum.Batch) {
+	l.send(b.Early)
 	if b.Change != nil {
-		c.changed(*b.Change)
+		l.handleStateChange(*b.Change)
 	}
 	for _, s := range b.Reads {
-		c.readDone(s)
+		l.handleReadState(s)
 	}
 	if len(b.Committed) > 0 {
-		c.r.counts.committed.Add(uint64(len(b.Committed)))
-		c.applyJobs = append(c.applyJobs, applyJob{entries: b.Committed})
+		l.r.counters.committed.Add(uint64(len(b.Committed)))
+		l.applyJobs = append(l.applyJobs, applyJob{entries: b.Committed})
 	}
 	if b.MustPersist() {
-		c.journalJobs = append(c.journalJobs, journalJob{batch: b})
+		l.journalJobs = append(l.journalJobs, journalJob{batch: b})
 		return
 	}
-	c.send(b.Messages)
-	c.r.node.Advance(b)
+	l.send(b.Messages)
+	l.r.node.Advance(b)
 }
 
-func (c *core) tick() error {
-	c.r.node.Tick()
-	c.retrySnapshots()
-	c.checkTransfers()
+func (l *eventLoop) handleTick() error {
+	l.r.node.Tick()
+	l.resendOverdueChunks()
+	l.refuseAbandonedTransfers()
 	return nil
 }
 
-func (c *core) deliver(m *quorumpb.Message) error {
-	handled, m := c.snapshotMessage(m)
+func (l *eventLoop) handleMessage(m *quorumpb.Message) error {
+	handled, m := l.handleSnapshotMessage(m)
 	if handled {
 		return nil
 	}
-	err := c.r.node.Step(m)
+	err := l.r.node.Step(m)
 	switch {
 	case errors.Is(err, quorum.ErrMisaddressed):
-		c.r.counts.messagesMisaddressed.Add(1)
+		l.r.counters.messagesMisaddressed.Add(1)
 	case errors.Is(err, quorum.ErrMalformed):
-		c.r.counts.messagesMalformed.Add(1)
+		l.r.counters.messagesMalformed.Add(1)
 	default:
 		return err
 	}
 	return nil
 }
 
-func (c *core) propose(q *request) error {
-	if !q.take() {
+func (l *eventLoop) handleProposal(q *request) error {
+	if !q.claim() {
 		return nil
 	}
-	position, err := c.r.node.Propose(q.data)
-	c.track(q, position, err)
+	position, err := l.r.node.Propose(q.data)
+	l.trackProposal(q, position, err)
 	return nil
 }
 
-// track waits for the entry of q, or refuses q.
-func (c *core) track(q *request, position quorum.Position, err error) {
+// trackProposal waits for the entry of q, or refuses q.
+func (l *eventLoop) trackProposal(q *request, position quorum.Position, err error) {
 	if err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return
 	}
 	q.position = position
-	c.proposed[position.Index] = q
+	l.pendingProposals[position.Index] = q
 }
 
-func (c *core) command(q *request) error {
-	if !q.take() {
+func (l *eventLoop) handleCommand(q *request) error {
+	if !q.claim() {
 		return nil
 	}
 	if q.change != nil {
-		position, err := c.r.node.ProposeMembership(*q.change)
-		c.track(q, position, err)
+		position, err := l.r.node.ProposeMembership(*q.change)
+		l.trackProposal(q, position, err)
 		return nil
 	}
-	if err := c.r.node.TransferLeader(q.target); err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+	if err := l.r.node.TransferLeader(q.target); err != nil {
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return nil
 	}
-	c.transfers = append(c.transfers, q)
+	l.pendingTransfers = append(l.pendingTransfers, q)
 	return nil
 }
 
-// checkTransfers refuses transfers that the Node has given up.
-func (c *core) checkTransfers() {
-	if len(c.transfers) == 0 || c.r.node.Status().Transferee != quorum.NoID {
+// refuseAbandonedTransfers refuses transfers that the Node has given up.
+func (l *eventLoop) refuseAbandonedTransfers() {
+	if len(l.pendingTransfers) == 0 || l.r.node.Status().Transferee != quorum.NoID {
 		return
 	}
-	for _, q := range c.transfers {
-		q.finish(Applied{}, c.r.counts.refuse(quorum.ErrTransferring))
+	for _, q := range l.pendingTransfers {
+		q.finish(Applied{}, l.r.counters.countRefusal(quorum.ErrTransferring))
 	}
-	c.transfers = nil
+	l.pendingTransfers = nil
 }
 
-func (c *core) read(q *request) error {
-	if !q.take() {
+func (l *eventLoop) handleRead(q *request) error {
+	if !q.claim() {
 		return nil
 	}
-	c.nextRead++
-	if err := c.r.node.ReadIndex(c.nextRead); err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+	l.lastReadID++
+	if err := l.r.node.ReadIndex(l.lastReadID); err != nil {
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return nil
 	}
-	c.reads[c.nextRead] = q
+	l.pendingReads[l.lastReadID] = q
 	return nil
 }
 
-func (c *core) readDone(s quorum.ReadState) {
-	q := c.reads[s.ID]
-	delete(c.reads, s.ID)
+func (l *eventLoop) handleReadState(s quorum.ReadState) {
+	q := l.pendingReads[s.ID]
+	delete(l.pendingReads, s.ID)
 	switch {
 	case s.Lost:
 		q.finish(Applied{}, ErrLeadershipLost)
-	case s.Index <= c.applied:
+	case s.Index <= l.appliedIndex:
 		q.finish(Applied{Index: s.Index}, nil)
 	default:
 		q.index = s.Index
-		c.confirmed = append(c.confirmed, q)
+		l.confirmedReads = append(l.confirmedReads, q)
 	}
 }
 
-// finishReads answers the confirmed reads that the state machine has reached.
-func (c *core) finishReads() {
-	waiting := c.confirmed[:0]
-	for _, q := range c.confirmed {
-		if q.index > c.applied {
+// finishAppliedReads answers the confirmed reads that the state machine has reached.
+func (l *eventLoop) finishAppliedReads() {
+	waiting := l.confirmedReads[:0]
+	for _, q := range l.confirmedReads {
+		if q.index > l.appliedIndex {
 			waiting = append(waiting, q)
 			continue
 		}
 		q.finish(Applied{Index: q.index}, nil)
 	}
-	clear(c.confirmed[len(waiting):])
-	c.confirmed = waiting
+	clear(l.confirmedReads[len(waiting):])
+	l.confirmedReads = waiting
 }
 
-// changed takes up a change of role, term or leader.
-func (c *core) changed(s quorum.StateChange) {
-	c.r.counts.leaderChanges.Add(1)
+// handleStateChange takes up a change of role, term or leader.
+func (l *eventLoop) handleStateChange(s quorum.StateChange) {
+	l.r.counters.leaderChanges.Add(1)
 	if s.Role != quorum.RoleLeader {
-		c.loseLeadership()
+		l.handleLeadershipLoss()
 	}
-	c.changes = append(c.changes, s)
+	l.unreportedChanges = append(l.unreportedChanges, s)
 }
 
 // reportChanges calls Config.OnChange, after the lock is free, so that it can
 // ask for the Status.
-func (c *core) reportChanges() {
-	for _, s := range c.changes {
-		if c.r.cfg.OnChange != nil {
-			c.r.cfg.OnChange(s)
+func (l *eventLoop) reportChanges() {
+	for _, s := range l.unreportedChanges {
+		if l.r.cfg.OnChange != nil {
+			l.r.cfg.OnChange(s)
 		}
 	}
-	c.changes = c.changes[:0]
+	l.unreportedChanges = l.unreportedChanges[:0]
 }
 
-// loseLeadership answers what this replica can no longer bring to an end. A
+// handleLeadershipLoss answers what this replica can no longer bring to an end. A
 // proposal that is committed already is left to be applied; any other may be
 // committed by the next leader or overwritten, and nobody here can know.
-func (c *core) loseLeadership() {
-	commit := c.r.node.Status().Commit
-	for index, q := range c.proposed {
+func (l *eventLoop) handleLeadershipLoss() {
+	commit := l.r.node.Status().Commit
+	for index, q := range l.pendingProposals {
 		if index > commit {
-			c.loseProposal(q, ErrLeadershipLost)
+			l.failProposal(q, ErrLeadershipLost)
 		}
 	}
-	for _, q := range c.transfers {
+	for _, q := range l.pendingTransfers {
 		q.finish(Applied{}, nil)
 	}
-	c.transfers = nil
-	clear(c.outgoing)
+	l.pendingTransfers = nil
+	clear(l.outgoingSnapshots)
 }
 
-func (c *core) loseProposal(q *request, cause error) {
-	delete(c.proposed, q.position.Index)
+func (l *eventLoop) failProposal(q *request, cause error) {
+	delete(l.pendingProposals, q.position.Index)
 	q.finish(Applied{}, &UnknownOutcomeError{Cause: cause})
 }
 
-// loseAll answers everything at the end of the replica.
-func (c *core) loseAll(cause error) {
-	for _, q := range c.proposed {
-		c.loseProposal(q, cause)
+// failAllRequests answers everything at the end of the replica.
+func (l *eventLoop) failAllRequests(cause error) {
+	for _, q := range l.pendingProposals {
+		l.failProposal(q, cause)
 	}
-	for id, q := range c.reads {
-		delete(c.reads, id)
+	for id, q := range l.pendingReads {
+		delete(l.pendingReads, id)
 		q.finish(Applied{}, cause)
 	}
-	for _, q := range c.confirmed {
+	for _, q := range l.confirmedReads {
 		q.finish(Applied{}, cause)
 	}
-	for _, q := range c.transfers {
+	for _, q := range l.pendingTransfers {
 		q.finish(Applied{}, cause)
 	}
-	c.confirmed, c.transfers = nil, nil
+	l.confirmedReads, l.pendingTransfers = nil, nil
 }
 
 // send hands messages to the transport, one call for each receiver. The
 // snapshots among them get their data first.
-func (c *core) send(messages []*quorumpb.Message) {
+func (l *eventLoop) send(messages []*quorumpb.Message) {
 	var order []quorum.ID
 	byReceiver := map[quorum.ID][]*quorumpb.Message{}
 	for _, m := range messages {
 		to := quorum.ID(m.GetTo())
 		if m.GetType() == quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT {
-			c.startSnapshot(to, m)
+			l.startSending(to, m)
 			continue
 		}
 		if byReceiver[to] == nil {
@@ -352,10 +352,10 @@
 		}
 		byReceiver[to] = append(byReceiver[to], m)
 	}
-	if c.r.cfg.Transport == nil {
+	if l.r.cfg.Transport == nil {
 		return
 	}
 	for _, to := range order {
-		c.r.cfg.Transport.Send(to, byReceiver[to])
+		l.r.cfg.Transport.Send(to, byReceiver[to])
 	}
 }
--- a/quorum/replica/counts.go
+++ b/quorum/replica/counts.go
@@ -7,8 +7,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum/journal"
 )
 
-// counts are the counters that the driver keeps itself.
-type counts struct {
+// counters are the counters that the driver keeps itself.
+type counters struct {
 	leaderChanges, committed, applied     atomic.Uint64
 	snapshotsTaken, snapshotsRestored     atomic.Uint64
 	messagesDropped, messagesMisaddressed atomic.Uint64
@@ -17,17 +17,17 @@
 	refused                               [quorum.Reasons]atomic.Uint64
 }
 
-func (c *counts) read(n quorum.Counters, j journal.Stats) Counters {
+func (c *counters) export(node quorum.Counters, stats journal.Stats) Counters {
 	out := Counters{
-		ElectionsStarted:     n.ElectionsStarted,
-		Elected:              n.Elected,
-		SteppedDown:          n.SteppedDown,
-		SnapshotsSent:        n.SnapshotsSent,
+		ElectionsStarted:     node.ElectionsStarted,
+		Elected:              node.Elected,
+		SteppedDown:          node.SteppedDown,
+		SnapshotsSent:        node.SnapshotsSent,
 		LeaderChanges:        c.leaderChanges.Load(),
 		Committed:            c.committed.Load(),
 		Applied:              c.applied.Load(),
-		Syncs:                j.Syncs,
-		SyncedBytes:          j.Bytes,
+		Syncs:                stats.Syncs,
+		SyncedBytes:          stats.Bytes,
 		SnapshotsTaken:       c.snapshotsTaken.Load(),
 		SnapshotsRestored:    c.snapshotsRestored.Load(),
 		MessagesDropped:      c.messagesDropped.Load(),
@@ -41,8 +41,8 @@
 	return out
 }
 
-// refuse counts a refusal and passes it on.
-func (c *counts) refuse(err error) error {
+// countRefusal counts a refusal and passes it on.
+func (c *counters) countRefusal(err error) error {
 	if e, ok := quorum.Refused(err); ok {
 		c.refused[e.Reason].Add(1)
 	}
--- a/quorum/replica/group_test.go
+++ b/quorum/replica/group_test.go
@@ -18,13 +18,13 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// store is a state machine: a row of words. Apply returns the last word before.
-type store struct {
+// wordStore is a state machine: a row of words. Apply returns the last word before.
+type wordStore struct {
 	mu    sync.Mutex
 	words []string
 }
 
-func (s *store) Apply(_ uint64, data []byte) []byte {
+func (s *wordStore) Apply(_ uint64, data []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := ""
@@ -35,9 +35,9 @@
 	return []byte(before)
 }
 
-func (s *store) Snapshot() ([]byte, error) { return []byte(strings.Join(s.all(), "\n")), nil }
+func (s *wordStore) Snapshot() ([]byte, error) { return []byte(strings.Join(s.all(), "\n")), nil }
 
-func (s *store) Restore(_ uint64, data []byte) error {
+func (s *wordStore) Restore(_ uint64, data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.words = nil
@@ -47,13 +47,13 @@
 	return nil
 }
 
-func (s *store) all() []string {
+func (s *wordStore) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.words...)
 }
 
-func (s *store) last() string {
+func (s *wordStore) last() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.words) == 0 {
@@ -66,7 +66,7 @@
 type node struct {
 	instance string
 	fs       *journaltest.FS
-	store    *store
+	store    *wordStore
 	r        *replica.Replica
 	cancel   context.CancelFunc
 	ended    chan error
@@ -79,21 +79,21 @@
 	mu    sync.Mutex
 	rng   *rand.Rand
 	nodes map[string]*node
-	// away are cut off from all others.
-	away map[string]bool
-	// loss is the share of lost messages in percent; jitter delays them, so
+	// isolated are cut off from all others.
+	isolated map[string]bool
+	// lossPercent is the share of lost messages in percent; jitter delays them, so
 	// that they overtake each other.
-	loss   int
-	jitter time.Duration
-	config replica.Config
+	lossPercent int
+	maxDelay    time.Duration
+	config      replica.Config
 }
 
 func newGroup(t *testing.T, seed uint64) *group {
 	return &group{
-		t:     t,
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[string]*node{},
-		away:  map[string]bool{},
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		nodes:    map[string]*node{},
+		isolated: map[string]bool{},
 		config: replica.Config{
 			Dir:             "/data",
 			SnapshotEntries: 50,
@@ -110,16 +110,16 @@
 	n := g.nodes[to.Instance()]
 	for _, m := range msgs {
 		from := quorum.ID(m.GetFrom()).Instance()
-		lost := g.away[from] != g.away[to.Instance()] || g.rng.IntN(100) < g.loss
+		lost := g.isolated[from] != g.isolated[to.Instance()] || g.rng.IntN(100) < g.lossPercent
 		if n == nil || n.r == nil || lost {
 			continue
 		}
 		r, m := n.r, proto.CloneOf(m)
-		if g.jitter == 0 {
+		if g.maxDelay == 0 {
 			r.Deliver(m)
 			continue
 		}
-		time.AfterFunc(time.Duration(g.rng.Int64N(int64(g.jitter))), func() { r.Deliver(m) })
+		time.AfterFunc(time.Duration(g.rng.Int64N(int64(g.maxDelay))), func() { r.Deliver(m) })
 	}
 }
 
@@ -132,7 +132,7 @@
 		g.nodes[instance] = n
 	}
 	g.mu.Unlock()
-	s := &store{}
+	s := &wordStore{}
 	config := g.config
 	config.Instance, config.FS, config.Transport, config.StateMachine = instance, n.fs, g, s
 	r, err := replica.New(config)
@@ -199,9 +199,9 @@
 func (g *group) isolate(instances ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	clear(g.away)
+	clear(g.isolated)
 	for _, instance := range instances {
-		g.away[instance] = true
+		g.isolated[instance] = true
 	}
 }
 
@@ -211,9 +211,9 @@
 	for range 200 {
 		for _, n := range g.nodes {
 			g.mu.Lock()
-			away := g.away[n.instance]
+			isolated := g.isolated[n.instance]
 			g.mu.Unlock()
-			if n.r == nil || away || n.r.Status().Role != quorum.RoleLeader {
+			if n.r == nil || isolated || n.r.Status().Role != quorum.RoleLeader {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -238,8 +238,8 @@
 	}
 }
 
-// join adds an instance as learner and promotes it once it has caught up.
-func (g *group) join(n *node) {
+// addVoter adds an instance as learner and promotes it once it has caught up.
+func (g *group) addVoter(n *node) {
 	g.t.Helper()
 	l := g.leader()
 	_, err := l.r.AddLearner(g.t.Context(), n.r.ID(), n.instance+":1")
@@ -254,5 +254,5 @@
 	require.NoError(g.t, err)
 }
 
-// settle lets followers apply what is committed.
-func settle() { time.Sleep(time.Second) }
+// waitForFollowers lets followers apply what is committed.
+func waitForFollowers() { time.Sleep(time.Second) }
--- a/quorum/replica/linear_test.go
+++ b/quorum/replica/linear_test.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	clients    = 5
-	operations = 250
-	faults     = 25
+	clientCount         = 5
+	operationsPerClient = 250
+	faultCount          = 25
 )
 
-// mendEvery is after how many faults everything is mended, so that a seed
+// healInterval is after how many faults everything is mended, so that a seed
 // cannot leave the group without a quorum for most of its run.
-const mendEvery = 4
+const healInterval = 4
 
-// backOff is how long a client waits after a refusal.
-const backOff = 40 * time.Millisecond
+// refusalBackoff is how long a client waits after a refusal.
+const refusalBackoff = 40 * time.Millisecond
 
 var instances = []string{"a", "b", "c"}
 
@@ -45,11 +45,11 @@
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		in, out := input.(operation), output.(operation)
-		fits := !out.known || out.value == state.(string)
+		consistent := !out.known || out.value == state.(string)
 		if in.write == "" {
-			return fits, state
+			return consistent, state
 		}
-		return fits, in.write
+		return consistent, in.write
 	},
 }
 
@@ -60,8 +60,8 @@
 	operations []porcupine.Operation
 }
 
-// never is the end of an operation that may still take effect.
-const never = int64(1) << 60
+// neverReturned is the end of an operation that may still take effect.
+const neverReturned = int64(1) << 60
 
 func (h *history) add(client int, call, end int64, in, out operation) {
 	h.mu.Lock()
@@ -71,41 +71,41 @@
 	})
 }
 
-// client does operations at whichever replica leads.
-func (g *group) client(h *history, id int) {
+// runClient does operations at whichever replica leads.
+func (g *group) runClient(h *history, id int) {
 	leader := ""
-	for i := range operations {
+	for i := range operationsPerClient {
 		g.mu.Lock()
 		n := g.nodes[instances[g.rng.IntN(len(instances))]]
 		if hint := g.nodes[leader]; hint != nil && g.rng.IntN(5) > 0 {
 			n = hint
 		}
-		r, words := n.r, n.store
+		r, store := n.r, n.store
 		write := g.rng.IntN(2) == 0
 		g.mu.Unlock()
 		time.Sleep(7 * time.Millisecond)
 		if r == nil {
 			leader = ""
-			time.Sleep(backOff)
+			time.Sleep(refusalBackoff)
 			continue
 		}
 		leader = r.Status().Leader.Instance()
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-		done := false
+		completed := false
 		if write {
-			done = h.write(ctx, id, r, fmt.Sprintf("%d.%d", id, i))
+			completed = h.write(ctx, id, r, fmt.Sprintf("%d.%d", id, i))
 		} else {
-			done = h.read(ctx, id, r, words)
+			completed = h.read(ctx, id, r, store)
 		}
 		cancel()
-		if !done {
+		if !completed {
 			// Otherwise all operations could be spent while nobody leads.
-			time.Sleep(backOff)
+			time.Sleep(refusalBackoff)
 		}
 	}
 }
 
-func (h *history) write(ctx context.Context, id int, r *replica.Replica, word string) (done bool) {
+func (h *history) write(ctx context.Context, id int, r *replica.Replica, word string) (completed bool) {
 	call := h.clock.Add(1)
 	applied, err := r.Propose(ctx, []byte(word))
 	in := operation{write: word}
@@ -113,13 +113,13 @@
 	case err == nil:
 		h.add(id, call, h.clock.Add(1), in, operation{value: string(applied.Result), known: true})
 	case errors.Is(err, replica.ErrUnknownOutcome):
-		h.add(id, call, never, in, operation{})
+		h.add(id, call, neverReturned, in, operation{})
 	}
 	// A refusal promises that there is no effect: the checker finds out.
 	return err == nil
 }
 
-func (h *history) read(ctx context.Context, id int, r *replica.Replica, s *store) (done bool) {
+func (h *history) read(ctx context.Context, id int, r *replica.Replica, s *wordStore) (completed bool) {
 	call := h.clock.Add(1)
 	if _, err := r.Read(ctx); err != nil {
 		return false
@@ -129,8 +129,8 @@
 	return true
 }
 
-// fault does something bad, or mends it.
-func (g *group) fault() {
+// injectFault does something bad, or mends it.
+func (g *group) injectFault() {
 	var nodes []*node
 	for _, name := range instances {
 		nodes = append(nodes, g.nodes[name])
@@ -169,31 +169,31 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			h := &history{}
-			bubble(t, seed, func(t *testing.T, g *group) {
-				g.loss, g.jitter = 3, 4*time.Millisecond
+			runSimulated(t, seed, func(t *testing.T, g *group) {
+				g.lossPercent, g.maxDelay = 3, 4*time.Millisecond
 				g.bootstrap(instances...)
 				g.leader()
 				var wait sync.WaitGroup
-				for id := range clients {
-					wait.Go(func() { g.client(h, id) })
+				for id := range clientCount {
+					wait.Go(func() { g.runClient(h, id) })
 				}
-				for i := range faults {
+				for i := range faultCount {
 					time.Sleep(150 * time.Millisecond)
-					g.fault()
-					if i%mendEvery == 0 {
+					g.injectFault()
+					if i%healInterval == 0 {
 						g.isolate()
 						g.restartAll()
 					}
 				}
 				wait.Wait()
 			})
-			written := 0
+			completed := 0
 			for _, o := range h.operations {
-				if o.Return != never {
-					written++
+				if o.Return != neverReturned {
+					completed++
 				}
 			}
-			require.Greater(t, written, 500, "too little happened")
+			require.Greater(t, completed, 500, "too little happened")
 			require.True(t, porcupine.CheckOperations(registerModel, h.operations), "not linearizable")
 		})
 	}
--- a/quorum/replica/replica.go
+++ b/quorum/replica/replica.go
@@ -24,25 +24,25 @@
 
 	// mu guards node. The core holds it for one step at a time and never
 	// while it waits; Status takes it in between.
-	mu    sync.Mutex
-	node  *quorum.Node
-	first []Member // see InitialVoters
+	mu            sync.Mutex
+	node          *quorum.Node
+	initialVoters []Member // see InitialVoters
 
 	inbox     chan *quorumpb.Message
 	proposals chan *request
 	reads     chan *request
 	commands  chan *request
 
-	toJournal   chan journalJob
-	fromJournal chan journalDone
-	toApply     chan applyJob
-	fromApply   chan applyDone
-	toSnapshot  chan snapshotJob
-	fromSnaps   chan snapshotDone
+	toJournal    chan journalJob
+	fromJournal  chan journalDone
+	toApply      chan applyJob
+	fromApply    chan applyDone
+	toSnapshot   chan snapshotJob
+	fromSnapshot chan snapshotDone
 
-	core    core
-	counts  counts
-	started atomic.Bool
+	loop     eventLoop
+	counters counters
+	started  atomic.Bool
 	// stopped is closed when no request will be answered any more.
 	stopped chan struct{}
 }
@@ -51,7 +51,7 @@
 type storage interface {
 	Disk() string
 	Stats() journal.Stats
-	Save(hard *quorumpb.HardState, entries []*quorumpb.Entry) error
+	Save(hardState *quorumpb.HardState, entries []*quorumpb.Entry) error
 	Reset(meta *quorumpb.SnapshotMeta) error
 	Release(index uint64) error
 	SaveSnapshot(s *quorumpb.Snapshot) error
@@ -71,7 +71,7 @@
 // snapshot and returns a replica that Run starts. Errors are those of
 // journal.Open, of StateMachine.Restore, or say what cfg lacks.
 func New(cfg Config) (*Replica, error) {
-	if err := cfg.complete(); err != nil {
+	if err := cfg.validateAndSetDefaults(); err != nil {
 		return nil, err
 	}
 	j, state, err := openStorage(cfg)
@@ -79,29 +79,29 @@
 		return nil, err
 	}
 	r := &Replica{
-		cfg:         cfg,
-		id:          quorum.MakeID(cfg.Instance, j.Disk()),
-		journal:     j,
-		inbox:       make(chan *quorumpb.Message, cfg.QueueLength),
-		proposals:   make(chan *request, cfg.QueueLength),
-		reads:       make(chan *request, cfg.QueueLength),
-		commands:    make(chan *request, commandQueue),
-		toJournal:   make(chan journalJob, 1),
-		fromJournal: make(chan journalDone, 1),
-		toApply:     make(chan applyJob, 1),
-		fromApply:   make(chan applyDone, 1),
-		toSnapshot:  make(chan snapshotJob, 1),
-		fromSnaps:   make(chan snapshotDone, 1),
-		stopped:     make(chan struct{}),
+		cfg:          cfg,
+		id:           quorum.MakeID(cfg.Instance, j.Disk()),
+		journal:      j,
+		inbox:        make(chan *quorumpb.Message, cfg.QueueLength),
+		proposals:    make(chan *request, cfg.QueueLength),
+		reads:        make(chan *request, cfg.QueueLength),
+		commands:     make(chan *request, commandQueueLength),
+		toJournal:    make(chan journalJob, 1),
+		fromJournal:  make(chan journalDone, 1),
+		toApply:      make(chan applyJob, 1),
+		fromApply:    make(chan applyDone, 1),
+		toSnapshot:   make(chan snapshotJob, 1),
+		fromSnapshot: make(chan snapshotDone, 1),
+		stopped:      make(chan struct{}),
 	}
-	if err := r.load(state); err != nil {
+	if err := r.loadNode(state); err != nil {
 		return nil, errors.Join(err, j.Close())
 	}
 	return r, nil
 }
 
-// commandQueue bounds waiting membership changes and transfers.
-const commandQueue = 16
+// commandQueueLength bounds waiting membership changes and transfers.
+const commandQueueLength = 16
 
 func setDefault[T comparable](field *T, value T) {
 	var zero T
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *Config) complete() error {
+func (c *Config) validateAndSetDefaults() error {
 	switch {
 	case c.Instance == "":
 		return errors.New("replica: config without an instance")
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (r *Replica) load(state journal.State) error {
+func (r *Replica) loadNode(state journal.State) error {
 	if s := state.Snapshot; s != nil {
 		if err := r.cfg.StateMachine.Restore(s.GetMeta().GetIndex(), s.GetData()); err != nil {
 			return errors.Wrap(err, "replica: restore")
@@ -152,14 +152,14 @@
 		return err
 	}
 	r.node = node
-	r.core = newCore(r)
-	r.first, err = firstVoters(state.Entries)
+	r.loop = newEventLoop(r)
+	r.initialVoters, err = decodeInitialVoters(state.Entries)
 	return err
 }
 
-// firstVoters reads the voters of the group's first entry, or returns nil if
+// decodeInitialVoters reads the voters of the group's first entry, or returns nil if
 // the log doesn't reach back to it.
-func firstVoters(entries []*quorumpb.Entry) ([]Member, error) {
+func decodeInitialVoters(entries []*quorumpb.Entry) ([]Member, error) {
 	if len(entries) == 0 || entries[0].GetIndex() != 1 {
 		return nil, nil
 	}
@@ -179,7 +179,7 @@
 func (r *Replica) InitialVoters() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.first
+	return r.initialVoters
 }
 
 // idSeed makes the election timeouts of replicas with equal seeds differ.
@@ -224,16 +224,16 @@
 	if !included {
 		return errors.Errorf("replica: %s is not among the first voters", r.id)
 	}
-	first, err := quorum.FirstEntry(groupID(voters), members)
+	firstEntry, err := quorum.FirstEntry(groupID(voters), members)
 	if err != nil {
 		return err
 	}
-	hard := &quorumpb.HardState{Term: first.GetTerm(), Commit: first.GetIndex()}
-	entries := []*quorumpb.Entry{first}
-	if err := r.journal.Save(hard, entries); err != nil {
+	hardState := &quorumpb.HardState{Term: firstEntry.GetTerm(), Commit: firstEntry.GetIndex()}
+	entries := []*quorumpb.Entry{firstEntry}
+	if err := r.journal.Save(hardState, entries); err != nil {
 		return err
 	}
-	return r.load(journal.State{HardState: hard, Entries: entries})
+	return r.loadNode(journal.State{HardState: hardState, Entries: entries})
 }
 
 // groupID derives the group's identity from the disks of its first voters,
@@ -261,14 +261,14 @@
 	if !r.started.CompareAndSwap(false, true) {
 		return ErrAlreadyRun
 	}
-	dutyCtx, cancel := context.WithCancel(ctx)
+	workerCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g run.Group
-	for _, duty := range []func(context.Context) error{r.runCore, r.runJournal, r.runApply, r.runSnapshots} {
-		g.Add(func() error { return duty(dutyCtx) }, func(error) { cancel() })
+	for _, worker := range []func(context.Context) error{r.runEventLoop, r.runJournal, r.runApply, r.runSnapshots} {
+		g.Add(func() error { return worker(workerCtx) }, func(error) { cancel() })
 	}
 	err := g.Run()
-	r.stop()
+	r.failPending()
 	if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
 		err = nil
 	}
@@ -280,14 +280,14 @@
 	if !r.started.CompareAndSwap(false, true) {
 		return nil
 	}
-	r.stop()
+	r.failPending()
 	return r.journal.Close()
 }
 
-// stop answers what still waits.
-func (r *Replica) stop() {
+// failPending answers what still waits.
+func (r *Replica) failPending() {
 	close(r.stopped)
-	r.core.loseAll(quorum.ErrStopped)
+	r.loop.failAllRequests(quorum.ErrStopped)
 }
 
 // Deliver hands over a message received by the transport. It never blocks: a
@@ -296,7 +296,7 @@
 	select {
 	case r.inbox <- msg:
 	default:
-		r.counts.messagesDropped.Add(1)
+		r.counters.messagesDropped.Add(1)
 	}
 }
 
@@ -315,7 +315,7 @@
 		Applied:  s.Applied,
 		Snapshot: s.Snapshot,
 		Progress: s.Progress,
-		Counters: r.counts.read(s.Counters, r.journal.Stats()),
+		Counters: r.counters.export(s.Counters, r.journal.Stats()),
 	}
 	for _, m := range s.Membership.GetMembers() {
 		status.Members = append(status.Members, Member{
--- a/quorum/replica/replica_test.go
+++ b/quorum/replica/replica_test.go
@@ -17,8 +17,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// bubble runs a test in simulated time and stops the group at its end.
-func bubble(t *testing.T, seed uint64, test func(t *testing.T, g *group)) {
+// runSimulated runs a test in simulated time and stops the group at its end.
+func runSimulated(t *testing.T, seed uint64, test func(t *testing.T, g *group)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, seed)
 		defer g.stopAll()
@@ -27,7 +27,7 @@
 }
 
 func TestSingleReplica(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, g *group) {
+	runSimulated(t, 1, func(t *testing.T, g *group) {
 		g.bootstrap("a")
 		n := g.leader()
 		g.propose("one", "two")
@@ -47,7 +47,7 @@
 }
 
 func TestBootstrapRefuses(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, g *group) {
+	runSimulated(t, 2, func(t *testing.T, g *group) {
 		n := g.open("a")
 		self := replica.Member{ID: n.r.ID(), Voter: true}
 		require.Error(t, n.r.Bootstrap(nil))
@@ -66,37 +66,37 @@
 // proposed" of what is committed later, or read old state.
 // Sequence: a leader is cut off with a proposal and a read under way.
 // Cause: lost leadership must end both, the proposal with an unknown outcome.
-func TestCutOffLeader(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, g *group) {
+func TestIsolatedLeader(t *testing.T) {
+	runSimulated(t, 3, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		g.propose("before")
-		old := g.leader()
-		g.isolate(old.instance)
+		oldLeader := g.leader()
+		g.isolate(oldLeader.instance)
 		proposed, read := make(chan error, 1), make(chan error, 1)
 		go func() {
-			_, err := old.r.Propose(t.Context(), []byte("lost"))
+			_, err := oldLeader.r.Propose(t.Context(), []byte("lost"))
 			proposed <- err
 		}()
 		go func() {
-			_, err := old.r.Read(t.Context())
+			_, err := oldLeader.r.Read(t.Context())
 			read <- err
 		}()
-		cut := time.Now()
+		isolatedAt := time.Now()
 		require.ErrorIs(t, <-read, replica.ErrLeadershipLost)
 		err := <-proposed
 		require.ErrorIs(t, err, replica.ErrUnknownOutcome)
 		require.ErrorIs(t, err, replica.ErrLeadershipLost)
 		timeout := replica.DefaultElectionTicks * replica.DefaultTickInterval
-		require.LessOrEqual(t, time.Since(cut), timeout, "simulated time")
-		_, err = old.r.Propose(t.Context(), []byte("more"))
+		require.LessOrEqual(t, time.Since(isolatedAt), timeout, "simulated time")
+		_, err = oldLeader.r.Propose(t.Context(), []byte("more"))
 		require.ErrorIs(t, err, quorum.ErrNotLeader)
-		_, err = old.r.Read(t.Context())
+		_, err = oldLeader.r.Read(t.Context())
 		require.ErrorIs(t, err, quorum.ErrNotLeader)
 		g.propose("after")
 		g.isolate()
-		settle()
-		require.Equal(t, []string{"before", "after"}, old.store.all())
-		c := old.r.Status().Counters
+		waitForFollowers()
+		require.Equal(t, []string{"before", "after"}, oldLeader.store.all())
+		c := oldLeader.r.Status().Counters
 		require.Equal(t, uint64(1), c.SteppedDown)
 		require.Equal(t, uint64(1), c.UnknownOutcomes)
 		require.Equal(t, uint64(2), c.Refused[quorum.ReasonNotLeader])
@@ -108,8 +108,8 @@
 // Sequence: a follower is down while the others take snapshots; it starts, and
 // parts of the snapshot that it needs are lost on the way.
 // Cause: the log that it lacks is gone.
-func TestRestartAfterHundredsOfChanges(t *testing.T) {
-	bubble(t, 4, func(t *testing.T, g *group) {
+func TestFollowerCatchesUpFromSnapshot(t *testing.T) {
+	runSimulated(t, 4, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		g.propose("first")
 		l := g.leader()
@@ -122,18 +122,18 @@
 			g.propose(fmt.Sprint("word ", i))
 		}
 		g.mu.Lock()
-		g.loss, g.jitter = 20, 10*time.Millisecond
+		g.lossPercent, g.maxDelay = 20, 10*time.Millisecond
 		g.mu.Unlock()
 		g.start(down.instance)
 		for range 20 {
-			settle()
+			waitForFollowers()
 		}
 		require.Equal(t, l.store.all(), down.store.all())
 		require.NotZero(t, down.r.Status().Counters.SnapshotsRestored)
 		require.NotZero(t, l.r.Status().Counters.SnapshotsTaken)
 		g.crash(down)
 		g.start(down.instance)
-		settle()
+		waitForFollowers()
 		require.Equal(t, l.store.all(), down.store.all())
 	})
 }
@@ -143,28 +143,28 @@
 // Sequence: c's disk is replaced; c's new replica joins; at once the leader's
 // instance is lost.
 // Cause: the new replica voted before it held the log.
-func TestWipedDiskAndSecondLoss(t *testing.T) {
-	bubble(t, 5, func(t *testing.T, g *group) {
+func TestLeaderLossAfterDiskReplacement(t *testing.T) {
+	runSimulated(t, 5, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		for i := range 120 {
 			g.propose(fmt.Sprint(i))
 		}
 		l := g.leader()
-		lost := g.nodes["c"]
-		if lost == l {
-			lost = g.nodes["b"]
+		replaced := g.nodes["c"]
+		if replaced == l {
+			replaced = g.nodes["b"]
 		}
-		oldID := lost.r.ID()
-		g.crash(lost)
-		lost.fs.Wipe()
-		g.start(lost.instance)
-		settle()
-		require.NotEqual(t, oldID, lost.r.ID())
-		require.Empty(t, lost.r.Status().Members)
-		require.NotZero(t, lost.r.Status().Counters.MessagesMisaddressed, "messages for the old disk")
+		oldID := replaced.r.ID()
+		g.crash(replaced)
+		replaced.fs.Wipe()
+		g.start(replaced.instance)
+		waitForFollowers()
+		require.NotEqual(t, oldID, replaced.r.ID())
+		require.Empty(t, replaced.r.Status().Members)
+		require.NotZero(t, replaced.r.Status().Counters.MessagesMisaddressed, "messages for the old disk")
 		_, err := l.r.Remove(t.Context(), oldID)
 		require.NoError(t, err)
-		g.join(lost)
+		g.addVoter(replaced)
 		want := l.store.all()
 		g.crash(l)
 		next := g.leader()
@@ -182,7 +182,7 @@
 		err  error
 		code result.Code
 	}{{syscall.ENOSPC, result.DiskFull}, {syscall.EIO, result.SyncFailed}} {
-		bubble(t, 6, func(t *testing.T, g *group) {
+		runSimulated(t, 6, func(t *testing.T, g *group) {
 			g.bootstrap("a")
 			n := g.leader()
 			n.fs.SetFault(func(op, _ string) error {
@@ -206,11 +206,11 @@
 // Symptom: a committed entry is on no majority of disks.
 // Sequence: both followers' disks fail while they write an entry.
 // Cause: the acknowledgements left before the write was synced.
-func TestAcknowledgedAfterSync(t *testing.T) {
-	bubble(t, 9, func(t *testing.T, g *group) {
+func TestFollowersAcknowledgeAfterSync(t *testing.T) {
+	runSimulated(t, 9, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		g.propose("one")
-		settle()
+		waitForFollowers()
 		l := g.leader()
 		for _, n := range g.nodes {
 			if n == l {
@@ -234,15 +234,15 @@
 	})
 }
 
-// slowStore applies when it is told to.
-type slowStore struct {
-	store
-	apply chan struct{}
+// gatedStore applies when it is told to.
+type gatedStore struct {
+	wordStore
+	applyAllowed chan struct{}
 }
 
-func (s *slowStore) Apply(index uint64, data []byte) []byte {
-	<-s.apply
-	return s.store.Apply(index, data)
+func (s *gatedStore) Apply(index uint64, data []byte) []byte {
+	<-s.applyAllowed
+	return s.wordStore.Apply(index, data)
 }
 
 // Symptom: a read misses a write that was committed before it.
@@ -251,7 +251,7 @@
 // Cause: the read returned before the state machine had reached its index.
 func TestReadWaitsForApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowStore{apply: make(chan struct{})}
+		s := &gatedStore{applyAllowed: make(chan struct{})}
 		r, err := replica.New(replica.Config{
 			Instance: "a", Dir: "/data", FS: journaltest.New(), StateMachine: s,
 		})
@@ -270,7 +270,7 @@
 		}()
 		time.Sleep(time.Second)
 		require.Empty(t, read, "the read returned before the entry was applied")
-		close(s.apply)
+		close(s.applyAllowed)
 		require.Equal(t, commit, <-read)
 		cancel()
 		require.NoError(t, <-ended)
@@ -278,11 +278,11 @@
 }
 
 func TestMembershipAndTransfer(t *testing.T) {
-	bubble(t, 7, func(t *testing.T, g *group) {
+	runSimulated(t, 7, func(t *testing.T, g *group) {
 		g.bootstrap("a")
 		g.propose("one")
 		for _, instance := range []string{"b", "c"} {
-			g.join(g.start(instance))
+			g.addVoter(g.start(instance))
 		}
 		l := g.leader()
 		require.Len(t, l.r.Status().Members, 3)
@@ -302,8 +302,8 @@
 // Sequence: more proposals, reads and messages than the queues hold; callers
 // that give up before the core has taken their proposal.
 // Cause: only a request that the core can no longer take up was refused.
-func TestRefusalsAreTrue(t *testing.T) {
-	bubble(t, 8, func(t *testing.T, g *group) {
+func TestRefusedProposalsAreNotCommitted(t *testing.T) {
+	runSimulated(t, 8, func(t *testing.T, g *group) {
 		g.config.QueueLength = 4
 		n := g.open("a")
 		require.NoError(t, n.r.Bootstrap([]replica.Member{{ID: n.r.ID(), Voter: true}}))
--- a/quorum/replica/request.go
+++ b/quorum/replica/request.go
@@ -15,8 +15,8 @@
 
 const (
 	requestQueued requestState = iota
-	requestTaken
-	requestGivenUp
+	requestClaimed
+	requestCanceled
 )
 
 // request is a call that waits for the core.
@@ -40,9 +40,9 @@
 	err     error
 }
 
-func (q *request) take() bool { return q.state.CompareAndSwap(requestQueued, requestTaken) }
+func (q *request) claim() bool { return q.state.CompareAndSwap(requestQueued, requestClaimed) }
 
-func (q *request) giveUp() bool { return q.state.CompareAndSwap(requestQueued, requestGivenUp) }
+func (q *request) cancel() bool { return q.state.CompareAndSwap(requestQueued, requestCanceled) }
 
 // finish answers; a request is answered once.
 func (q *request) finish(applied Applied, err error) {
@@ -55,7 +55,7 @@
 // Errors: *quorum.RefusedError says that data was not proposed and never will
 // be; *UnknownOutcomeError says that it may have been or may yet be committed.
 func (r *Replica) Propose(ctx context.Context, data []byte) (Applied, error) {
-	return r.call(ctx, r.proposals, &request{data: slices.Clone(data)})
+	return r.submit(ctx, r.proposals, &request{data: slices.Clone(data)})
 }
 
 // Read returns, after the state machine here has applied it, an index such that
@@ -63,7 +63,7 @@
 // the leader answers. Errors: *quorum.RefusedError; or ErrLeadershipLost or
 // the context's error, after which the caller may simply try again.
 func (r *Replica) Read(ctx context.Context) (uint64, error) {
-	applied, err := r.call(ctx, r.reads, &request{})
+	applied, err := r.submit(ctx, r.reads, &request{})
 	return applied.Index, err
 }
 
@@ -88,7 +88,7 @@
 }
 
 func (r *Replica) changeMembership(ctx context.Context, c quorum.Change) (Applied, error) {
-	return r.call(ctx, r.commands, &request{change: &c})
+	return r.submit(ctx, r.commands, &request{change: &c})
 }
 
 // TransferLeader hands leadership to target, or with quorum.NoID to the voter
@@ -96,53 +96,53 @@
 // before a graceful stop, which then costs no election timeout. Errors:
 // *quorum.RefusedError, or the context's.
 func (r *Replica) TransferLeader(ctx context.Context, target quorum.ID) error {
-	_, err := r.call(ctx, r.commands, &request{transfer: true, target: target})
+	_, err := r.submit(ctx, r.commands, &request{transfer: true, target: target})
 	return err
 }
 
-// call queues q and waits for its outcome.
-func (r *Replica) call(ctx context.Context, queue chan<- *request, q *request) (Applied, error) {
+// submit queues q and waits for its outcome.
+func (r *Replica) submit(ctx context.Context, queue chan<- *request, q *request) (Applied, error) {
 	q.done = make(chan outcome, 1)
 	select {
 	case <-r.stopped:
-		return Applied{}, r.counts.refuse(quorum.ErrStopped)
+		return Applied{}, r.counters.countRefusal(quorum.ErrStopped)
 	default:
 	}
 	select {
 	case queue <- q:
 	default:
-		return Applied{}, r.counts.refuse(quorum.ErrQueueFull)
+		return Applied{}, r.counters.countRefusal(quorum.ErrQueueFull)
 	}
 	select {
 	case o := <-q.done:
-		return r.answer(o)
+		return r.countOutcome(o)
 	case <-ctx.Done():
-		return r.abandon(q, quorum.ErrCanceled, ctx.Err())
+		return r.cancelRequest(q, quorum.ErrCanceled, ctx.Err())
 	case <-r.stopped:
-		return r.abandon(q, quorum.ErrStopped, quorum.ErrStopped)
+		return r.cancelRequest(q, quorum.ErrStopped, quorum.ErrStopped)
 	}
 }
 
-func (r *Replica) answer(o outcome) (Applied, error) {
+func (r *Replica) countOutcome(o outcome) (Applied, error) {
 	if errors.Is(o.err, ErrUnknownOutcome) {
-		r.counts.unknownOutcomes.Add(1)
+		r.counters.unknownOutcomes.Add(1)
 	}
 	return o.applied, o.err
 }
 
-// abandon ends the wait for q. It is a refusal only if the core has not taken
+// cancelRequest ends the wait for q. It is a refusal only if the core has not taken
 // q up and now never will.
-func (r *Replica) abandon(q *request, refusal *quorum.RefusedError, cause error) (Applied, error) {
-	if q.giveUp() {
-		return Applied{}, r.counts.refuse(refusal)
+func (r *Replica) cancelRequest(q *request, refusal *quorum.RefusedError, cause error) (Applied, error) {
+	if q.cancel() {
+		return Applied{}, r.counters.countRefusal(refusal)
 	}
 	select {
 	case o := <-q.done:
-		return r.answer(o)
+		return r.countOutcome(o)
 	default:
 	}
 	if q.data == nil && q.change == nil {
 		return Applied{}, cause
 	}
-	return r.answer(outcome{err: &UnknownOutcomeError{Cause: cause}})
+	return r.countOutcome(outcome{err: &UnknownOutcomeError{Cause: cause}})
 }
--- a/quorum/replica/snapshot.go
+++ b/quorum/replica/snapshot.go
@@ -59,7 +59,7 @@
 				return err
 			}
 			select {
-			case r.fromSnaps <- done:
+			case r.fromSnapshot <- done:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -67,41 +67,41 @@
 	}
 }
 
-// snapshotDone takes up a snapshot that was saved or read.
-func (c *core) snapshotDone(d snapshotDone) error {
+// handleSnapshotDone takes up a snapshot that was saved or read.
+func (l *eventLoop) handleSnapshotDone(d snapshotDone) error {
 	if s := d.job.save; s != nil {
-		c.snapshotting = false
-		c.r.counts.snapshotsTaken.Add(1)
-		c.r.node.Compact(s.GetMeta(), c.r.cfg.KeepEntries)
-		c.journalJobs = append(c.journalJobs, journalJob{release: s.GetMeta().GetIndex()})
+		l.snapshotInProgress = false
+		l.r.counters.snapshotsTaken.Add(1)
+		l.r.node.Compact(s.GetMeta(), l.r.cfg.KeepEntries)
+		l.journalJobs = append(l.journalJobs, journalJob{releaseIndex: s.GetMeta().GetIndex()})
 		return nil
 	}
 	to := quorum.ID(d.job.message.GetTo())
-	if s := c.r.node.Status(); s.Role != quorum.RoleLeader || s.Term != d.job.message.GetTerm() {
+	if s := l.r.node.Status(); s.Role != quorum.RoleLeader || s.Term != d.job.message.GetTerm() {
 		// Leadership ended while the snapshot was read.
 		return nil
 	}
 	if d.read == nil {
-		c.r.node.SnapshotFailed(to)
+		l.r.node.SnapshotFailed(to)
 		return nil
 	}
 	out := &outgoingSnapshot{message: d.job.message, snapshot: d.read}
-	c.outgoing[to] = out
-	c.sendPart(out)
+	l.outgoingSnapshots[to] = out
+	l.sendChunk(out)
 	return nil
 }
 
-// startSnapshot answers the Node's wish to send a snapshot.
-func (c *core) startSnapshot(to quorum.ID, m *quorumpb.Message) {
-	delete(c.outgoing, to)
-	c.snapshotJobs = append(c.snapshotJobs, snapshotJob{message: m})
+// startSending answers the Node's wish to send a snapshot.
+func (l *eventLoop) startSending(to quorum.ID, m *quorumpb.Message) {
+	delete(l.outgoingSnapshots, to)
+	l.snapshotJobs = append(l.snapshotJobs, snapshotJob{message: m})
 }
 
-func (c *core) sendPart(out *outgoingSnapshot) {
+func (l *eventLoop) sendChunk(out *outgoingSnapshot) {
 	out.idleTicks = 0
 	data := out.snapshot.GetData()
-	end := min(out.offset+uint64(c.r.cfg.MaxBatchBytes), uint64(len(data)))
-	c.sendOwn(&quorumpb.Message{
+	end := min(out.offset+uint64(l.r.cfg.MaxBatchBytes), uint64(len(data)))
+	l.sendMessage(&quorumpb.Message{
 		Type:     quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT,
 		From:     out.message.GetFrom(),
 		To:       out.message.GetTo(),
@@ -112,77 +112,77 @@
 	})
 }
 
-// sendOwn hands over a message that belongs to the driver alone.
-func (c *core) sendOwn(m *quorumpb.Message) {
-	if c.r.cfg.Transport != nil {
-		c.r.cfg.Transport.Send(quorum.ID(m.GetTo()), []*quorumpb.Message{m})
+// sendMessage hands over a message that belongs to the driver alone.
+func (l *eventLoop) sendMessage(m *quorumpb.Message) {
+	if l.r.cfg.Transport != nil {
+		l.r.cfg.Transport.Send(quorum.ID(m.GetTo()), []*quorumpb.Message{m})
 	}
 }
 
-// retrySnapshots repeats a part that got no answer: it or its answer was lost.
-func (c *core) retrySnapshots() {
-	var due []*outgoingSnapshot
-	for _, out := range c.outgoing {
+// resendOverdueChunks repeats a part that got no answer: it or its answer was lost.
+func (l *eventLoop) resendOverdueChunks() {
+	var overdue []*outgoingSnapshot
+	for _, out := range l.outgoingSnapshots {
 		out.idleTicks++
-		if out.idleTicks >= c.r.cfg.ElectionTicks/2 {
-			due = append(due, out)
+		if out.idleTicks >= l.r.cfg.ElectionTicks/2 {
+			overdue = append(overdue, out)
 		}
 	}
-	for _, out := range due {
-		c.sendPart(out)
+	for _, out := range overdue {
+		l.sendChunk(out)
 	}
 }
 
-// snapshotMessage handles the parts of snapshots and their answers. What is
+// handleSnapshotMessage handles the parts of snapshots and their answers. What is
 // left for the Node, a whole snapshot among it, is returned.
-func (c *core) snapshotMessage(m *quorumpb.Message) (handled bool, rest *quorumpb.Message) {
-	if quorum.ID(m.GetTo()) != c.r.id {
+func (l *eventLoop) handleSnapshotMessage(m *quorumpb.Message) (handled bool, remaining *quorumpb.Message) {
+	if quorum.ID(m.GetTo()) != l.r.id {
 		return false, m
 	}
 	switch m.GetType() {
 	case quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT:
-		return c.receivePart(m)
+		return l.receiveChunk(m)
 	case quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT_REPLY:
-		c.partAcknowledged(m)
+		l.handleChunkAck(m)
 		return true, nil
 	default:
 		return false, m
 	}
 }
 
-func (c *core) partAcknowledged(m *quorumpb.Message) {
+func (l *eventLoop) handleChunkAck(m *quorumpb.Message) {
 	from := quorum.ID(m.GetFrom())
-	out := c.outgoing[from]
+	out := l.outgoingSnapshots[from]
 	if out == nil || out.message.GetTerm() != m.GetTerm() ||
 		out.snapshot.GetMeta().GetIndex() != m.GetSnapshot().GetMeta().GetIndex() {
 		return
 	}
-	wanted := m.GetChunk().GetOffset()
-	if wanted > uint64(len(out.snapshot.GetData())) || wanted < out.offset {
+	nextOffset := m.GetChunk().GetOffset()
+	if nextOffset > uint64(len(out.snapshot.GetData())) || nextOffset < out.offset {
 		// An old answer.
 		return
 	}
-	c.r.node.SnapshotProgress(from)
-	if wanted == uint64(len(out.snapshot.GetData())) {
-		delete(c.outgoing, from)
+	l.r.node.SnapshotProgress(from)
+	if nextOffset == uint64(len(out.snapshot.GetData())) {
+		delete(l.outgoingSnapshots, from)
 		return
 	}
-	if wanted > out.offset {
-		out.offset = wanted
-		c.sendPart(out)
+	if nextOffset > out.offset {
+		out.offset = nextOffset
+		l.sendChunk(out)
 	}
 }
 
-// receivePart collects a part. Parts are taken in order only; the answer says
+// receiveChunk collects a part. Parts are taken in order only; the answer says
 // which is wanted next.
-func (c *core) receivePart(m *quorumpb.Message) (handled bool, whole *quorumpb.Message) {
+func (l *eventLoop) receiveChunk(m *quorumpb.Message) (handled bool, complete *quorumpb.Message) {
 	chunk := m.GetChunk()
 	data := m.GetSnapshot().GetData()
-	if chunk.GetSize() > uint64(c.r.cfg.MaxSnapshotBytes) || m.GetSnapshot().GetMeta() == nil {
-		c.r.counts.messagesMalformed.Add(1)
+	if chunk.GetSize() > uint64(l.r.cfg.MaxSnapshotBytes) || m.GetSnapshot().GetMeta() == nil {
+		l.r.counters.messagesMalformed.Add(1)
 		return true, nil
 	}
-	in := c.incoming
+	in := l.incoming
 	if in == nil || in.from != m.GetFrom() || in.term != m.GetTerm() || !proto.Equal(in.meta, m.GetSnapshot().GetMeta()) {
 		if chunk.GetOffset() != 0 {
 			// The start was sent to an earlier run of this replica.
@@ -194,31 +194,31 @@
 			meta: m.GetSnapshot().GetMeta(),
 			size: chunk.GetSize(),
 		}
-		c.incoming = in
+		l.incoming = in
 	}
-	have := uint64(len(in.data))
-	if chunk.GetOffset() == have && have+uint64(len(data)) <= in.size {
+	received := uint64(len(in.data))
+	if chunk.GetOffset() == received && received+uint64(len(data)) <= in.size {
 		in.data = append(in.data, data...)
 	}
-	c.acknowledgePart(m, uint64(len(in.data)))
+	l.acknowledgeChunk(m, uint64(len(in.data)))
 	if uint64(len(in.data)) < in.size {
 		return true, nil
 	}
-	c.incoming = nil
-	whole = proto.CloneOf(m)
-	whole.Snapshot = &quorumpb.Snapshot{Meta: in.meta, Data: slices.Clip(in.data)}
-	whole.Chunk = nil
-	return false, whole
+	l.incoming = nil
+	complete = proto.CloneOf(m)
+	complete.Snapshot = &quorumpb.Snapshot{Meta: in.meta, Data: slices.Clip(in.data)}
+	complete.Chunk = nil
+	return false, complete
 }
 
-func (c *core) acknowledgePart(m *quorumpb.Message, wanted uint64) {
-	c.sendOwn(&quorumpb.Message{
+func (l *eventLoop) acknowledgeChunk(m *quorumpb.Message, nextOffset uint64) {
+	l.sendMessage(&quorumpb.Message{
 		Type:     quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT_REPLY,
 		From:     m.GetTo(),
 		To:       m.GetFrom(),
 		Group:    m.GetGroup(),
 		Term:     m.GetTerm(),
 		Snapshot: &quorumpb.Snapshot{Meta: m.GetSnapshot().GetMeta()},
-		Chunk:    &quorumpb.SnapshotChunk{Offset: wanted, Size: m.GetChunk().GetSize()},
+		Chunk:    &quorumpb.SnapshotChunk{Offset: nextOffset, Size: m.GetChunk().GetSize()},
 	})
 }
--- a/quorum/replica/duties.go
+++ b/quorum/replica/workers.go
@@ -11,8 +11,8 @@
 // journalJob asks the journal's duty to make a batch durable, or to release
 // the log up to an index.
 type journalJob struct {
-	batch   quorum.Batch
-	release uint64
+	batch        quorum.Batch
+	releaseIndex uint64
 }
 
 type journalDone struct {
@@ -22,15 +22,15 @@
 // applyJob asks the state machine's duty to apply entries, to restore a
 // snapshot, or to take one.
 type applyJob struct {
-	entries []*quorumpb.Entry
-	restore *quorumpb.Snapshot
-	take    *quorumpb.SnapshotMeta
+	entries      []*quorumpb.Entry
+	restore      *quorumpb.Snapshot
+	snapshotMeta *quorumpb.SnapshotMeta
 }
 
 type applyDone struct {
-	job     applyJob
-	results [][]byte
-	taken   *quorumpb.Snapshot
+	job      applyJob
+	results  [][]byte
+	snapshot *quorumpb.Snapshot
 }
 
 // runJournal is the journal's duty. Its errors end the replica: what is on
@@ -54,8 +54,8 @@
 }
 
 func (r *Replica) persist(job journalJob) error {
-	if job.release > 0 {
-		return r.journal.Release(job.release)
+	if job.releaseIndex > 0 {
+		return r.journal.Release(job.releaseIndex)
 	}
 	b := job.batch
 	if b.Snapshot != nil {
@@ -71,16 +71,16 @@
 	return r.journal.Save(b.HardState, b.Entries)
 }
 
-// persisted goes on with a batch that is durable.
-func (c *core) persisted(d journalDone) error {
-	if d.job.release > 0 {
+// handlePersisted goes on with a batch that is durable.
+func (l *eventLoop) handlePersisted(d journalDone) error {
+	if d.job.releaseIndex > 0 {
 		return nil
 	}
 	b := d.job.batch
-	c.send(b.Messages)
-	c.r.node.Advance(b)
+	l.send(b.Messages)
+	l.r.node.Advance(b)
 	if b.Snapshot != nil {
-		c.applyJobs = append(c.applyJobs, applyJob{restore: b.Snapshot})
+		l.applyJobs = append(l.applyJobs, applyJob{restore: b.Snapshot})
 	}
 	return nil
 }
@@ -113,13 +113,13 @@
 		if err := r.cfg.StateMachine.Restore(meta.GetIndex(), job.restore.GetData()); err != nil {
 			return done, errors.Wrapf(err, "replica: restore at %d", meta.GetIndex())
 		}
-		r.counts.snapshotsRestored.Add(1)
-	case job.take != nil:
+		r.counters.snapshotsRestored.Add(1)
+	case job.snapshotMeta != nil:
 		data, err := r.cfg.StateMachine.Snapshot()
 		if err != nil {
-			return done, errors.Wrapf(err, "replica: snapshot at %d", job.take.GetIndex())
+			return done, errors.Wrapf(err, "replica: snapshot at %d", job.snapshotMeta.GetIndex())
 		}
-		done.taken = &quorumpb.Snapshot{Meta: job.take, Data: data}
+		done.snapshot = &quorumpb.Snapshot{Meta: job.snapshotMeta, Data: data}
 	default:
 		done.results = r.applyEntries(job.entries)
 	}
@@ -134,69 +134,69 @@
 			results[i] = r.cfg.StateMachine.Apply(e.GetIndex(), e.GetData())
 		}
 	}
-	r.counts.applied.Add(uint64(len(entries)))
+	r.counters.applied.Add(uint64(len(entries)))
 	return results
 }
 
-// appliedDone takes up what the state machine has done.
-func (c *core) appliedDone(d applyDone) error {
+// handleApplied takes up what the state machine has done.
+func (l *eventLoop) handleApplied(d applyDone) error {
 	switch {
 	case d.job.restore != nil:
-		c.applied = d.job.restore.GetMeta().GetIndex()
-		c.sinceEntries, c.sinceBytes = 0, 0
-		c.dropOverwritten()
-	case d.job.take != nil:
-		c.snapshotJobs = append(c.snapshotJobs, snapshotJob{save: d.taken})
+		l.appliedIndex = d.job.restore.GetMeta().GetIndex()
+		l.entriesSinceSnapshot, l.bytesSinceSnapshot = 0, 0
+		l.failProposalsInSnapshot()
+	case d.job.snapshotMeta != nil:
+		l.snapshotJobs = append(l.snapshotJobs, snapshotJob{save: d.snapshot})
 		return nil
 	default:
-		c.finishProposals(d)
+		l.finishProposals(d)
 	}
-	c.r.node.AppliedTo(c.applied)
-	c.finishReads()
-	c.maybeSnapshot()
+	l.r.node.AppliedTo(l.appliedIndex)
+	l.finishAppliedReads()
+	l.startSnapshotIfDue()
 	return nil
 }
 
-func (c *core) finishProposals(d applyDone) {
+func (l *eventLoop) finishProposals(d applyDone) {
 	for i, e := range d.job.entries {
-		c.applied = e.GetIndex()
-		c.sinceEntries++
-		c.sinceBytes += len(e.GetData())
-		q := c.proposed[e.GetIndex()]
+		l.appliedIndex = e.GetIndex()
+		l.entriesSinceSnapshot++
+		l.bytesSinceSnapshot += len(e.GetData())
+		q := l.pendingProposals[e.GetIndex()]
 		if q == nil {
 			continue
 		}
 		if q.position.Term != e.GetTerm() {
 			// Another leader's entry took the place.
-			c.loseProposal(q, ErrLeadershipLost)
+			l.failProposal(q, ErrLeadershipLost)
 			continue
 		}
-		delete(c.proposed, e.GetIndex())
+		delete(l.pendingProposals, e.GetIndex())
 		q.finish(Applied{Index: e.GetIndex(), Result: d.results[i]}, nil)
 	}
 }
 
-// dropOverwritten answers proposals that a snapshot covers: whether they are in
+// failProposalsInSnapshot answers proposals that a snapshot covers: whether they are in
 // it cannot be told.
-func (c *core) dropOverwritten() {
-	for index, q := range c.proposed {
-		if index <= c.applied {
-			c.loseProposal(q, ErrLeadershipLost)
+func (l *eventLoop) failProposalsInSnapshot() {
+	for index, q := range l.pendingProposals {
+		if index <= l.appliedIndex {
+			l.failProposal(q, ErrLeadershipLost)
 		}
 	}
 }
 
-// maybeSnapshot asks for a snapshot when enough was applied since the last one.
-func (c *core) maybeSnapshot() {
-	due := c.sinceEntries >= c.r.cfg.SnapshotEntries || c.sinceBytes >= c.r.cfg.SnapshotBytes
-	if !due || c.snapshotting {
+// startSnapshotIfDue asks for a snapshot when enough was applied since the last one.
+func (l *eventLoop) startSnapshotIfDue() {
+	due := l.entriesSinceSnapshot >= l.r.cfg.SnapshotEntries || l.bytesSinceSnapshot >= l.r.cfg.SnapshotBytes
+	if !due || l.snapshotInProgress {
 		return
 	}
-	meta, ok := c.r.node.SnapshotMeta(c.applied)
+	meta, ok := l.r.node.SnapshotMeta(l.appliedIndex)
 	if !ok {
 		return
 	}
-	c.snapshotting = true
-	c.sinceEntries, c.sinceBytes = 0, 0
-	c.applyJobs = append(c.applyJobs, applyJob{take: meta})
+	l.snapshotInProgress = true
+	l.entriesSinceSnapshot, l.bytesSinceSnapshot = 0, 0
+	l.applyJobs = append(l.applyJobs, applyJob{snapshotMeta: meta})
 }
