--- a/quorum/journal/crash_test.go
+++ b/quorum/journal/crash_test.go
@@ -11,7 +11,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
-// expectedState is what a journal must hold after the calls that returned.
+// expectedState is the state that a journal must recover after the calls that
+// returned without an error.
 type expectedState struct {
 	hardState *quorumpb.HardState
 	snapshot  uint64
@@ -29,7 +30,9 @@
 	}
 }
 
-// runWorkload writes until a call fails. pending is the call that failed.
+// runWorkload writes to j until a call fails, and records the completed calls
+// in m. pending applies the effect of the last call, which is the failed one if
+// err is not nil.
 func runWorkload(j *journal.Journal, m *expectedState) (pending func(*expectedState), err error) {
 	save := func(h *quorumpb.HardState, entries []*quorumpb.Entry) bool {
 		pending = func(m *expectedState) { m.save(h, entries) }
@@ -57,7 +60,8 @@
 		err = j.Release(index)
 		return err == nil
 	}
-	// One by one, so that a release removes several segments.
+	// Saves entries one at a time, to fill several segments that a release can
+	// remove.
 	saveEach := func(first, last, term uint64) bool {
 		for i := first; i <= last; i++ {
 			if !save(nil, logEntries(i, i, term)) {
@@ -81,8 +85,11 @@
 	return pending, err
 }
 
+// newExpectedState returns the state of an empty journal.
 func newExpectedState() *expectedState { return &expectedState{terms: map[uint64]uint64{}} }
 
+// workloadSteps returns the number of file system changes of a complete
+// workload.
 func workloadSteps(t *testing.T) int {
 	fs := journaltest.New()
 	j, _ := openJournal(t, fs)
@@ -91,9 +98,9 @@
 	return fs.Steps()
 }
 
-// crashAt loses power at a step, opens the journal, and compares it with what
-// the calls that returned had promised. The call that failed may have had its
-// effect.
+// crashAt simulates a power failure at a file system change, reopens the journal
+// and compares its state with the effects of the completed calls. The call that
+// failed may or may not have taken effect.
 func crashAt(t *testing.T, step, keptBytes int, seed uint64) {
 	t.Helper()
 	fs := journaltest.New()
@@ -121,9 +128,10 @@
 			return
 		}
 	}
-	require.Fail(t, "wrong state", "step %d, keep %d, seed %d: %v", step, keptBytes, seed, state)
+	require.Fail(t, "recovered state differs from the completed calls", "step %d, keep %d, seed %d: %v", step, keptBytes, seed, state)
 }
 
+// equals reports whether a recovered state matches m.
 func (m *expectedState) equals(s journal.State) bool {
 	if m.hardState.GetTerm() != s.HardState.GetTerm() || m.snapshot != s.Snapshot.GetMeta().GetIndex() {
 		return false
@@ -140,8 +148,9 @@
 	return true
 }
 
-// FuzzOpen opens a folder whose newest segment holds anything. It must refuse
-// or start, and after a start go on and start again with the same log.
+// FuzzOpen opens a journal whose newest segment holds arbitrary bytes. Open must
+// either fail, or return a journal that accepts a write and recovers the same
+// log with that write after a crash.
 func FuzzOpen(f *testing.F) {
 	fs := journaltest.New()
 	j, _, err := journal.Open(dir, journal.Options{FS: fs})
--- a/quorum/journal/damage_test.go
+++ b/quorum/journal/damage_test.go
@@ -14,11 +14,9 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Symptom: a replica does not start after a power cut, or starts without
-// entries that it had acknowledged.
-// Sequence: power is lost while a record is written; any number of its bytes
-// reached the disk.
-// Cause: the end of the newest segment is a part of a record.
+// Guards against a replica that does not start after a power failure, or starts
+// without entries that it had acknowledged. Power fails while a record is
+// written, so that the newest segment ends with any part of the record.
 func TestTornTailAtEveryByte(t *testing.T) {
 	fs := journaltest.New()
 	j, _ := openJournal(t, fs)
@@ -47,7 +45,7 @@
 			requireLog(t, logEntries(1, 2, 1), state.Entries)
 			require.True(t, proto.Equal(hardState(1), state.HardState))
 			require.Equal(t, int64(size-synced), state.TornBytes)
-			// The cut is durable, and the journal goes on.
+			// The truncation is durable, and the journal accepts writes.
 			torn.Crash(func(int) int { return 0 })
 			reopened, state := openJournal(t, torn)
 			require.Zero(t, state.TornBytes)
@@ -56,15 +54,17 @@
 	}
 }
 
-// Symptom: a replica votes twice or lacks entries that it had acknowledged.
-// Sequence: a byte of a synced record changes on disk.
-// Cause: it is taken for a torn write, and the log is cut there.
+// Guards against a replica that votes twice or lacks acknowledged entries. A
+// byte of a synced record changes on disk, and the journal takes it for a torn
+// write and truncates the log there.
 func TestOpenRefusesDamage(t *testing.T) {
 	for _, segmentBytes := range []int64{512, 1 << 20} {
 		t.Run(fmt.Sprint(segmentBytes), func(t *testing.T) { testDamageRefused(t, segmentBytes) })
 	}
 }
 
+// testDamageRefused changes each byte of each file in turn and requires that
+// Open fails and leaves the file as it is.
 func testDamageRefused(t *testing.T, segmentBytes int64) {
 	fs := journaltest.New()
 	j, _, err := journal.Open(dir, journal.Options{FS: fs, SegmentBytes: segmentBytes})
@@ -81,7 +81,7 @@
 		original := fs.Content(path)
 		end := len(original)
 		if path == newestSegment(t, fs) {
-			// The last record only says that the journal was closed.
+			// The last record only marks that the journal was closed.
 			end -= closeRecordBytes
 		}
 		for offset := range end {
@@ -94,7 +94,7 @@
 				code = result.SnapshotDamaged
 			}
 			requireCode(t, code, err)
-			require.Equal(t, data, fs.Content(path), "a damaged file was changed")
+			require.Equal(t, data, fs.Content(path), "Open changed a damaged file")
 		}
 		fs.SetContent(path, original)
 	}
@@ -102,9 +102,12 @@
 	require.Len(t, state.Entries, 28)
 }
 
-// closeRecordBytes is the size of the record that Close leaves, in bytes.
+// closeRecordBytes is the size of the record that Close writes, in bytes:
+// header and payload.
 const closeRecordBytes = 12 + 2
 
+// Guards against a replica that starts with an incomplete log or with a new
+// identity after a file of the journal was removed.
 func TestOpenRefusesMissingFile(t *testing.T) {
 	for _, missing := range []string{"identity", "log-0000000000000001.seg", "log-0000000000000003.seg"} {
 		fs := journaltest.New()
@@ -119,6 +122,8 @@
 	}
 }
 
+// Guards against a replica that starts with the log of another disk, or reports
+// such a log as damage. A segment is copied from one disk to another.
 func TestOpenRefusesSegmentOfAnotherDisk(t *testing.T) {
 	fs, other := journaltest.New(), journaltest.New()
 	for _, f := range []*journaltest.FS{fs, other} {
@@ -130,8 +135,8 @@
 	fs.SetContent(path, other.Content(path))
 	_, _, err := journal.Open(dir, journal.Options{FS: fs})
 	requireCode(t, result.WrongDisk, err)
-	// Without a readable header it is damage, not a segment that was never
-	// begun: it is longer than a header.
+	// Without a readable header the file is damage, not an unfinished segment,
+	// because it is longer than a header.
 	data := fs.Content(path)
 	for i := range data {
 		data[i] ^= 0x55
--- a/quorum/journal/journal.go
+++ b/quorum/journal/journal.go
@@ -12,57 +12,63 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// formatVersion is written into each segment and snapshot.
+// formatVersion is written into the identity file and into the header of each
+// segment. Open refuses files with a higher version.
 const formatVersion = 1
 
-// DefaultSegmentBytes is the size after which a new segment is begun.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 16 << 20
 
-// ErrClosed is returned after Close.
+// ErrClosed is returned by methods that write after Close was called.
 var ErrClosed = errors.New("journal: closed")
 
-// Options of a journal.
+// Options configures a journal. The zero value selects the defaults.
 type Options struct {
-	// FS is the file system; the default is OS().
+	// FS is the file system; nil means OS().
 	FS FS
-	// SegmentBytes is the size after which a new segment is begun, in bytes.
+	// SegmentBytes is the size at which a new segment is started, in bytes;
+	// zero means DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
-// State is what the disk holds.
+// State is the state recovered from disk.
 type State struct {
-	// HardState is nil on a disk that holds no log.
+	// HardState is nil if none was saved.
 	HardState *quorumpb.HardState
-	// Snapshot is the newest one; nil if there is none.
+	// Snapshot is the newest snapshot, or nil if there is none.
 	Snapshot *quorumpb.Snapshot
-	// Entries after the snapshot.
+	// Entries are the log entries after the snapshot, in the order of their
+	// indexes.
 	Entries []*quorumpb.Entry
-	// TornBytes were cut off the end of the log, in bytes.
+	// TornBytes is the number of bytes of a torn record that were truncated
+	// from the end of the log.
 	TornBytes int64
 }
 
-// Stats count since the journal was opened.
+// Stats holds counters of one journal since it was opened.
 type Stats struct {
-	// Syncs of files and folders.
+	// Syncs counts the syncs of files and directories.
 	Syncs uint64
-	// Bytes written.
+	// Bytes counts the bytes written.
 	Bytes uint64
-	// Records written.
+	// Records counts the records written to segments.
 	Records uint64
-	// Segments now on disk.
+	// Segments is the number of segments on disk.
 	Segments uint64
 }
 
-// segment is a segment on disk.
+// segment describes a segment file on disk.
 type segment struct {
 	sequence uint64
-	// lastIndex is the highest index of an entry in it.
+	// lastIndex is the highest index of an entry in the segment; zero if it
+	// holds no entry.
 	lastIndex uint64
 }
 
-// Journal is one replica's disk. Save, Reset, Release and Close are for one
-// goroutine; SaveSnapshot and ReadSnapshot may be called by another one; Stats
-// and Disk by any.
+// Journal is the durable storage of one replica. Save, Reset, Release and Close
+// must not be called concurrently with each other. SaveSnapshot and
+// ReadSnapshot may run concurrently with them; Stats and Disk may be called
+// from any goroutine.
 type Journal struct {
 	fs           FS
 	dir          string
@@ -75,25 +81,26 @@
 	seed     uint32
 	size     int64
 	buf      []byte
-	// hardState is the newest hardState state, repeated at the head of each segment so
-	// that older ones can be removed.
+	// hardState is the newest hard state. It is repeated in the header of each
+	// segment, so that older segments can be removed.
 	hardState *quorumpb.HardState
 
-	// snapshotMu orders the saving and reading of snapshots, which two
-	// goroutines do.
+	// snapshotMu serializes saving and reading of snapshots, which happen in
+	// different goroutines.
 	snapshotMu     sync.Mutex
 	newestSnapshot string
 
-	// firstErr holds the first error of a write; nothing is written after it.
+	// firstErr holds the first write error, or ErrClosed after Close. Once it
+	// is set, nothing is written.
 	firstErr atomic.Pointer[error]
 
 	syncs, bytes, records, segmentCount atomic.Uint64
 }
 
-// Disk returns the identity of the disk.
+// Disk returns the identity of the disk: a UUID created with the directory.
 func (j *Journal) Disk() string { return j.diskID }
 
-// Stats returns the counters.
+// Stats returns the counters since the journal was opened.
 func (j *Journal) Stats() Stats {
 	return Stats{
 		Syncs:    j.syncs.Load(),
@@ -103,10 +110,12 @@
 	}
 }
 
-// Save writes hard state and entries as one record and syncs it. Entries
-// replace those on disk from the index of the first one on. A nil hard state
-// keeps the one before. Errors carry result.DiskFull or result.SyncFailed and
-// end the journal.
+// Save writes the hard state and the entries as one record and syncs it. The
+// entries replace all entries on disk from the index of the first one on. A nil
+// hardState leaves the saved one in effect; without hard state and entries Save
+// does nothing. Errors carry result.DiskFull, result.SyncFailed or
+// result.EntryTooLarge; after an error all later writes fail with it. After
+// Close, Save returns ErrClosed.
 func (j *Journal) Save(hardState *quorumpb.HardState, entries []*quorumpb.Entry) error {
 	if hardState == nil && len(entries) == 0 {
 		return nil
@@ -114,14 +123,15 @@
 	return j.write(&quorumpb.Record{HardState: hardState, Entries: entries})
 }
 
-// Reset records that the log was replaced by a snapshot, which must have been
-// saved before. Errors are those of Save.
+// Reset records that a snapshot replaced the log. The snapshot must have been
+// saved with SaveSnapshot before. Errors are those of Save.
 func (j *Journal) Reset(meta *quorumpb.SnapshotMeta) error {
 	return j.write(&quorumpb.Record{ReplacedBy: meta})
 }
 
-// Close ends the journal in order. It leaves a last record, so that damage to
-// the one before is not taken for a torn write when the journal is opened.
+// Close closes the journal and releases its lock. It writes a final record, so
+// that the next Open does not take damage to the record before it for a torn
+// write.
 func (j *Journal) Close() error {
 	var err error
 	if j.err() == nil {
@@ -134,6 +144,7 @@
 	return errors.Join(err, j.lock.Close())
 }
 
+// err returns the first write error, ErrClosed after Close, or nil.
 func (j *Journal) err() error {
 	if p := j.firstErr.Load(); p != nil {
 		return *p
@@ -141,13 +152,15 @@
 	return nil
 }
 
-// failWith makes err the answer of all later calls and returns it.
+// failWith stores err as the result of all later writes, unless an error is
+// already stored, and returns err.
 func (j *Journal) failWith(err error) error {
 	j.firstErr.CompareAndSwap(nil, &err)
 	return err
 }
 
-// write appends one record and syncs it.
+// write appends one record and syncs it. It starts a new segment first if the
+// open one has reached its maximum size.
 func (j *Journal) write(r *quorumpb.Record) error {
 	if err := j.err(); err != nil {
 		return err
@@ -170,9 +183,9 @@
 	return nil
 }
 
-// append writes one record to the open segment and syncs it. One write and one
-// sync for each record, in this order, is what lets Open tell a torn record
-// from damage.
+// append writes one record to the open segment and syncs it. Each record is
+// written and synced before the next one is written, which allows Open to
+// distinguish a torn record from damage.
 func (j *Journal) append(r *quorumpb.Record) error {
 	buf, err := appendRecord(j.buf[:0], j.seed, j.size, r)
 	if err != nil {
@@ -195,10 +208,12 @@
 	return nil
 }
 
-// maxRetainedBufferBytes is the largest write buffer that is kept for the next write.
+// maxRetainedBufferBytes is the capacity of the largest write buffer that is
+// reused for the next write, in bytes.
 const maxRetainedBufferBytes = 1 << 20
 
-// startSegment begins a new segment.
+// startSegment closes the open segment, if any, and creates the next one with
+// its header.
 func (j *Journal) startSegment() error {
 	if j.file != nil {
 		if err := j.file.Close(); err != nil {
@@ -226,6 +241,7 @@
 	return nil
 }
 
+// segmentHeader returns the first record of a segment.
 func segmentHeader(diskID string, sequence uint64, hardState *quorumpb.HardState) *quorumpb.Record {
 	return &quorumpb.Record{
 		Header:    &quorumpb.SegmentHeader{Version: formatVersion, Disk: diskID, Sequence: sequence},
@@ -233,6 +249,7 @@
 	}
 }
 
+// syncDir makes creations and removals of files in the directory durable.
 func (j *Journal) syncDir() error {
 	if err := j.fs.SyncDir(j.dir); err != nil {
 		return j.failWith(ioError(err, "sync folder"))
@@ -241,21 +258,23 @@
 	return nil
 }
 
-// Release removes the segments that hold only entries up to index, which a
-// snapshot on disk must contain. The newest segment stays.
+// Release removes the segments that hold only entries up to index. A snapshot
+// on disk must cover these entries. The newest segment is never removed. Errors
+// are those of Save.
 func (j *Journal) Release(index uint64) error {
 	if err := j.err(); err != nil {
 		return err
 	}
 	removed := false
-	// Oldest first: a gap in the numbers would look like damage.
+	// Remove the oldest segment first: Open takes a gap in the sequence
+	// numbers for damage.
 	for len(j.segments) > 1 && j.segments[0].lastIndex <= index {
 		name := segmentName(j.segments[0].sequence)
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
 			return j.failWith(ioError(err, "remove segment"))
 		}
-		// Each removal is made durable by itself: without this a crash could
-		// undo the first of two and leave a gap.
+		// Sync after each removal: otherwise a crash could undo the first of two
+		// removals and leave a gap.
 		if err := j.syncDir(); err != nil {
 			return err
 		}
--- a/quorum/journal/journal_test.go
+++ b/quorum/journal/journal_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// newestSegment returns the path of the segment that is written to.
+// newestSegment returns the path of the segment with the highest sequence
+// number.
 func newestSegment(t *testing.T, fs *journaltest.FS) string {
 	t.Helper()
 	names, err := fs.ReadDir(dir)
@@ -76,6 +77,8 @@
 	return filepath.Join(dir, newest)
 }
 
+// Guards against a journal that recovers another state than was saved: a
+// sequence of saves, snapshots and resets is followed by a crash and two starts.
 func TestReopen(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -135,7 +138,7 @@
 			j, _ := openJournal(t, fs)
 			disk := j.Disk()
 			c.write(t, j)
-			// Twice: the second start reads what the first one wrote.
+			// Open twice: the second time reads what the first one wrote.
 			for range 2 {
 				fs.Crash(func(int) int { return 0 })
 				next, state := openJournal(t, fs)
@@ -144,7 +147,7 @@
 				require.True(t, proto.Equal(c.want.Snapshot, state.Snapshot), "%v", state.Snapshot)
 				requireLog(t, c.want.Entries, state.Entries)
 			}
-			// The log goes on after a start.
+			// The journal accepts writes after a restart.
 			fs.Kill()
 			next, state := openJournal(t, fs)
 			last := state.Snapshot.GetMeta().GetIndex() + uint64(len(state.Entries))
@@ -156,12 +159,10 @@
 	}
 }
 
-// Symptom: after a crash the journal does not open, or forgets what it had
-// synced, or holds a part of a batch.
-// Sequence: the process loses power at any step of writing; the folder and the
-// unsynced bytes survive in part.
-// Cause: a file under its final name is not whole, or the order of syncs,
-// renames and removals is wrong.
+// Guards against a journal that does not open after a power failure, loses synced
+// data or recovers part of a batch. This happens if a file under its final name
+// is incomplete, or if syncs, renames and removals are in the wrong order. Power
+// fails at each step; unsynced bytes and directory changes survive in part.
 func TestCrashAtEveryStep(t *testing.T) {
 	steps := workloadSteps(t)
 	require.Greater(t, steps, 40)
@@ -174,11 +175,9 @@
 	}
 }
 
-// Symptom: a vote or an entry is lost although it was read back after a
-// restart.
-// Sequence: the process is killed between write and sync; it starts again and
-// acknowledges what it reads; then power is lost.
-// Cause: what was read from the page cache was never synced.
+// Guards against the loss of a vote or an entry that was recovered after a
+// restart. A process that is killed between write and sync recovers the record
+// from the page cache; unless Open syncs it, a power failure then loses it.
 func TestRecoveredRecordsAreSynced(t *testing.T) {
 	fs := journaltest.New()
 	j, _ := openJournal(t, fs)
@@ -199,9 +198,9 @@
 	require.Len(t, state.Entries, 2)
 }
 
-// Symptom: entries are acknowledged that the disk does not hold.
-// Sequence: a sync or write fails once; the next one succeeds.
-// Cause: after a failed sync the kernel may have dropped the pages.
+// Guards against acknowledging entries that are not on disk. A write or sync
+// fails once and the next one succeeds, but after the failed sync the kernel may
+// have dropped the dirty pages.
 func TestJournalStopsAfterIOError(t *testing.T) {
 	cases := []struct {
 		op   string
@@ -237,13 +236,15 @@
 			}
 			requireCode(t, c.code, err)
 			fs.SetFault(nil)
-			require.Equal(t, err, j.Save(nil, logEntries(2, 2, 1)), "the journal went on after an error")
+			require.Equal(t, err, j.Save(nil, logEntries(2, 2, 1)), "the journal accepted a write after an error")
 			require.Equal(t, err, j.SaveSnapshot(snapshotAt(1, 1)))
 			require.Equal(t, err, j.Release(1))
 		})
 	}
 }
 
+// Guards against two processes that write to one journal, and against a lock
+// that outlives Close.
 func TestLockAndClose(t *testing.T) {
 	fs := journaltest.New()
 	j, _ := openJournal(t, fs)
@@ -254,6 +255,8 @@
 	openJournal(t, fs)
 }
 
+// Guards against a replica with a replaced disk that votes under its old
+// identity, although its earlier votes and entries are lost.
 func TestWipedDiskGetsNewIdentity(t *testing.T) {
 	fs := journaltest.New()
 	j, _ := openJournal(t, fs)
@@ -263,6 +266,8 @@
 	require.Equal(t, journal.State{}, state)
 }
 
+// Guards against differences between the simulated file system and that of the
+// operating system: directories, locking, segments, snapshots and removal.
 func TestOSFileSystem(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a", "b")
 	j, _, err := journal.Open(path, journal.Options{SegmentBytes: 256})
--- a/quorum/journal/journaltest/fs.go
+++ b/quorum/journal/journaltest/fs.go
@@ -1,5 +1,5 @@
-// Package journaltest has a file system in memory for tests of what a crash
-// leaves on disk. It keeps apart what was written and what was synced.
+// Package journaltest provides an in-memory file system that simulates crashes
+// and I/O errors. It distinguishes written data from synced data.
 package journaltest
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrCrashed is returned by every change after a crash was reached, and by
-// files that were open at a crash.
+// ErrCrashed is returned by every change after the one set with FS.StopAt, and
+// by files that were opened before a crash, kill or wipe.
 var ErrCrashed = errors.New("journaltest: crashed")
 
-// inode is the content of a file. Bytes after synced are lost in a crash, or
-// some of them.
+// inode is the content of a file. A crash may lose the bytes after the first
+// synced ones, or some of them.
 type inode struct {
 	data   []byte
 	synced int
@@ -29,12 +29,15 @@
 // FS implements journal.FS. It is safe for concurrent use.
 type FS struct {
 	mu sync.Mutex
-	// visible is the folder as processes see it, durable what a crash leaves.
+	// visible maps the paths that a process sees to their content, durable the
+	// paths that survive a crash.
 	visible, durable map[string]*inode
-	// pendingDirChanges changes of the folder, in order, since the last SyncDir.
-	pendingDirChanges []func(folder map[string]*inode)
+	// pendingDirChanges are the changes of directory entries since the last
+	// SyncDir, in order.
+	pendingDirChanges []func(files map[string]*inode)
 	lockedDirs        map[string]bool
-	// epoch grows with each crash; files of an earlier one are dead.
+	// epoch is incremented by each crash, kill and wipe. Files and locks of an
+	// earlier epoch are invalid.
 	epoch int
 
 	changes       int
@@ -52,48 +55,53 @@
 	}
 }
 
-// Steps returns how many changes were made: writes, syncs, creations, cuts,
-// renames, removals.
+// Steps returns the number of changes since the last restart or StopAt: writes,
+// syncs, creations, truncations, renames and removals.
 func (f *FS) Steps() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changes
 }
 
-// StopAt makes the change of the given number, from 1, the last one. If it is
-// a write, only its first keep bytes are written. Zero lifts the stop.
+// StopAt resets the counter of changes and makes the change with number step,
+// counted from 1, the last one that succeeds; later ones fail with ErrCrashed.
+// If the last one is a write, only its first keepBytes bytes are written, and
+// it returns ErrCrashed. A step of zero removes the limit.
 func (f *FS) StopAt(step, keepBytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changes, f.stopAt, f.stopKeepBytes = 0, step, keepBytes
 }
 
-// SetFault makes changes fail with the error that fault returns; nil lets them
-// pass. op is write, sync, create, truncate, rename, remove or syncdir.
+// SetFault makes a change fail with the error that fault returns for it. If
+// fault returns nil, or is nil itself, the change is carried out. op is write,
+// sync, create, truncate, rename, remove or syncdir.
 func (f *FS) SetFault(fault func(op, name string) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.injectedFault = fault
 }
 
-// Kill ends the process: locks are released and open files are dead, but
-// nothing that was written is lost.
+// Kill simulates the end of the process: locks are released and open files
+// become invalid, but no written data is lost.
 func (f *FS) Kill() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.restart()
 }
 
-// Crash loses what was not synced: of each file's unsynced end it keeps what
-// keep returns, of the folder's changes none.
+// Crash simulates a power failure. Of the unsynced bytes at the end of each file
+// it keeps the first ones, as many as keep returns. Unsynced changes of
+// directory entries are lost.
 func (f *FS) Crash(keep func(unsynced int) int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crash(func() bool { return false }, keep)
 }
 
-// CrashRandom is Crash with random parts kept, some of them garbled, and any of
-// the folder's unsynced changes.
+// CrashRandom is like Crash, but keeps a random part of the unsynced bytes of
+// each file, some with a flipped bit, and a random subset of the unsynced
+// changes of directory entries.
 func (f *FS) CrashRandom(r *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,10 +110,13 @@
 			n.data[n.synced+r.IntN(len(n.data)-n.synced)] ^= 1 << r.IntN(8)
 		}
 	}
-	// POSIX promises no order among changes of a folder that were not synced.
+	// POSIX does not guarantee an order among unsynced changes of directory
+	// entries.
 	f.crash(func() bool { return r.IntN(2) == 0 }, func(unsynced int) int { return r.IntN(unsynced + 1) })
 }
 
+// crash implements Crash and CrashRandom. dirChangeSurvives decides for each
+// unsynced change of a directory entry.
 func (f *FS) crash(dirChangeSurvives func() bool, keep func(int) int) {
 	for _, change := range f.pendingDirChanges {
 		if dirChangeSurvives() {
@@ -122,13 +133,15 @@
 	f.restart()
 }
 
+// restart invalidates open files, releases locks and resets the counter of
+// changes and the limit set with StopAt.
 func (f *FS) restart() {
 	f.epoch++
 	f.lockedDirs = map[string]bool{}
 	f.changes, f.stopAt, f.stopKeepBytes = 0, 0, 0
 }
 
-// Wipe removes everything, as a replaced disk does.
+// Wipe removes all files, like the replacement of the disk.
 func (f *FS) Wipe() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +149,7 @@
 	f.restart()
 }
 
-// Content returns a copy of a file's bytes.
+// Content returns a copy of a file's bytes, or nil if the file does not exist.
 func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +159,8 @@
 	return nil
 }
 
-// SetContent replaces a file's bytes, as damage does; nil removes it.
+// SetContent replaces the synced content of a file, to simulate damage; nil
+// removes the file. It does not count as a change.
 func (f *FS) SetContent(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +173,8 @@
 	f.visible[name], f.durable[name] = n, n
 }
 
-// countChange counts a change; an error means that it must not happen.
+// countChange counts a change. If it returns an error, the caller must not make
+// the change.
 func (f *FS) countChange(op, name string) error {
 	if f.injectedFault != nil {
 		if err := f.injectedFault(op, name); err != nil {
@@ -173,12 +188,13 @@
 	return nil
 }
 
+// changeDir applies a change of directory entries and keeps it until SyncDir.
 func (f *FS) changeDir(change func(map[string]*inode)) {
 	change(f.visible)
 	f.pendingDirChanges = append(f.pendingDirChanges, change)
 }
 
-// MkdirAll implements journal.FS.
+// MkdirAll implements journal.FS. Directories exist implicitly.
 func (f *FS) MkdirAll(string) error { return nil }
 
 // ReadDir implements journal.FS.
@@ -217,7 +233,7 @@
 		return nil, errors.Wrap(fs.ErrExist, name)
 	}
 	n := &inode{}
-	f.changeDir(func(folder map[string]*inode) { folder[name] = n })
+	f.changeDir(func(files map[string]*inode) { files[name] = n })
 	return &file{fs: f, inode: n, name: name, epoch: f.epoch}, nil
 }
 
@@ -248,9 +264,9 @@
 	if n == nil {
 		return errors.Wrap(fs.ErrNotExist, oldName)
 	}
-	f.changeDir(func(folder map[string]*inode) {
-		delete(folder, oldName)
-		folder[newName] = n
+	f.changeDir(func(files map[string]*inode) {
+		delete(files, oldName)
+		files[newName] = n
 	})
 	return nil
 }
@@ -265,7 +281,7 @@
 	if f.visible[name] == nil {
 		return errors.Wrap(fs.ErrNotExist, name)
 	}
-	f.changeDir(func(folder map[string]*inode) { delete(folder, name) })
+	f.changeDir(func(files map[string]*inode) { delete(files, name) })
 	return nil
 }
 
@@ -288,12 +304,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lockedDirs[dir] {
-		return nil, errors.New("journaltest: locked")
+		return nil, errors.New("journaltest: directory is locked")
 	}
 	f.lockedDirs[dir] = true
 	return &dirLock{fs: f, dir: dir, epoch: f.epoch}, nil
 }
 
+// dirLock is a lock on a directory.
 type dirLock struct {
 	fs    *FS
 	dir   string
@@ -310,7 +327,7 @@
 	return nil
 }
 
-// file is an open file.
+// file implements journal.File. It is valid in the epoch in which it was opened.
 type file struct {
 	fs    *FS
 	inode *inode
--- a/quorum/journal/open.go
+++ b/quorum/journal/open.go
@@ -20,19 +20,22 @@
 	segmentSuffix = ".seg"
 )
 
+// segmentName returns the file name of a segment.
 func segmentName(sequence uint64) string {
 	return fmt.Sprintf("%s%016x%s", segmentPrefix, sequence, segmentSuffix)
 }
 
-// Open opens the journal in dir, and creates it, with a new disk identity,
-// where dir is missing or empty. Errors carry the codes
+// Open opens the journal in dir and returns the state recovered from it. If dir
+// is missing or empty, Open creates the journal with a new disk identity.
+// Errors carry one of the codes
 //
-//   - result.JournalLocked: another process has the folder;
+//   - result.JournalLocked: the directory could not be locked, usually because
+//     another process uses it;
 //   - result.JournalDamaged, result.SnapshotDamaged: synced data is missing or
-//     changed, nothing was touched;
-//   - result.WrongDisk: the segments were written under another identity;
-//   - result.JournalVersion: written by a newer version;
-//   - result.DiskFull, result.SyncFailed: the disk refuses.
+//     has changed; Open has not modified the damaged file;
+//   - result.WrongDisk: a segment was written under another disk identity;
+//   - result.JournalVersion: the files were written by a newer version;
+//   - result.DiskFull, result.SyncFailed: a file operation failed.
 func Open(dir string, o Options) (*Journal, State, error) {
 	if o.FS == nil {
 		o.FS = OS()
@@ -55,8 +58,9 @@
 	return j, state, nil
 }
 
-// recoverState reads the folder, cuts a torn end and begins a new segment. The old
-// ones are never appended to: a torn end stays the end of its file.
+// recoverState reads the files, truncates a torn record and starts a new
+// segment. Segments of earlier runs are never appended to, so that a torn
+// record can only be at the end of a file.
 func (j *Journal) recoverState() (State, error) {
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
@@ -85,7 +89,8 @@
 		return State{}, err
 	}
 	if reset {
-		// The crash came between a received snapshot and its Reset.
+		// The process crashed between SaveSnapshot of a received snapshot and
+		// the Reset for it.
 		if err := j.Reset(snapshot.GetMeta()); err != nil {
 			return State{}, err
 		}
@@ -93,6 +98,7 @@
 	return r.state, nil
 }
 
+// removeTemporary removes files that replaceFile did not complete.
 func (j *Journal) removeTemporary(names []string) error {
 	for _, name := range names {
 		if !strings.HasSuffix(name, temporarySuffix) {
@@ -105,15 +111,17 @@
 	return nil
 }
 
-// openIdentity reads the identity of the disk or makes one for an empty disk.
+// openIdentity reads the identity of the disk, or creates one if the directory
+// holds neither segments nor snapshots.
 func (j *Journal) openIdentity(names []string) error {
 	if slices.Contains(names, identityName) {
 		return j.readIdentity()
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, segmentSuffix) || strings.HasSuffix(name, snapshotSuffix) {
-			// With a new identity this log would vote as a new replica, and as
-			// the old one where a copy of it runs.
+			// With a new identity the replica would vote as a new member on the
+			// basis of this log, while a copy of the disk could vote as the old
+			// member.
 			return damagedError("%s without the disk's identity", name)
 		}
 	}
@@ -128,6 +136,7 @@
 	return j.replaceFile(identityName, buf)
 }
 
+// readIdentity reads and verifies the identity file.
 func (j *Journal) readIdentity() error {
 	data, err := j.fs.ReadFile(filepath.Join(j.dir, identityName))
 	if err != nil {
@@ -145,7 +154,8 @@
 	return nil
 }
 
-// readSegments replays all segments in order and cuts the newest one's torn end.
+// readSegments replays all segments in order and truncates a torn record at the
+// end of the newest one.
 func (j *Journal) readSegments(names []string, r *replay) error {
 	sequences, err := segmentSequences(names)
 	if err != nil {
@@ -162,6 +172,8 @@
 	return nil
 }
 
+// segmentSequences returns the sorted sequence numbers of the segments among
+// the file names.
 func segmentSequences(names []string) ([]uint64, error) {
 	var sequences []uint64
 	for _, name := range names {
@@ -179,6 +191,9 @@
 	return sequences, nil
 }
 
+// readSegment verifies and replays one segment and records it in j.segments.
+// In the newest segment it truncates a torn record, or removes the file if its
+// header is incomplete.
 func (j *Journal) readSegment(sequence uint64, newest bool, r *replay) error {
 	name := segmentName(sequence)
 	path := filepath.Join(j.dir, name)
@@ -191,8 +206,8 @@
 	}
 	records, end, damaged := readRecords(data, checksumSeed(j.diskID, name))
 	torn := int64(len(data)) - end
-	// Only the newest segment can have a torn end: the others were complete
-	// before their successor was begun.
+	// Only the newest segment can end with a torn record: every other segment
+	// was complete before its successor was created.
 	if damaged || torn > 0 && !newest {
 		return damagedError("%s at offset %d", name, end)
 	}
@@ -208,7 +223,7 @@
 		if len(data) > len(header) {
 			return damagedError("%s at offset 0", name)
 		}
-		// The crash came while the segment was begun. Nothing was saved in it.
+		// The process crashed while it created the segment, before any Save.
 		return j.removeUnfinishedSegment(path)
 	}
 	lastIndex, err := j.replaySegment(sequence, records, r)
@@ -219,15 +234,17 @@
 	if !newest {
 		return nil
 	}
-	// Also without a torn end: a process that was killed between write and
-	// sync left records that are readable but not durable. They count as
-	// acknowledged from now on, and a power cut would take them away.
+	// Truncate also syncs, so call it without a torn record too: a process that
+	// was killed between write and sync leaves a record that is readable but not
+	// durable. The replica treats it as acknowledged after this start, and a
+	// power failure would lose it.
 	if err := j.fs.Truncate(path, end); err != nil {
 		return ioError(err, "cut "+name)
 	}
 	return nil
 }
 
+// removeUnfinishedSegment removes a segment without a complete header.
 func (j *Journal) removeUnfinishedSegment(path string) error {
 	if err := j.fs.Remove(path); err != nil {
 		return ioError(err, "remove unfinished segment")
@@ -235,6 +252,8 @@
 	return j.syncDir()
 }
 
+// replaySegment checks the header of a segment and applies its records to r. It
+// returns the highest index of an entry in the segment, zero if it has none.
 func (j *Journal) replaySegment(sequence uint64, records []*quorumpb.Record, r *replay) (lastIndex uint64, err error) {
 	header := records[0].GetHeader()
 	switch {
--- a/quorum/journal/osfs.go
+++ b/quorum/journal/osfs.go
@@ -9,19 +9,19 @@
 	"github.com/go-faster/errors"
 )
 
-// File modes: the log holds callers' data.
+// File modes grant access to the owner only, since the log holds callers' data.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
 )
 
-// lockName is the file that the lock is taken on.
+// lockName is the name of the file that Lock locks.
 const lockName = "lock"
 
-// osFS is the machine's file system.
+// osFS implements FS with the file system of the operating system.
 type osFS struct{}
 
-// OS returns the machine's file system.
+// OS returns the file system of the operating system.
 func OS() FS { return osFS{} }
 
 // MkdirAll implements FS.
@@ -77,7 +77,8 @@
 	return f.Sync()
 }
 
-// Lock implements FS. The kernel releases the lock when the process ends.
+// Lock implements FS with flock(2). The kernel releases the lock when the
+// process exits.
 func (osFS) Lock(dir string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
--- a/quorum/journal/record.go
+++ b/quorum/journal/record.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A record is framed by magic number, payload length and checksum, four bytes
-// each, little endian.
+// A record starts with a header of magic number, payload length and checksum,
+// four bytes each, little endian.
 const (
 	recordMagic         = 0xC1A5_5EED
 	recordHeaderSize    = 12
@@ -19,17 +19,18 @@
 	checksumOffset      = 8
 )
 
-// maxPayloadBytes bounds the payload of a record, in bytes.
+// maxPayloadBytes is the maximum size of the payload of a record, in bytes.
 const maxPayloadBytes = 1 << 30
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// checksumSeed starts the checksums of one file: records of another disk or another
-// file do not pass in it.
+// checksumSeed returns the initial value of the checksums in one file. It makes
+// the checksum of a record invalid on another disk and in another file.
 func checksumSeed(diskID, file string) uint32 {
 	return crc32.Checksum([]byte(diskID+"/"+file), castagnoliTable)
 }
 
+// checksum returns the CRC32C of a record's offset, length and payload.
 func checksum(seed uint32, offset int64, payload []byte) uint32 {
 	var prefix [12]byte
 	binary.LittleEndian.PutUint64(prefix[:], uint64(offset))
@@ -37,13 +38,14 @@
 	return crc32.Update(crc32.Update(seed, castagnoliTable, prefix[:]), castagnoliTable, payload)
 }
 
-// appendRecord appends the framed message, which will stand at offset.
+// appendRecord appends a record with m as its payload to buf. offset is the
+// position of the record in its file, in bytes.
 func appendRecord(buf []byte, seed uint32, offset int64, m proto.Message) ([]byte, error) {
 	start := len(buf)
 	buf = append(buf, make([]byte, recordHeaderSize)...)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, m)
 	if err != nil {
-		return nil, errors.Wrap(err, "journal: encode")
+		return nil, errors.Wrap(err, "journal: encode record")
 	}
 	payload := buf[start+recordHeaderSize:]
 	if len(payload) > maxPayloadBytes {
@@ -56,8 +58,8 @@
 	return buf, nil
 }
 
-// payloadAt returns the payload of the record at offset; ok is false where
-// there is no whole record.
+// payloadAt returns the payload of the record at offset. ok is false if there
+// is no complete record with a valid checksum.
 func payloadAt(data []byte, seed uint32, offset int64) (payload []byte, ok bool) {
 	remaining := data[offset:]
 	if len(remaining) < recordHeaderSize || binary.LittleEndian.Uint32(remaining) != recordMagic {
@@ -74,7 +76,8 @@
 	return payload, true
 }
 
-// validRecordAfter tells whether a whole record starts anywhere after offset.
+// validRecordAfter reports whether a complete record with a valid checksum
+// starts anywhere after offset.
 func validRecordAfter(data []byte, seed uint32, offset int64) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, recordMagic)
 	for candidate := offset + 1; candidate < int64(len(data)); candidate++ {
@@ -90,10 +93,11 @@
 	return false
 }
 
-// readRecords decodes the records of a segment. end is where they end; a rest
-// after it is a torn record. damaged is true where a whole record follows a
-// bad one: the bad one was synced, since each is synced before the next is
-// written.
+// readRecords decodes the records of a segment. end is the offset after the
+// last valid record; bytes after it belong to a torn record. damaged reports
+// whether synced data has changed: a valid record follows an invalid one, which
+// was synced before the next record was written, or a payload with a valid
+// checksum cannot be decoded.
 func readRecords(data []byte, seed uint32) (records []*quorumpb.Record, end int64, damaged bool) {
 	for end < int64(len(data)) {
 		payload, ok := payloadAt(data, seed, end)
@@ -110,14 +114,15 @@
 	return records, end, false
 }
 
-// encodeSegmentHeader returns the bytes that a segment begins with.
+// encodeSegmentHeader returns the encoded first record of a segment.
 func encodeSegmentHeader(diskID string, sequence uint64, hardState *quorumpb.HardState) ([]byte, error) {
 	return appendRecord(nil, checksumSeed(diskID, segmentName(sequence)), 0, segmentHeader(diskID, sequence, hardState))
 }
 
-// segmentDiskID returns the identity of the disk that a segment was written on; empty
-// where its first record is not whole. Without it a log copied from another
-// disk would look like damage, or like a segment that was never begun.
+// segmentDiskID returns the identity of the disk that a segment was written on,
+// or "" if its first record is not valid. Checksums depend on the identity, so
+// without this check a log copied from another disk would be reported as damage
+// or be removed as an unfinished segment.
 func segmentDiskID(data []byte, name string) string {
 	if len(data) < recordHeaderSize {
 		return ""
--- a/quorum/journal/replay.go
+++ b/quorum/journal/replay.go
@@ -4,11 +4,13 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
-// replay rebuilds the state from the records in their order.
+// replay rebuilds the state by applying the records in the order in which they
+// were written.
 type replay struct {
 	state State
 }
 
+// apply applies one record to the state.
 func (r *replay) apply(record *quorumpb.Record) error {
 	if record.GetHardState() != nil {
 		r.state.HardState = record.GetHardState()
@@ -22,7 +24,8 @@
 	return nil
 }
 
-// replaceTail replaces the log's end by entries.
+// replaceTail replaces the end of the log, from the index of the first of
+// entries on, with entries. It fails if the indexes leave a gap.
 func (r *replay) replaceTail(entries []*quorumpb.Entry) error {
 	for i, e := range entries {
 		if e.GetIndex() != entries[0].GetIndex()+uint64(i) {
@@ -46,6 +49,8 @@
 	return nil
 }
 
+// positionOf returns the position of an index in the log. ok is false if the
+// log does not hold the index.
 func (r *replay) positionOf(index uint64) (position int, ok bool) {
 	log := r.state.Entries
 	if len(log) == 0 || index < log[0].GetIndex() || index > log[len(log)-1].GetIndex() {
@@ -54,8 +59,9 @@
 	return int(index - log[0].GetIndex()), true
 }
 
-// joinSnapshot joins log and snapshot. reset is true where the snapshot replaces a
-// log that does not reach it.
+// joinSnapshot removes the entries that the snapshot covers from the log. reset
+// reports whether the snapshot replaces the whole log, because the log holds no
+// entry with the snapshot's index and term.
 func (r *replay) joinSnapshot() (reset bool, err error) {
 	meta := r.state.Snapshot.GetMeta()
 	log := r.state.Entries
--- a/quorum/journal/snapshot.go
+++ b/quorum/journal/snapshot.go
@@ -15,12 +15,15 @@
 	temporarySuffix = ".tmp"
 )
 
+// snapshotName returns the file name of a snapshot. Names sort by index, then by
+// term.
 func snapshotName(meta *quorumpb.SnapshotMeta) string {
 	return fmt.Sprintf("%016x-%016x%s", meta.GetIndex(), meta.GetTerm(), snapshotSuffix)
 }
 
-// SaveSnapshot makes a snapshot durable and removes the older ones. One that is
-// older than the newest on disk is left out. Errors are those of Save.
+// SaveSnapshot makes a snapshot durable and removes older ones. It does nothing
+// if a newer snapshot was saved since the journal was opened. Errors are those
+// of Save.
 func (j *Journal) SaveSnapshot(s *quorumpb.Snapshot) error {
 	j.snapshotMu.Lock()
 	defer j.snapshotMu.Unlock()
@@ -42,8 +45,8 @@
 	return j.removeSnapshotsBefore(name)
 }
 
-// replaceFile writes a file under a temporary name and renames it when it is
-// on disk, so that the name never stands for a part of it.
+// replaceFile writes a file under a temporary name, syncs it and renames it, so
+// that a file with the final name is always complete.
 func (j *Journal) replaceFile(name string, data []byte) error {
 	path := filepath.Join(j.dir, name)
 	temporary := path + temporarySuffix
@@ -63,7 +66,7 @@
 	if err := j.fs.Rename(temporary, path); err != nil {
 		return ioError(err, "rename "+name)
 	}
-	// Without this a crash could lose the name although its content is synced.
+	// Without this a crash could undo the rename although the content is synced.
 	if err := j.fs.SyncDir(j.dir); err != nil {
 		return ioError(err, "sync folder")
 	}
@@ -72,6 +75,8 @@
 	return nil
 }
 
+// removeSnapshotsBefore removes all snapshots older than the one with the file
+// name newest.
 func (j *Journal) removeSnapshotsBefore(newest string) error {
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
@@ -88,8 +93,9 @@
 	return nil
 }
 
-// ReadSnapshot returns the newest snapshot, nil if there is none. It fails with
-// result.SnapshotDamaged.
+// ReadSnapshot returns the newest snapshot on disk, or nil if there is none.
+// Errors carry result.SnapshotDamaged if the snapshot is not valid, and
+// result.DiskFull or result.SyncFailed if reading failed.
 func (j *Journal) ReadSnapshot() (*quorumpb.Snapshot, error) {
 	j.snapshotMu.Lock()
 	defer j.snapshotMu.Unlock()
@@ -113,9 +119,9 @@
 	return decodeSnapshot(data, j.diskID, newest)
 }
 
-// decodeSnapshot checks a snapshot file. It got its name after it was synced,
-// so whatever is wrong with it is damage; an older snapshot would not reach
-// the log's first entry.
+// decodeSnapshot verifies and decodes a snapshot file. The file received its
+// name after it was synced, so any fault in it is damage. An older snapshot is
+// no replacement, since the log may begin after it.
 func decodeSnapshot(data []byte, diskID, name string) (*quorumpb.Snapshot, error) {
 	payload, ok := payloadAt(data, checksumSeed(diskID, name), 0)
 	s := &quorumpb.Snapshot{}
--- a/quorum/journal/volatile.go
+++ b/quorum/journal/volatile.go
@@ -8,13 +8,14 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
-// Volatile is the journal of a replica that has no disk. It keeps only the newest snapshot, for replicas that ask for it: the
-// log is in the replica's own memory, and nothing is read back after a restart.
+// Volatile is the in-memory journal of a replica without a disk. It keeps only the newest snapshot, for replicas that request
+// it. The replica holds its log in its own memory, and nothing is recovered after a restart.
 //
-// Its identity is new at each start, so that the replica before the restart can never be taken for it. What a majority with
-// such a journal acknowledged could be lost with a restart of the processes, so its replica must never vote.
+// Its identity is new at each start, so that the replica is never mistaken for the one before the restart. A restart loses
+// what the replica acknowledged. Entries acknowledged by a majority of such replicas could therefore be lost, so the replica
+// must not be a voter.
 //
-// All methods may be called by any goroutine.
+// All methods are safe for concurrent use.
 type Volatile struct {
 	diskID string
 
@@ -23,25 +24,25 @@
 	closed   bool
 }
 
-// NewVolatile returns an empty journal.
+// NewVolatile returns an empty journal with a new random identity.
 func NewVolatile() *Volatile { return &Volatile{diskID: uuid.NewString()} }
 
-// Disk returns the identity, which is this start's alone.
+// Disk returns the identity, a UUID that is unique to this Volatile.
 func (v *Volatile) Disk() string { return v.diskID }
 
-// Stats returns zeros: nothing is written.
+// Stats returns zero counters, since nothing is written.
 func (v *Volatile) Stats() Stats { return Stats{} }
 
-// Save keeps nothing. It returns ErrClosed after Close.
+// Save does nothing. It returns ErrClosed after Close.
 func (v *Volatile) Save(*quorumpb.HardState, []*quorumpb.Entry) error { return v.err() }
 
-// Reset keeps nothing. It returns ErrClosed after Close.
+// Reset does nothing. It returns ErrClosed after Close.
 func (v *Volatile) Reset(*quorumpb.SnapshotMeta) error { return v.err() }
 
-// Release has nothing to free. It returns ErrClosed after Close.
+// Release does nothing, since there are no segments. It returns ErrClosed after Close.
 func (v *Volatile) Release(uint64) error { return v.err() }
 
-// SaveSnapshot keeps a snapshot unless a newer one is kept. It returns ErrClosed after Close.
+// SaveSnapshot stores a snapshot unless a newer one is stored. It returns ErrClosed after Close.
 func (v *Volatile) SaveSnapshot(s *quorumpb.Snapshot) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,14 +55,14 @@
 	return nil
 }
 
-// ReadSnapshot returns the newest snapshot, nil if there is none.
+// ReadSnapshot returns the newest snapshot, or nil if there is none. The error is always nil.
 func (v *Volatile) ReadSnapshot() (*quorumpb.Snapshot, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.snapshot, nil
 }
 
-// Close ends the journal.
+// Close makes all later writes fail with ErrClosed. It always returns nil.
 func (v *Volatile) Close() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,6 +70,7 @@
 	return nil
 }
 
+// err returns ErrClosed after Close, and nil before.
 func (v *Volatile) err() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/quorum/journal/volatile_test.go
+++ b/quorum/journal/volatile_test.go
@@ -9,6 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/quorum/quorumpb"
 )
 
+// Guards against an older snapshot that is saved late replacing a newer one.
 func TestVolatileKeepsTheNewestSnapshot(t *testing.T) {
 	v := journal.NewVolatile()
 	none, err := v.ReadSnapshot()
@@ -24,10 +25,13 @@
 	require.Zero(t, v.Stats())
 }
 
+// Guards against a restarted replica without a disk being mistaken for the one
+// before the restart, whose log it does not hold.
 func TestVolatileHasNewIdentityAtEachStart(t *testing.T) {
 	require.NotEqual(t, journal.NewVolatile().Disk(), journal.NewVolatile().Disk())
 }
 
+// Guards against a replica that continues to write after its journal was closed.
 func TestClosedVolatileRejectsWrites(t *testing.T) {
 	v := journal.NewVolatile()
 	require.NoError(t, v.Close())
--- a/quorum/replica/api.go
+++ b/quorum/replica/api.go
@@ -10,35 +10,37 @@
 	"github.com/go-faster/errors"
 )
 
-// Transport carries messages to other replicas. Messages may be lost, repeated
+// Transport sends messages to other replicas. Messages may be lost, duplicated
 // and reordered.
 type Transport interface {
-	// Send hands over messages for one replica. It must not block and must not
-	// call the sending replica; what does not fit is dropped and counted by the
-	// transport. Deliver them to the instance's present replica: it drops and
-	// counts what is addressed to an earlier disk. The messages must not be
-	// changed, they share entries with the log.
+	// Send queues messages for one replica. It must not block and must not
+	// call the sending replica; the transport drops and counts messages that
+	// do not fit into its queue. The receiving side passes them to Deliver of
+	// the replica that currently runs on the instance, which drops and counts
+	// messages addressed to an earlier disk. Messages must not be modified,
+	// since they share entries with the log.
 	Send(to quorum.ID, msgs []*quorumpb.Message)
 }
 
-// StateMachine is what the log is applied to. One goroutine calls it, and all
-// calls are ordered by index.
+// StateMachine is the state machine that committed entries are applied to. Its
+// methods are called by one goroutine at a time, in the order of the index.
 type StateMachine interface {
-	// Apply applies one committed entry and returns its result. It must
-	// depend on nothing but the entries before. data must not be changed or
-	// kept.
+	// Apply applies one committed entry and returns its result. It must be
+	// deterministic: the result and the new state may depend only on the entry
+	// and on those before it. data must not be modified or retained.
 	Apply(index uint64, data []byte) []byte
 	// Snapshot returns the state after the last applied entry.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by a snapshot taken at index.
+	// Restore replaces the state with a snapshot taken at index.
 	Restore(index uint64, data []byte) error
 }
 
-// Applied is the outcome of a committed proposal.
+// Applied is the result of a committed and applied proposal.
 type Applied struct {
-	// Index of its entry; also the version of the state it led to.
+	// Index is the index of the proposal's entry, and also the version of the
+	// state after it was applied.
 	Index uint64
-	// Result that the state machine returned.
+	// Result is the value that StateMachine.Apply returned.
 	Result []byte
 }
 
@@ -51,131 +53,151 @@
 	DefaultSnapshotEntries = 10_000
 	DefaultSnapshotBytes   = 64 << 20
 	DefaultKeepEntries     = 1_000
-	// DefaultMaxSnapshotBytes is half of what a journal record can hold.
+	// DefaultMaxSnapshotBytes is half of the maximum size of a journal record.
 	DefaultMaxSnapshotBytes = 512 << 20
 )
 
-// Config configures a replica. Fields left zero take their default.
+// Config configures a replica. A field that is zero takes its default, which is
+// the constant Default followed by the field's name, here or in package quorum,
+// if nothing else is stated.
 type Config struct {
-	// Instance is the name of the instance the replica runs on. Required.
+	// Instance is the name of the instance that the replica runs on. Required.
 	Instance string
-	// Dir is the folder of the journal; one replica has it for itself.
-	// Required unless Volatile.
+	// Dir is the directory of the journal. No other replica may use it.
+	// Required unless Volatile is set.
 	Dir string
-	// Volatile has the replica keep nothing over a restart, and use no file.
-	// Its identity is new at each start. It must not be made a voter.
+	// Volatile makes the replica use no files and lose its state at a restart.
+	// Its ID is new at each start. It must not become a voter.
 	Volatile bool
-	// FS is the file system; the default is the machine's own.
+	// FS is the file system of the journal; nil means journal.OS().
 	FS journal.FS
-	// Transport carries messages to the other replicas. It may be nil for a
-	// group of one.
+	// Transport sends messages to the other replicas. It may be nil for a
+	// group with a single replica.
 	Transport Transport
-	// StateMachine is applied to. Required.
+	// StateMachine applies the committed entries. Required.
 	StateMachine StateMachine
-	// TickInterval is the unit of the two numbers below.
+	// TickInterval is the duration of a tick, the unit of ElectionTicks,
+	// FirstElectionTicks and HeartbeatTicks.
 	TickInterval time.Duration
-	// ElectionTicks is the shortest election timeout, in ticks. A leader that
-	// has heard from no majority for so long steps down.
+	// ElectionTicks is the minimum election timeout, in ticks. A leader that
+	// has received no messages from a majority for this time steps down.
 	ElectionTicks int
-	// FirstElectionTicks is the same for the first election after a start, see quorum.Config; 0: ElectionTicks.
+	// FirstElectionTicks is the minimum election timeout for the first election after a start, in ticks; zero means
+	// ElectionTicks.
 	FirstElectionTicks int
 	// HeartbeatTicks is the interval of heartbeats, in ticks.
 	HeartbeatTicks int
-	// Seed of the random election timeouts. Replicas of a group need
-	// different seeds.
+	// Seed seeds the random election timeouts, together with Instance.
+	// Replicas of a group need different seeds.
 	Seed uint64
-	// QueueLength bounds each queue of the replica, in requests or messages.
+	// QueueLength is the maximum length of each queue of proposals, reads and
+	// received messages.
 	QueueLength int
-	// MaxBatchBytes bounds the entries of one message, of one write to disk, of
-	// one apply, and each part of a snapshot.
+	// MaxBatchBytes is the maximum size of the entries of one message, of one
+	// write to disk and of one batch to apply, and of each chunk of a
+	// snapshot, in bytes.
 	MaxBatchBytes int
-	// MaxEntryBytes bounds one proposal.
+	// MaxEntryBytes is the maximum size of one proposal, in bytes.
 	MaxEntryBytes int
-	// MaxUncommittedBytes bounds the entries that wait for a quorum.
+	// MaxUncommittedBytes is the maximum size of all entries that are not yet
+	// committed, in bytes.
 	MaxUncommittedBytes int
-	// SnapshotEntries and SnapshotBytes say after how many applied entries,
-	// or bytes of them, a snapshot is taken.
+	// SnapshotEntries and SnapshotBytes are the number and the size in bytes
+	// of the entries applied since the last snapshot after which a new one is
+	// taken. The limit that is reached first counts.
 	SnapshotEntries int
 	SnapshotBytes   int
-	// MaxSnapshotBytes bounds a snapshot received from a leader.
+	// MaxSnapshotBytes is the maximum size of a snapshot received from a
+	// leader, in bytes.
 	MaxSnapshotBytes int
-	// OnChange, if set, is called in the core's goroutine after each change of
+	// OnChange, if not nil, is called by the event loop after each change of
 	// role, term or leader. It must not block; it may call Status.
 	OnChange func(quorum.StateChange)
-	// KeepEntries is how many applied entries stay in the log after a
-	// snapshot, for followers that lag a little.
+	// KeepEntries is the number of applied entries that remain in the log
+	// after a snapshot, so that followers slightly behind need no snapshot.
 	KeepEntries int
 }
 
-// Member is a replica of the group.
+// Member describes a replica of the group.
 type Member struct {
-	// ID of the replica: its instance and the identity of its disk.
+	// ID identifies the replica: its instance and the identity of its disk.
 	ID quorum.ID
-	// Address where its transport is reached; opaque here.
+	// Address is the address of the replica's transport. This package does not
+	// interpret it.
 	Address string
-	// Voter is false for a learner.
+	// Voter reports whether the replica votes; a learner does not.
 	Voter bool
 }
 
-// Status is what a replica knows of itself.
+// Status is the state of a replica as seen by that replica.
 type Status struct {
-	// ID of this replica.
+	// ID is the ID of this replica.
 	ID quorum.ID
-	// Leader is NoID where none is known.
+	// Leader is the ID of the leader, or quorum.NoID if none is known.
 	Leader quorum.ID
-	// Role of this replica.
+	// Role is the role of this replica.
 	Role quorum.Role
-	// Term, and indexes of the last, last committed and last applied entry.
+	// Term is the current term. Last, Commit and Applied are the indexes of the
+	// last entry in the log, the last committed and the last applied entry.
 	Term, Last, Commit, Applied uint64
-	// Snapshot is the index of the newest snapshot.
+	// Snapshot is the index of the newest snapshot, or zero if there is none.
 	Snapshot uint64
-	// Members, sorted by ID; empty for a replica that no leader has reached.
+	// Members are the members of the group, sorted by ID. It is empty for a
+	// replica that has not yet received a membership from a leader.
 	Members []Member
-	// Progress of the others; only at the leader, sorted by ID.
+	// Progress is the replication progress of the other members, sorted by ID.
+	// It is set only at the leader.
 	Progress []quorum.Progress
-	// Counters since the start.
+	// Counters holds the counters since the replica was opened.
 	Counters Counters
 }
 
-// Counters count since the replica's start.
+// Counters holds counters since the replica was opened.
 type Counters struct {
-	// ElectionsStarted counts elections that this replica began, Elected those
-	// it won, SteppedDown leaderships that ended for want of a quorum.
+	// ElectionsStarted counts the elections that this replica started, Elected
+	// those that it won. SteppedDown counts how often it gave up leadership
+	// because it had no quorum.
 	ElectionsStarted, Elected, SteppedDown uint64
-	// LeaderChanges counts changes of the known leader.
+	// LeaderChanges counts the changes of role, term or known leader.
 	LeaderChanges uint64
-	// Committed and Applied count entries.
+	// Committed and Applied count the committed and the applied entries.
 	Committed, Applied uint64
-	// Syncs counts fsync calls of the journal, SyncedBytes bytes written.
+	// Syncs counts the fsync calls of the journal, SyncedBytes the bytes that
+	// it has written.
 	Syncs, SyncedBytes uint64
-	// SnapshotsTaken, SnapshotsSent, SnapshotsRestored count snapshots.
+	// SnapshotsTaken, SnapshotsSent and SnapshotsRestored count the snapshots
+	// taken locally, sent to followers and restored from a leader.
 	SnapshotsTaken, SnapshotsSent, SnapshotsRestored uint64
-	// MessagesDropped counts received messages that found a full queue,
-	// MessagesMisaddressed those for another replica, disk or group.
+	// MessagesDropped counts received messages that were dropped because the
+	// queue was full, MessagesMisaddressed those for another replica, disk or
+	// group.
 	MessagesDropped, MessagesMisaddressed uint64
-	// Refused counts refusals by quorum.Reason.
+	// Refused counts the refused requests by quorum.Reason.
 	Refused [quorum.Reasons]uint64
-	// MessagesMalformed counts received messages that broke the protocol.
+	// MessagesMalformed counts received messages that violated the protocol.
 	MessagesMalformed uint64
-	// UnknownOutcomes counts proposals whose outcome stayed unknown.
+	// UnknownOutcomes counts the proposals that ended with an
+	// UnknownOutcomeError.
 	UnknownOutcomes uint64
 }
 
-// UnknownOutcomeError says that a proposal may or may not have been committed,
-// and may yet be. The caller must look at the state before it acts.
+// UnknownOutcomeError is returned for a proposal that may or may not have been
+// committed, or may still be committed later. The caller must read the state
+// before it proposes again.
 type UnknownOutcomeError struct {
-	// Cause is what ended the wait: lost leadership, the caller's context or
-	// the end of the replica.
+	// Cause is the reason why the wait ended: ErrLeadershipLost, the error of
+	// the caller's context, quorum.ErrStopped or nil.
 	Cause error
 }
 
-// ErrUnknownOutcome matches every UnknownOutcomeError in errors.Is.
+// ErrUnknownOutcome matches every UnknownOutcomeError with errors.Is.
 var ErrUnknownOutcome = &UnknownOutcomeError{}
 
-// ErrLeadershipLost is the cause where this replica stopped leading.
+// ErrLeadershipLost is returned by Read, and is the cause of an
+// UnknownOutcomeError, if this replica lost leadership during the call.
 var ErrLeadershipLost = errors.New("quorum: leadership lost")
 
-// ErrNotEmpty is returned by Bootstrap where the disk already holds a log.
+// ErrNotEmpty is returned by Bootstrap if the disk already holds a log.
 var ErrNotEmpty = errors.New("quorum: disk already holds a log")
 
 // Error implements error.
@@ -186,10 +208,10 @@
 	return "quorum: unknown outcome: " + e.Cause.Error()
 }
 
-// Code returns the numbered result code.
+// Code returns result.ProposalUnknown.
 func (e *UnknownOutcomeError) Code() result.Code { return result.ProposalUnknown }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // Is reports whether target is an UnknownOutcomeError.
--- a/quorum/replica/bench_test.go
+++ b/quorum/replica/bench_test.go
@@ -19,7 +19,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// directTransport is a transport without a network. Its map is fixed before the start.
+// directTransport delivers messages without a network, to the replica of each
+// instance. The map must be complete before a replica runs.
 type directTransport map[string]*replica.Replica
 
 // Send implements replica.Transport.
@@ -29,15 +30,16 @@
 	}
 }
 
-// countingStateMachine is a state machine of constant size.
+// countingStateMachine counts entries; its snapshots have a constant size of
+// 64 KiB.
 type countingStateMachine struct{ applied int }
 
 func (c *countingStateMachine) Apply(uint64, []byte) []byte  { c.applied++; return nil }
 func (c *countingStateMachine) Snapshot() ([]byte, error)    { return bytes.Repeat([]byte{1}, 1<<16), nil }
 func (c *countingStateMachine) Restore(uint64, []byte) error { return nil }
 
-// runGroup runs replicas on real disks until the benchmark ends and returns
-// the leader.
+// runGroup runs replicas on real disks until the benchmark ends. It returns the
+// leader and the directories of all replicas.
 func runGroup(b *testing.B, size int) (leader *replica.Replica, dirs []string) {
 	transport := directTransport{}
 	var members []replica.Member
@@ -72,10 +74,10 @@
 	}
 }
 
-// payload has the size of an operation record.
+// payload has the size of a typical operation record, 200 bytes.
 var payload = bytes.Repeat([]byte{7}, 200)
 
-// BenchmarkCommit commits with a sync on a real disk for each write.
+// BenchmarkCommit measures commits on real disks, where each write is synced.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{1, 3} {
 		for _, proposers := range []int{1, 16, 256} {
@@ -104,7 +106,7 @@
 	}
 }
 
-// BenchmarkRead confirms reads at the leader of three.
+// BenchmarkRead measures linearizable reads at the leader of three replicas.
 func BenchmarkRead(b *testing.B) {
 	leader, _ := runGroup(b, 3)
 	b.SetParallelism(16)
@@ -118,8 +120,9 @@
 	})
 }
 
-// BenchmarkTenThousandChanges reports what one of three replicas keeps after
-// 10,000 changes, with a state of 64 KiB.
+// BenchmarkTenThousandChanges reports the memory and the disk space for each
+// change that one of three replicas uses after 10,000 changes, with a state of
+// 64 KiB.
 func BenchmarkTenThousandChanges(b *testing.B) {
 	const changes = 10_000
 	for range b.N {
@@ -143,6 +146,7 @@
 	}
 }
 
+// heapBytes returns the size of the live heap, in bytes.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -150,6 +154,7 @@
 	return int64(m.HeapAlloc)
 }
 
+// diskBytes returns the total size of the files in dir, in bytes.
 func diskBytes(b *testing.B, dir string) int64 {
 	var size int64
 	files, err := os.ReadDir(dir)
--- a/quorum/replica/core.go
+++ b/quorum/replica/core.go
@@ -9,40 +9,45 @@
 	"github.com/go-faster/errors"
 )
 
-// maxItemsPerEvent bounds how many queued items of one kind the core takes up before it
-// looks at the others, so that none of them starves.
+// maxItemsPerEvent is the maximum number of queued items of one kind that the
+// event loop handles before it checks the other queues, so that a busy queue
+// cannot starve the others.
 const maxItemsPerEvent = 256
 
-// eventLoop is the state of the eventLoop's goroutine.
+// eventLoop is the state of the event loop. Only its goroutine uses it.
 type eventLoop struct {
 	r *Replica
-	// pendingProposals requests wait for their entry to be applied, by index.
+	// pendingProposals are the proposals whose entry is in the log but not yet
+	// applied, by index.
 	pendingProposals map[uint64]*request
-	// pendingReads wait for their confirmation, by ID; confirmed ones for the state
-	// machine.
+	// pendingReads are the reads that wait for the confirmation of a quorum, by
+	// ID. confirmedReads wait for the state machine to reach their index.
 	pendingReads     map[uint64]*request
 	lastReadID       uint64
 	confirmedReads   []*request
 	pendingTransfers []*request
 
-	// Jobs that wait for their duty. Each is bounded by what the Node lets run
-	// at once: one batch, one apply, one snapshot for each peer.
+	// Jobs that wait for the goroutine that executes them. The Node bounds
+	// their number: it allows one batch, one apply and one snapshot for each
+	// peer at a time.
 	journalJobs  []journalJob
 	applyJobs    []applyJob
 	snapshotJobs []snapshotJob
 
 	appliedIndex uint64
-	// Entries and bytes applied since the newest snapshot.
+	// Number and size in bytes of the entries applied since the last snapshot.
 	entriesSinceSnapshot, bytesSinceSnapshot int
 	snapshotInProgress                       bool
 
-	// unreportedChanges to report.
+	// unreportedChanges are the changes that Config.OnChange has not received
+	// yet.
 	unreportedChanges []quorum.StateChange
 
 	outgoingSnapshots map[quorum.ID]*outgoingSnapshot
 	incoming          *incomingSnapshot
 }
 
+// newEventLoop returns the event loop of a replica whose Node is set.
 func newEventLoop(r *Replica) eventLoop {
 	return eventLoop{
 		r:                 r,
@@ -53,7 +58,7 @@
 	}
 }
 
-// runEventLoop is the core's duty.
+// runEventLoop runs the event loop until ctx ends or an event fails.
 func (r *Replica) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
@@ -77,8 +82,8 @@
 			continue
 		case <-ticker.C:
 			event = l.handleTick
-		case m := <-r.inbox:
-			event = func() error { return handleQueued(r.inbox, m, l.handleMessage) }
+		case m := <-r.messages:
+			event = func() error { return handleQueued(r.messages, m, l.handleMessage) }
 		case q := <-r.proposals:
 			event = func() error { return handleQueued(r.proposals, q, l.handleProposal) }
 		case q := <-r.reads:
@@ -99,8 +104,8 @@
 	}
 }
 
-// queueHead returns a channel to send the first job to; nil, which a select
-// never takes, where there is none.
+// queueHead returns the channel and the first job to send to it. Without a job
+// the channel is nil, so that a select never chooses it.
 func queueHead[J any](to chan J, jobs []J) (chan<- J, J) {
 	if len(jobs) == 0 {
 		var none J
@@ -109,8 +114,9 @@
 	return to, jobs[0]
 }
 
-// handleQueued handles first and what else is queued behind it, up to a bound. The
-// Node then puts all of it into one batch.
+// handleQueued handles first and the items queued behind it, at most
+// maxItemsPerEvent in total. The Node then combines their effects into one
+// batch.
 func handleQueued[T any](queue <-chan T, first T, handle func(T) error) error {
 	if err := handle(first); err != nil {
 		return err
@@ -128,7 +134,7 @@
 	return nil
 }
 
-// step handles one event and then does what the Node wants done.
+// step handles one event and then all batches that the Node has ready.
 func (l *eventLoop) step(event func() error) error {
 	l.r.mu.Lock()
 	defer l.r.mu.Unlock()
@@ -144,6 +150,9 @@
 	}
 }
 
+// handleBatch sends the messages of a batch, reports its results and queues its
+// entries for the journal and the state machine. The messages that depend on
+// the entries being durable are sent after the journal has written them.
 func (l *eventLoop) handleBatch(b quorum.Batch) {
 	l.send(b.Early)
 	if b.Change != nil {
@@ -164,6 +173,8 @@
 	l.r.node.Advance(b)
 }
 
+// handleTick advances the Node by one tick, resends overdue snapshot chunks and
+// refuses abandoned transfers.
 func (l *eventLoop) handleTick() error {
 	l.r.node.Tick()
 	l.resendOverdueChunks()
@@ -171,6 +182,8 @@
 	return nil
 }
 
+// handleMessage handles a received message. Misaddressed and malformed messages
+// are counted and dropped; any other error is returned.
 func (l *eventLoop) handleMessage(m *quorumpb.Message) error {
 	handled, m := l.handleSnapshotMessage(m)
 	if handled {
@@ -188,6 +201,7 @@
 	return nil
 }
 
+// handleProposal proposes the data of q unless the caller has canceled it.
 func (l *eventLoop) handleProposal(q *request) error {
 	if !q.claim() {
 		return nil
@@ -197,7 +211,8 @@
 	return nil
 }
 
-// trackProposal waits for the entry of q, or refuses q.
+// trackProposal registers q until its entry at position is applied. If err is
+// not nil, it refuses q with it.
 func (l *eventLoop) trackProposal(q *request, position quorum.Position, err error) {
 	if err != nil {
 		q.finish(Applied{}, l.r.counters.countRefusal(err))
@@ -207,6 +222,8 @@
 	l.pendingProposals[position.Index] = q
 }
 
+// handleCommand starts a membership change or a leadership transfer, unless the
+// caller has canceled it.
 func (l *eventLoop) handleCommand(q *request) error {
 	if !q.claim() {
 		return nil
@@ -224,7 +241,8 @@
 	return nil
 }
 
-// refuseAbandonedTransfers refuses transfers that the Node has given up.
+// refuseAbandonedTransfers refuses the pending transfers once the Node has
+// aborted the transfer.
 func (l *eventLoop) refuseAbandonedTransfers() {
 	if len(l.pendingTransfers) == 0 || l.r.node.Status().Transferee != quorum.NoID {
 		return
@@ -235,6 +253,8 @@
 	l.pendingTransfers = nil
 }
 
+// handleRead asks the Node for a read index, unless the caller has canceled the
+// read.
 func (l *eventLoop) handleRead(q *request) error {
 	if !q.claim() {
 		return nil
@@ -248,6 +268,9 @@
 	return nil
 }
 
+// handleReadState finishes a read that the Node has confirmed, or has dropped
+// after the loss of leadership. A confirmed read whose index is not yet applied
+// waits in confirmedReads.
 func (l *eventLoop) handleReadState(s quorum.ReadState) {
 	q := l.pendingReads[s.ID]
 	delete(l.pendingReads, s.ID)
@@ -262,7 +285,7 @@
 	}
 }
 
-// finishAppliedReads answers the confirmed reads that the state machine has reached.
+// finishAppliedReads finishes the confirmed reads whose index is applied.
 func (l *eventLoop) finishAppliedReads() {
 	waiting := l.confirmedReads[:0]
 	for _, q := range l.confirmedReads {
@@ -276,7 +299,7 @@
 	l.confirmedReads = waiting
 }
 
-// handleStateChange takes up a change of role, term or leader.
+// handleStateChange handles a change of role, term or leader.
 func (l *eventLoop) handleStateChange(s quorum.StateChange) {
 	l.r.counters.leaderChanges.Add(1)
 	if s.Role != quorum.RoleLeader {
@@ -285,8 +308,8 @@
 	l.unreportedChanges = append(l.unreportedChanges, s)
 }
 
-// reportChanges calls Config.OnChange, after the lock is free, so that it can
-// ask for the Status.
+// reportChanges calls Config.OnChange for each unreported change. It must be
+// called without r.mu, because OnChange may call Status.
 func (l *eventLoop) reportChanges() {
 	for _, s := range l.unreportedChanges {
 		if l.r.cfg.OnChange != nil {
@@ -296,9 +319,10 @@
 	l.unreportedChanges = l.unreportedChanges[:0]
 }
 
-// handleLeadershipLoss answers what this replica can no longer bring to an end. A
-// proposal that is committed already is left to be applied; any other may be
-// committed by the next leader or overwritten, and nobody here can know.
+// handleLeadershipLoss finishes the requests that depend on leadership. A
+// committed proposal remains pending until it is applied. Any other proposal may
+// be committed by the next leader or overwritten, so its outcome is unknown.
+// Transfers have succeeded, and outgoing snapshots are abandoned.
 func (l *eventLoop) handleLeadershipLoss() {
 	commit := l.r.node.Status().Commit
 	for index, q := range l.pendingProposals {
@@ -313,12 +337,14 @@
 	clear(l.outgoingSnapshots)
 }
 
+// failProposal finishes q with an UnknownOutcomeError.
 func (l *eventLoop) failProposal(q *request, cause error) {
 	delete(l.pendingProposals, q.position.Index)
 	q.finish(Applied{}, &UnknownOutcomeError{Cause: cause})
 }
 
-// failAllRequests answers everything at the end of the replica.
+// failAllRequests finishes all requests that the event loop holds with cause,
+// and proposals with an UnknownOutcomeError, when the replica stops.
 func (l *eventLoop) failAllRequests(cause error) {
 	for _, q := range l.pendingProposals {
 		l.failProposal(q, cause)
@@ -336,8 +362,8 @@
 	l.confirmedReads, l.pendingTransfers = nil, nil
 }
 
-// send hands messages to the transport, one call for each receiver. The
-// snapshots among them get their data first.
+// send passes messages to the transport, in one call for each receiver. For a
+// snapshot message it first starts reading the snapshot's data.
 func (l *eventLoop) send(messages []*quorumpb.Message) {
 	var order []quorum.ID
 	byReceiver := map[quorum.ID][]*quorumpb.Message{}
--- a/quorum/replica/counts.go
+++ b/quorum/replica/counters.go
@@ -7,7 +7,7 @@
 	"github.com/carawaypitch/carawaypitch/quorum/journal"
 )
 
-// counters are the counters that the driver keeps itself.
+// counters holds the counters that neither the Node nor the journal keeps.
 type counters struct {
 	leaderChanges, committed, applied     atomic.Uint64
 	snapshotsTaken, snapshotsRestored     atomic.Uint64
@@ -17,6 +17,7 @@
 	refused                               [quorum.Reasons]atomic.Uint64
 }
 
+// export combines the counters with those of the Node and of the journal.
 func (c *counters) export(node quorum.Counters, stats journal.Stats) Counters {
 	out := Counters{
 		ElectionsStarted:     node.ElectionsStarted,
@@ -41,7 +42,8 @@
 	return out
 }
 
-// countRefusal counts a refusal and passes it on.
+// countRefusal counts err by its reason if it is a *quorum.RefusedError, and
+// returns it.
 func (c *counters) countRefusal(err error) error {
 	if e, ok := quorum.Refused(err); ok {
 		c.refused[e.Reason].Add(1)
--- a/quorum/replica/doc.go
+++ b/quorum/replica/doc.go
@@ -1,19 +1,19 @@
-// Package replica runs a quorum.Node with its journal, transport and state
-// machine.
+// Package replica runs a quorum.Node together with its journal, transport and
+// state machine.
 //
-// Four duties, one goroutine each, are joined by bounded channels:
+// A replica consists of four goroutines connected by bounded channels:
 //
-//	core      the only one that touches the Node: ticks, messages, proposals
-//	journal   writes batches; while it syncs, the core gathers the next one
-//	apply     calls the state machine
-//	snapshot  saves own snapshots and reads them for followers
+//	event loop  owns the Node: handles ticks, messages, proposals and reads
+//	journal     writes batches; during a sync the event loop collects the next one
+//	apply       calls the state machine
+//	snapshot    saves local snapshots and reads them for followers
 //
-// The core never waits for another duty. A request that finds its queue full
-// is refused and counted, a message is dropped and counted: the protocol
-// repeats it.
+// The event loop never waits for another goroutine. A request is refused and
+// counted if its queue is full. A message is dropped and counted if the queue of
+// messages is full; the protocol sends it again.
 //
-// The first replica of a group calls Bootstrap once. Every other one starts
-// with an empty disk and waits until the leader adds it with AddLearner, then
-// Promote. After a disk was lost, the instance's replica has a new ID: call
-// Remove for the old ID, AddLearner and Promote for the new one.
+// The initial voters of a group call Bootstrap once, with the same list. Every
+// other replica starts with an empty disk; the leader adds it with AddLearner
+// and then Promote. After the loss of a disk the instance's replica has a new ID:
+// call Remove for the old ID, then AddLearner and Promote for the new one.
 package replica
--- a/quorum/replica/group_test.go
+++ b/quorum/replica/group_test.go
@@ -18,7 +18,8 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// wordStore is a state machine: a row of words. Apply returns the last word before.
+// wordStore is a state machine that holds a list of words. Apply appends a word
+// and returns the one before it.
 type wordStore struct {
 	mu    sync.Mutex
 	words []string
@@ -47,12 +48,14 @@
 	return nil
 }
 
+// all returns a copy of the list.
 func (s *wordStore) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.words...)
 }
 
+// last returns the last word, or "" if there is none.
 func (s *wordStore) last() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +65,8 @@
 	return s.words[len(s.words)-1]
 }
 
-// node is an instance with its disk and the replica that runs on it.
+// node is an instance with its disk and its replica. r is nil while the instance
+// is down.
 type node struct {
 	instance string
 	fs       *journaltest.FS
@@ -72,17 +76,18 @@
 	ended    chan error
 }
 
-// group connects replicas. It runs inside a synctest bubble, where time is
-// simulated.
+// group is a set of replicas and the simulated network between them. It must be
+// used inside synctest.Test, which simulates time.
 type group struct {
 	t     *testing.T
 	mu    sync.Mutex
 	rng   *rand.Rand
 	nodes map[string]*node
-	// isolated are cut off from all others.
+	// isolated holds the instances that can reach only each other.
 	isolated map[string]bool
-	// lossPercent is the share of lost messages in percent; jitter delays them, so
-	// that they overtake each other.
+	// lossPercent is the percentage of messages that are lost. Messages are
+	// delayed randomly by less than maxDelay, so that they can be reordered;
+	// zero means no delay.
 	lossPercent int
 	maxDelay    time.Duration
 	config      replica.Config
@@ -123,7 +128,8 @@
 	}
 }
 
-// open makes the replica of an instance from its disk.
+// open creates the replica of an instance from its disk without running it. A
+// new instance gets an empty disk.
 func (g *group) open(instance string) *node {
 	g.mu.Lock()
 	n := g.nodes[instance]
@@ -143,6 +149,7 @@
 	return n
 }
 
+// run starts the replica of n.
 func (g *group) run(n *node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.ended = cancel, make(chan error, 1)
@@ -156,7 +163,7 @@
 	return n
 }
 
-// bootstrap starts a group of voters.
+// bootstrap starts replicas as the initial voters of a new group.
 func (g *group) bootstrap(instances ...string) {
 	var voters []replica.Member
 	for _, instance := range instances {
@@ -168,7 +175,7 @@
 	}
 }
 
-// stop ends a replica without a loss.
+// stop stops a replica without loss of data.
 func (g *group) stop(n *node) {
 	n.cancel()
 	require.NoError(g.t, <-n.ended)
@@ -177,9 +184,9 @@
 	g.mu.Unlock()
 }
 
-// crash ends a replica and loses what it had not synced.
+// crash stops a replica and loses a random part of its unsynced data.
 func (g *group) crash(n *node) {
-	n.fs.StopAt(1, 0) // Nothing more reaches the disk.
+	n.fs.StopAt(1, 0) // No further change reaches the disk.
 	n.cancel()
 	<-n.ended
 	g.mu.Lock()
@@ -188,6 +195,7 @@
 	g.mu.Unlock()
 }
 
+// stopAll stops all running replicas.
 func (g *group) stopAll() {
 	for _, n := range g.nodes {
 		if n.r != nil {
@@ -196,6 +204,8 @@
 	}
 }
 
+// isolate separates the given instances from all others; without arguments it
+// removes the separation.
 func (g *group) isolate(instances ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,7 +215,8 @@
 	}
 }
 
-// leader waits for a leader among the replicas that are not cut off.
+// leader waits for a leader that serves reads among the replicas that are not
+// isolated, and fails the test after 200 attempts.
 func (g *group) leader() *node {
 	g.t.Helper()
 	for range 200 {
@@ -225,11 +236,11 @@
 		}
 		time.Sleep(replica.DefaultTickInterval)
 	}
-	require.Fail(g.t, "no leader")
+	require.Fail(g.t, "no leader was elected")
 	return nil
 }
 
-// propose commits words at the leader.
+// propose commits words one after the other at the leader.
 func (g *group) propose(words ...string) {
 	g.t.Helper()
 	for _, word := range words {
@@ -238,14 +249,14 @@
 	}
 }
 
-// addVoter adds an instance as learner and promotes it once it has caught up.
+// addVoter adds an instance as a learner and promotes it once it has caught up.
 func (g *group) addVoter(n *node) {
 	g.t.Helper()
-	l := g.leader()
-	_, err := l.r.AddLearner(g.t.Context(), n.r.ID(), n.instance+":1")
+	leader := g.leader()
+	_, err := leader.r.AddLearner(g.t.Context(), n.r.ID(), n.instance+":1")
 	require.NoError(g.t, err)
 	for range 500 {
-		_, err = l.r.Promote(g.t.Context(), n.r.ID())
+		_, err = leader.r.Promote(g.t.Context(), n.r.ID())
 		if !errors.Is(err, quorum.ErrNotCaughtUp) {
 			break
 		}
@@ -254,5 +265,6 @@
 	require.NoError(g.t, err)
 }
 
-// waitForFollowers lets followers apply what is committed.
+// waitForFollowers waits one second of simulated time, so that followers apply
+// the committed entries.
 func waitForFollowers() { time.Sleep(time.Second) }
--- a/quorum/replica/linear_test.go
+++ b/quorum/replica/linearizability_test.go
@@ -22,25 +22,27 @@
 	faultCount          = 25
 )
 
-// healInterval is after how many faults everything is mended, so that a seed
-// cannot leave the group without a quorum for most of its run.
+// healInterval is the number of faults after which all instances are reconnected
+// and restarted, so that no seed leaves the group without a quorum for most of
+// its run.
 const healInterval = 4
 
-// refusalBackoff is how long a client waits after a refusal.
+// refusalBackoff is the time that a client waits after a failed operation.
 const refusalBackoff = 40 * time.Millisecond
 
 var instances = []string{"a", "b", "c"}
 
-// operation on a register: a write, which returns the value before it, or a
-// read.
+// operation is the input or the output of an operation on a register: a write,
+// which returns the previous value, or a read, whose write field is "".
 type operation struct {
 	write string
-	// known is false for the output of a write whose outcome is unknown.
+	// known reports whether value is the output of the operation; it is false
+	// for a write with an unknown outcome.
 	value string
 	known bool
 }
 
-// registerModel is a register whose writes return the value before.
+// registerModel models a register whose writes return the previous value.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -53,16 +55,17 @@
 	},
 }
 
-// history records operations. Its clock counts events.
+// history records operations. Its clock is a logical one that counts events.
 type history struct {
 	clock      atomic.Int64
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-// neverReturned is the end of an operation that may still take effect.
+// neverReturned is the end time of an operation that may still take effect.
 const neverReturned = int64(1) << 60
 
+// add records an operation that lasted from call to end.
 func (h *history) add(client int, call, end int64, in, out operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,7 +74,8 @@
 	})
 }
 
-// runClient does operations at whichever replica leads.
+// runClient performs random reads and writes, most of them at the last known
+// leader.
 func (g *group) runClient(h *history, id int) {
 	leader := ""
 	for i := range operationsPerClient {
@@ -99,12 +103,14 @@
 		}
 		cancel()
 		if !completed {
-			// Otherwise all operations could be spent while nobody leads.
+			// Otherwise all operations could fail while there is no leader.
 			time.Sleep(refusalBackoff)
 		}
 	}
 }
 
+// write proposes word and records the operation unless it was refused. It
+// reports whether the word was applied.
 func (h *history) write(ctx context.Context, id int, r *replica.Replica, word string) (completed bool) {
 	call := h.clock.Add(1)
 	applied, err := r.Propose(ctx, []byte(word))
@@ -115,10 +121,13 @@
 	case errors.Is(err, replica.ErrUnknownOutcome):
 		h.add(id, call, neverReturned, in, operation{})
 	}
-	// A refusal promises that there is no effect: the checker finds out.
+	// A refused write must have no effect. It is not recorded, so the checker
+	// detects an effect.
 	return err == nil
 }
 
+// read reads the last word and records the operation. It reports whether the
+// read succeeded.
 func (h *history) read(ctx context.Context, id int, r *replica.Replica, s *wordStore) (completed bool) {
 	call := h.clock.Add(1)
 	if _, err := r.Read(ctx); err != nil {
@@ -129,7 +138,8 @@
 	return true
 }
 
-// injectFault does something bad, or mends it.
+// injectFault isolates or crashes a random replica, or reverts an earlier fault:
+// it reconnects all instances or restarts the crashed ones.
 func (g *group) injectFault() {
 	var nodes []*node
 	for _, name := range instances {
@@ -152,6 +162,7 @@
 	}
 }
 
+// restartAll starts the replicas that do not run.
 func (g *group) restartAll() {
 	for _, name := range instances {
 		if g.nodes[name].r == nil {
@@ -160,11 +171,10 @@
 	}
 }
 
-// Symptom: a read returns old state, an acknowledged write is gone, or a
-// refused one took effect.
-// Sequence: clients write and read at any replica while messages are lost and
-// reordered, leaders are cut off and replicas lose power.
-// Cause: see the history; the seed repeats the faults.
+// Guards against reads of stale state, lost acknowledged writes and refused
+// writes that take effect. Clients write and read at any replica while messages
+// are lost and reordered, leaders are isolated and replicas lose power. The seed
+// determines the faults.
 func TestLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -173,9 +183,9 @@
 				g.lossPercent, g.maxDelay = 3, 4*time.Millisecond
 				g.bootstrap(instances...)
 				g.leader()
-				var wait sync.WaitGroup
+				var running sync.WaitGroup
 				for id := range clientCount {
-					wait.Go(func() { g.runClient(h, id) })
+					running.Go(func() { g.runClient(h, id) })
 				}
 				for i := range faultCount {
 					time.Sleep(150 * time.Millisecond)
@@ -185,7 +195,7 @@
 						g.restartAll()
 					}
 				}
-				wait.Wait()
+				running.Wait()
 			})
 			completed := 0
 			for _, o := range h.operations {
@@ -193,7 +203,7 @@
 					completed++
 				}
 			}
-			require.Greater(t, completed, 500, "too little happened")
+			require.Greater(t, completed, 500, "too few operations completed")
 			require.True(t, porcupine.CheckOperations(registerModel, h.operations), "not linearizable")
 		})
 	}
--- a/quorum/replica/replica.go
+++ b/quorum/replica/replica.go
@@ -16,19 +16,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Replica is one member of a group.
+// Replica is one member of a group. Its methods are safe for concurrent use.
 type Replica struct {
 	cfg     Config
 	id      quorum.ID
 	journal storage
 
-	// mu guards node. The core holds it for one step at a time and never
-	// while it waits; Status takes it in between.
+	// mu guards node and initialVoters. The event loop holds it for one step at
+	// a time and never while it waits for an event, so that Status can lock it
+	// between steps.
 	mu            sync.Mutex
 	node          *quorum.Node
-	initialVoters []Member // see InitialVoters
+	initialVoters []Member // result of InitialVoters
 
-	inbox     chan *quorumpb.Message
+	messages  chan *quorumpb.Message
 	proposals chan *request
 	reads     chan *request
 	commands  chan *request
@@ -43,11 +44,13 @@
 	loop     eventLoop
 	counters counters
 	started  atomic.Bool
-	// stopped is closed when no request will be answered any more.
+	// stopped is closed when the event loop has ended, after which no further
+	// request is handled.
 	stopped chan struct{}
 }
 
-// storage is what a replica keeps over a restart: a *journal.Journal on a disk, or a *journal.Volatile where there is none.
+// storage holds the log, hard state and snapshots of a replica. It is a *journal.Journal on disk, or a *journal.Volatile if
+// the replica has no disk.
 type storage interface {
 	Disk() string
 	Stats() journal.Stats
@@ -59,7 +62,8 @@
 	Close() error
 }
 
-// openStorage opens the journal on the disk, or one that keeps nothing.
+// openStorage opens the journal on disk, or an empty in-memory one if
+// cfg.Volatile is set.
 func openStorage(cfg Config) (storage, journal.State, error) {
 	if cfg.Volatile {
 		return journal.NewVolatile(), journal.State{}, nil
@@ -68,8 +72,9 @@
 }
 
 // New opens the journal in cfg.Dir, restores the state machine from its newest
-// snapshot and returns a replica that Run starts. Errors are those of
-// journal.Open, of StateMachine.Restore, or say what cfg lacks.
+// snapshot and returns a replica that has not been started; call Run or Close.
+// Errors are those of journal.Open and StateMachine.Restore, or report a missing
+// field of cfg or an inconsistent log.
 func New(cfg Config) (*Replica, error) {
 	if err := cfg.validateAndSetDefaults(); err != nil {
 		return nil, err
@@ -82,7 +87,7 @@
 		cfg:          cfg,
 		id:           quorum.MakeID(cfg.Instance, j.Disk()),
 		journal:      j,
-		inbox:        make(chan *quorumpb.Message, cfg.QueueLength),
+		messages:     make(chan *quorumpb.Message, cfg.QueueLength),
 		proposals:    make(chan *request, cfg.QueueLength),
 		reads:        make(chan *request, cfg.QueueLength),
 		commands:     make(chan *request, commandQueueLength),
@@ -100,9 +105,11 @@
 	return r, nil
 }
 
-// commandQueueLength bounds waiting membership changes and transfers.
+// commandQueueLength is the maximum number of queued membership changes and
+// leadership transfers.
 const commandQueueLength = 16
 
+// setDefault sets a field that is zero to value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -110,14 +117,15 @@
 	}
 }
 
+// validateAndSetDefaults checks the required fields and fills in defaults.
 func (c *Config) validateAndSetDefaults() error {
 	switch {
 	case c.Instance == "":
-		return errors.New("replica: config without an instance")
+		return errors.New("replica: Config.Instance is required")
 	case c.Dir == "" && !c.Volatile:
-		return errors.New("replica: config without a folder")
+		return errors.New("replica: Config.Dir is required unless Config.Volatile is set")
 	case c.StateMachine == nil:
-		return errors.New("replica: config without a state machine")
+		return errors.New("replica: Config.StateMachine is required")
 	}
 	setDefault(&c.FS, journal.OS())
 	setDefault(&c.TickInterval, DefaultTickInterval)
@@ -132,10 +140,12 @@
 	return nil
 }
 
+// loadNode restores the state machine and creates the Node and the event loop
+// from a recovered state.
 func (r *Replica) loadNode(state journal.State) error {
 	if s := state.Snapshot; s != nil {
 		if err := r.cfg.StateMachine.Restore(s.GetMeta().GetIndex(), s.GetData()); err != nil {
-			return errors.Wrap(err, "replica: restore")
+			return errors.Wrap(err, "replica: restore state machine from snapshot")
 		}
 	}
 	node, err := quorum.New(quorum.Config{
@@ -157,15 +167,15 @@
 	return err
 }
 
-// decodeInitialVoters reads the voters of the group's first entry, or returns nil if
-// the log doesn't reach back to it.
+// decodeInitialVoters returns the voters in the first entry of the group's log,
+// or nil if entries do not include it.
 func decodeInitialVoters(entries []*quorumpb.Entry) ([]Member, error) {
 	if len(entries) == 0 || entries[0].GetIndex() != 1 {
 		return nil, nil
 	}
 	var m quorumpb.Membership
 	if err := proto.Unmarshal(entries[0].GetData(), &m); err != nil {
-		return nil, errors.Wrap(err, "replica: first entry")
+		return nil, errors.Wrap(err, "replica: decode membership in first log entry")
 	}
 	var voters []Member
 	for _, member := range m.GetMembers() {
@@ -174,15 +184,16 @@
 	return voters, nil
 }
 
-// InitialVoters returns the voters that the group began with, or nil if the log
-// held none or was compacted when the replica was opened.
+// InitialVoters returns the voters with which the group was bootstrapped, or nil
+// if the log was empty or compacted when the replica was opened.
 func (r *Replica) InitialVoters() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.initialVoters
 }
 
-// idSeed makes the election timeouts of replicas with equal seeds differ.
+// idSeed derives a seed from the instance, so that replicas with the same
+// Config.Seed have different election timeouts.
 func idSeed(id quorum.ID) uint64 {
 	var seed uint64
 	for _, c := range []byte(id.Instance()) {
@@ -191,17 +202,18 @@
 	return seed
 }
 
-// ID returns the replica's identity.
+// ID returns the ID of the replica: its instance and the identity of its disk.
 func (r *Replica) ID() quorum.ID { return r.id }
 
-// Bootstrap makes this replica one of the first voters of a new group. Call it
-// before Run, at every one of the voters with the same list. It returns
-// ErrNotEmpty where the disk holds a log already, which after a restart is the
-// normal case, and ErrAlreadyRun after Run.
+// Bootstrap makes this replica one of the initial voters of a new group. Call it
+// before Run, on each of the voters and with the same list. It returns
+// ErrNotEmpty if the disk already holds a log, which is the normal case after a
+// restart, and ErrAlreadyRun after Run.
 //
-// Only an operator may decide to call it, for a group that never existed. On
-// the wiped disk of an existing group's instance it would start a second group
-// beside the first; its identity differs, so the two never mix.
+// Bootstrap must be called only by decision of an operator, for a group that has
+// never existed. On the replaced disk of an instance of an existing group it
+// would start a second group beside the first. The identities of the two groups
+// differ, so that they never exchange entries.
 func (r *Replica) Bootstrap(voters []Member) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,7 +234,7 @@
 		})
 	}
 	if !included {
-		return errors.Errorf("replica: %s is not among the first voters", r.id)
+		return errors.Errorf("replica: %s is not in the list of initial voters", r.id)
 	}
 	firstEntry, err := quorum.FirstEntry(groupID(voters), members)
 	if err != nil {
@@ -236,8 +248,9 @@
 	return r.loadNode(journal.State{HardState: hardState, Entries: entries})
 }
 
-// groupID derives the group's identity from the disks of its first voters,
-// which are random, so that all of them find the same one.
+// groupID derives the identity of the group from the IDs of its initial voters,
+// so that all of them compute the same one. The IDs contain the random
+// identities of the disks, which makes the result unique.
 func groupID(voters []Member) string {
 	var ids []string
 	for _, v := range voters {
@@ -251,12 +264,14 @@
 	return uuid.NewSHA1(uuid.NameSpaceOID, name).String()
 }
 
-// ErrAlreadyRun is returned by a second call of Run.
-var ErrAlreadyRun = errors.New("replica: Run was called before")
+// ErrAlreadyRun is returned by Run, and by Bootstrap, after Run or Close was
+// called.
+var ErrAlreadyRun = errors.New("replica: Run or Close was already called")
 
-// Run runs the replica until ctx ends, then returns nil after the journal is
-// closed. Any other error is one that the replica must not go on after: one of
-// the journal, quorum.ErrLostLog, or one of the state machine.
+// Run runs the replica until ctx ends, closes the journal and returns nil. It
+// may be called once and returns ErrAlreadyRun otherwise. Any other error means
+// that the replica has stopped because it could not continue safely: an error of
+// the journal, quorum.ErrLostLog, or an error of the state machine.
 func (r *Replica) Run(ctx context.Context) error {
 	if !r.started.CompareAndSwap(false, true) {
 		return ErrAlreadyRun
@@ -275,7 +290,8 @@
 	return errors.Join(err, r.journal.Close())
 }
 
-// Close ends a replica that was never run.
+// Close closes a replica that was never run. After Run or Close it does nothing
+// and returns nil.
 func (r *Replica) Close() error {
 	if !r.started.CompareAndSwap(false, true) {
 		return nil
@@ -284,23 +300,24 @@
 	return r.journal.Close()
 }
 
-// failPending answers what still waits.
+// failPending ends all waiting requests with quorum.ErrStopped. The event loop
+// must have ended or never have been started.
 func (r *Replica) failPending() {
 	close(r.stopped)
 	r.loop.failAllRequests(quorum.ErrStopped)
 }
 
-// Deliver hands over a message received by the transport. It never blocks: a
-// message that finds the queue full is dropped and counted.
+// Deliver queues a message received by the transport. It never blocks: if the
+// queue is full, the message is dropped and counted.
 func (r *Replica) Deliver(msg *quorumpb.Message) {
 	select {
-	case r.inbox <- msg:
+	case r.messages <- msg:
 	default:
 		r.counters.messagesDropped.Add(1)
 	}
 }
 
-// Status returns the replica's status.
+// Status returns the current status of the replica.
 func (r *Replica) Status() Status {
 	r.mu.Lock()
 	s := r.node.Status()
--- a/quorum/replica/replica_test.go
+++ b/quorum/replica/replica_test.go
@@ -17,7 +17,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// runSimulated runs a test in simulated time and stops the group at its end.
+// runSimulated runs a test in simulated time and stops all replicas at its end.
 func runSimulated(t *testing.T, seed uint64, test func(t *testing.T, g *group)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, seed)
@@ -26,6 +26,8 @@
 	})
 }
 
+// Guards against a group of one replica that does not commit without peers, or
+// loses acknowledged entries in a crash.
 func TestSingleReplica(t *testing.T) {
 	runSimulated(t, 1, func(t *testing.T, g *group) {
 		g.bootstrap("a")
@@ -46,6 +48,8 @@
 	})
 }
 
+// Guards against a group that starts with invalid initial voters, or on a disk
+// that already holds a log.
 func TestBootstrapRefuses(t *testing.T) {
 	runSimulated(t, 2, func(t *testing.T, g *group) {
 		n := g.open("a")
@@ -62,10 +66,10 @@
 	})
 }
 
-// Symptom: callers of a leader that is cut off wait for ever, are told "not
-// proposed" of what is committed later, or read old state.
-// Sequence: a leader is cut off with a proposal and a read under way.
-// Cause: lost leadership must end both, the proposal with an unknown outcome.
+// Guards against callers that wait forever, get a refusal for a proposal that is
+// committed later, or read stale state. A leader is isolated with a proposal and
+// a read in progress; the loss of leadership must end both, the proposal with an
+// unknown outcome.
 func TestIsolatedLeader(t *testing.T) {
 	runSimulated(t, 3, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
@@ -87,7 +91,7 @@
 		require.ErrorIs(t, err, replica.ErrUnknownOutcome)
 		require.ErrorIs(t, err, replica.ErrLeadershipLost)
 		timeout := replica.DefaultElectionTicks * replica.DefaultTickInterval
-		require.LessOrEqual(t, time.Since(isolatedAt), timeout, "simulated time")
+		require.LessOrEqual(t, time.Since(isolatedAt), timeout, "the calls outlasted the election timeout in simulated time")
 		_, err = oldLeader.r.Propose(t.Context(), []byte("more"))
 		require.ErrorIs(t, err, quorum.ErrNotLeader)
 		_, err = oldLeader.r.Read(t.Context())
@@ -103,18 +107,16 @@
 	})
 }
 
-// Symptom: a replica that was away for hundreds of changes has other state
-// than the rest.
-// Sequence: a follower is down while the others take snapshots; it starts, and
-// parts of the snapshot that it needs are lost on the way.
-// Cause: the log that it lacks is gone.
+// Guards against a follower whose state differs from the others' after it was
+// down for hundreds of changes. The others have compacted the entries that it
+// lacks, so it needs a snapshot, of which some chunks are lost.
 func TestFollowerCatchesUpFromSnapshot(t *testing.T) {
 	runSimulated(t, 4, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		g.propose("first")
-		l := g.leader()
+		leader := g.leader()
 		down := g.nodes["a"]
-		if down == l {
+		if down == leader {
 			down = g.nodes["b"]
 		}
 		g.crash(down)
@@ -128,30 +130,28 @@
 		for range 20 {
 			waitForFollowers()
 		}
-		require.Equal(t, l.store.all(), down.store.all())
+		require.Equal(t, leader.store.all(), down.store.all())
 		require.NotZero(t, down.r.Status().Counters.SnapshotsRestored)
-		require.NotZero(t, l.r.Status().Counters.SnapshotsTaken)
+		require.NotZero(t, leader.r.Status().Counters.SnapshotsTaken)
 		g.crash(down)
 		g.start(down.instance)
 		waitForFollowers()
-		require.Equal(t, l.store.all(), down.store.all())
+		require.Equal(t, leader.store.all(), down.store.all())
 	})
 }
 
-// Symptom: committed state is gone after the loss of a second instance right
-// after a repair.
-// Sequence: c's disk is replaced; c's new replica joins; at once the leader's
-// instance is lost.
-// Cause: the new replica voted before it held the log.
+// Guards against the loss of committed entries if a new replica votes before it
+// holds the log. The disk of one instance is replaced, its new replica becomes a
+// voter, and the leader's instance is lost immediately afterwards.
 func TestLeaderLossAfterDiskReplacement(t *testing.T) {
 	runSimulated(t, 5, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		for i := range 120 {
 			g.propose(fmt.Sprint(i))
 		}
-		l := g.leader()
+		leader := g.leader()
 		replaced := g.nodes["c"]
-		if replaced == l {
+		if replaced == leader {
 			replaced = g.nodes["b"]
 		}
 		oldID := replaced.r.ID()
@@ -162,21 +162,20 @@
 		require.NotEqual(t, oldID, replaced.r.ID())
 		require.Empty(t, replaced.r.Status().Members)
 		require.NotZero(t, replaced.r.Status().Counters.MessagesMisaddressed, "messages for the old disk")
-		_, err := l.r.Remove(t.Context(), oldID)
+		_, err := leader.r.Remove(t.Context(), oldID)
 		require.NoError(t, err)
 		g.addVoter(replaced)
-		want := l.store.all()
-		g.crash(l)
-		next := g.leader()
-		require.Equal(t, want, next.store.all())
+		want := leader.store.all()
+		g.crash(leader)
+		newLeader := g.leader()
+		require.Equal(t, want, newLeader.store.all())
 		g.propose("goes on")
 	})
 }
 
-// Symptom: a replica goes on with a disk that does not hold what it promised.
-// Sequence: the disk is full, or a sync fails once.
-// Cause: the replica must stop, and its caller must hear that the outcome is
-// unknown.
+// Guards against a replica that continues although its disk does not hold what
+// it acknowledged. If the disk is full or a sync fails, the replica must stop
+// and its callers must get an unknown outcome.
 func TestDiskErrorStopsReplica(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -203,17 +202,17 @@
 	}
 }
 
-// Symptom: a committed entry is on no majority of disks.
-// Sequence: both followers' disks fail while they write an entry.
-// Cause: the acknowledgements left before the write was synced.
+// Guards against a committed entry that is not on a majority of disks, because
+// followers acknowledge it before the sync. The disks of both followers fail
+// while they write an entry.
 func TestFollowersAcknowledgeAfterSync(t *testing.T) {
 	runSimulated(t, 9, func(t *testing.T, g *group) {
 		g.bootstrap("a", "b", "c")
 		g.propose("one")
 		waitForFollowers()
-		l := g.leader()
+		leader := g.leader()
 		for _, n := range g.nodes {
-			if n == l {
+			if n == leader {
 				continue
 			}
 			n.fs.SetFault(func(op, _ string) error {
@@ -223,10 +222,10 @@
 				return nil
 			})
 		}
-		_, err := l.r.Propose(t.Context(), []byte("two"))
+		_, err := leader.r.Propose(t.Context(), []byte("two"))
 		require.ErrorIs(t, err, replica.ErrUnknownOutcome)
 		for _, n := range g.nodes {
-			if n != l {
+			if n != leader {
 				require.Error(t, <-n.ended)
 				n.r = nil
 			}
@@ -234,7 +233,7 @@
 	})
 }
 
-// gatedStore applies when it is told to.
+// gatedStore is a wordStore whose Apply waits until applyAllowed is closed.
 type gatedStore struct {
 	wordStore
 	applyAllowed chan struct{}
@@ -245,10 +244,9 @@
 	return s.wordStore.Apply(index, data)
 }
 
-// Symptom: a read misses a write that was committed before it.
-// Sequence: an entry is committed but the state machine has not applied it; a
-// read is confirmed.
-// Cause: the read returned before the state machine had reached its index.
+// Guards against a read that misses an earlier committed write, because it
+// returns before the state machine has applied its index. A read is confirmed
+// while a committed entry is not yet applied.
 func TestReadWaitsForApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &gatedStore{applyAllowed: make(chan struct{})}
@@ -277,6 +275,9 @@
 	})
 }
 
+// Guards against members that do not take part after they were added, and
+// against a leadership transfer that loses entries or returns while the old
+// leader still leads.
 func TestMembershipAndTransfer(t *testing.T) {
 	runSimulated(t, 7, func(t *testing.T, g *group) {
 		g.bootstrap("a")
@@ -284,24 +285,23 @@
 		for _, instance := range []string{"b", "c"} {
 			g.addVoter(g.start(instance))
 		}
-		l := g.leader()
-		require.Len(t, l.r.Status().Members, 3)
-		require.Equal(t, "b:1", l.r.Status().Members[1].Address)
-		require.NoError(t, l.r.TransferLeader(t.Context(), quorum.NoID))
-		next := g.leader()
-		require.NotEqual(t, l.instance, next.instance)
-		require.Equal(t, next.r.ID(), l.r.Status().Leader)
-		g.stop(l)
+		leader := g.leader()
+		require.Len(t, leader.r.Status().Members, 3)
+		require.Equal(t, "b:1", leader.r.Status().Members[1].Address)
+		require.NoError(t, leader.r.TransferLeader(t.Context(), quorum.NoID))
+		newLeader := g.leader()
+		require.NotEqual(t, leader.instance, newLeader.instance)
+		require.Equal(t, newLeader.r.ID(), leader.r.Status().Leader)
+		g.stop(leader)
 		g.propose("two")
-		require.Equal(t, []string{"one", "two"}, next.store.all())
+		require.Equal(t, []string{"one", "two"}, newLeader.store.all())
 	})
 }
 
-// Symptom: a caller is told "not proposed", but the proposal is committed; or
-// a full queue stops the core.
-// Sequence: more proposals, reads and messages than the queues hold; callers
-// that give up before the core has taken their proposal.
-// Cause: only a request that the core can no longer take up was refused.
+// Guards against a proposal that is refused but committed later, and against a
+// full queue that blocks the event loop. More proposals and messages arrive than
+// the queues hold, and callers cancel proposals that the event loop has not
+// claimed. Only a request that it can no longer claim may be refused.
 func TestRefusedProposalsAreNotCommitted(t *testing.T) {
 	runSimulated(t, 8, func(t *testing.T, g *group) {
 		g.config.QueueLength = 4
--- a/quorum/replica/request.go
+++ b/quorum/replica/request.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// requestState settles the race between the core that takes a request up and a
-// caller that gives it up.
+// requestState decides the race between the event loop, which claims a request,
+// and the caller, which cancels it.
 type requestState = int32
 
 const (
@@ -19,70 +19,76 @@
 	requestCanceled
 )
 
-// request is a call that waits for the core.
+// request is a call that waits for the event loop.
 type request struct {
 	state atomic.Int32
-	// data of a proposal, or change of the membership, or target of a
-	// transfer; none of them for a read.
+	// data is set for a proposal, change for a membership change, transfer and
+	// target for a leadership transfer; none of them is set for a read.
 	data     []byte
 	change   *quorum.Change
 	transfer bool
 	target   quorum.ID
-	// position of the entry once it is in the log.
+	// position is the position of the entry once it is in the log.
 	position quorum.Position
-	// index that a confirmed read waits for.
+	// index is the index whose application a confirmed read waits for.
 	index uint64
 	done  chan outcome
 }
 
+// outcome is the result of a request.
 type outcome struct {
 	applied Applied
 	err     error
 }
 
+// claim reports whether the event loop may handle q: false after cancel.
 func (q *request) claim() bool { return q.state.CompareAndSwap(requestQueued, requestClaimed) }
 
+// cancel reports whether the caller has withdrawn q: false after claim.
 func (q *request) cancel() bool { return q.state.CompareAndSwap(requestQueued, requestCanceled) }
 
-// finish answers; a request is answered once.
+// finish returns the outcome to the caller. It is called at most once for each
+// request, so that the send never blocks.
 func (q *request) finish(applied Applied, err error) {
 	q.done <- outcome{applied: applied, err: err}
 }
 
-// Propose appends data to the log and returns after it was committed and
-// applied here, with the state machine's result.
+// Propose appends data to the log and returns the state machine's result after
+// the entry was committed and applied on this replica.
 //
-// Errors: *quorum.RefusedError says that data was not proposed and never will
-// be; *UnknownOutcomeError says that it may have been or may yet be committed.
+// A *quorum.RefusedError means that data was not proposed and never will be. An
+// *UnknownOutcomeError means that data may have been committed or may still be.
 func (r *Replica) Propose(ctx context.Context, data []byte) (Applied, error) {
 	return r.submit(ctx, r.proposals, &request{data: slices.Clone(data)})
 }
 
-// Read returns, after the state machine here has applied it, an index such that
-// everything committed before the call is at or before it (linearizable). Only
-// the leader answers. Errors: *quorum.RefusedError; or ErrLeadershipLost or
-// the context's error, after which the caller may simply try again.
+// Read waits until the state machine of this replica has applied every entry
+// that was committed before the call, and returns the index up to which it has
+// at least applied, so that a following read of the state is linearizable. Only
+// the leader can serve it. The error is a *quorum.RefusedError,
+// ErrLeadershipLost, quorum.ErrStopped or the error of the context; in each case
+// the read can be retried.
 func (r *Replica) Read(ctx context.Context) (uint64, error) {
 	applied, err := r.submit(ctx, r.reads, &request{})
 	return applied.Index, err
 }
 
-// AddLearner adds a replica that receives the log without a vote. Errors are
+// AddLearner adds a replica that receives the log but does not vote. Errors are
 // those of Propose.
 func (r *Replica) AddLearner(ctx context.Context, id quorum.ID, address string) (Applied, error) {
 	return r.changeMembership(ctx, quorum.Change{Kind: quorum.AddLearner, ID: id, Address: address})
 }
 
-// Promote turns a learner that holds the committed log into a voter. While it
-// does not, the refusal is quorum.ErrNotCaughtUp: try again. Errors are those
-// of Propose.
+// Promote makes a learner that holds the committed log a voter. While the
+// learner is behind, Promote returns quorum.ErrNotCaughtUp and can be retried.
+// Other errors are those of Propose.
 func (r *Replica) Promote(ctx context.Context, id quorum.ID) (Applied, error) {
 	return r.changeMembership(ctx, quorum.Change{Kind: quorum.Promote, ID: id})
 }
 
-// Remove removes a replica from the group. The removed replica is not told: it
-// goes on asking for pre-votes, which the others refuse, until it is stopped.
-// Errors are those of Propose.
+// Remove removes a replica from the group. The removed replica is not notified:
+// until it is stopped, it continues to request pre-votes, which the others
+// refuse. Errors are those of Propose.
 func (r *Replica) Remove(ctx context.Context, id quorum.ID) (Applied, error) {
 	return r.changeMembership(ctx, quorum.Change{Kind: quorum.Remove, ID: id})
 }
@@ -91,16 +97,17 @@
 	return r.submit(ctx, r.commands, &request{change: &c})
 }
 
-// TransferLeader hands leadership to target, or with quorum.NoID to the voter
-// that is furthest on, and returns once this replica no longer leads. Call it
-// before a graceful stop, which then costs no election timeout. Errors:
-// *quorum.RefusedError, or the context's.
+// TransferLeader transfers leadership to target, or to the most up-to-date voter
+// if target is quorum.NoID, and returns once this replica is no longer leader.
+// Call it before a graceful stop, so that the group need not wait for an
+// election timeout. The error is a *quorum.RefusedError or the error of the
+// context.
 func (r *Replica) TransferLeader(ctx context.Context, target quorum.ID) error {
 	_, err := r.submit(ctx, r.commands, &request{transfer: true, target: target})
 	return err
 }
 
-// submit queues q and waits for its outcome.
+// submit queues q and waits for its outcome. If the queue is full, q is refused.
 func (r *Replica) submit(ctx context.Context, queue chan<- *request, q *request) (Applied, error) {
 	q.done = make(chan outcome, 1)
 	select {
@@ -123,6 +130,7 @@
 	}
 }
 
+// countOutcome counts an unknown outcome and returns the values of o.
 func (r *Replica) countOutcome(o outcome) (Applied, error) {
 	if errors.Is(o.err, ErrUnknownOutcome) {
 		r.counters.unknownOutcomes.Add(1)
@@ -130,8 +138,10 @@
 	return o.applied, o.err
 }
 
-// cancelRequest ends the wait for q. It is a refusal only if the core has not taken
-// q up and now never will.
+// cancelRequest ends the wait for q. It returns refusal only if the event loop
+// has not claimed q and therefore never will. Otherwise it returns the outcome
+// if there is one, cause for a read or a transfer, and an UnknownOutcomeError
+// for a proposal.
 func (r *Replica) cancelRequest(q *request, refusal *quorum.RefusedError, cause error) (Applied, error) {
 	if q.cancel() {
 		return Applied{}, r.counters.countRefusal(refusal)
--- a/quorum/replica/snapshot.go
+++ b/quorum/replica/snapshot.go
@@ -9,30 +9,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// snapshotJob asks the snapshots' duty to save a snapshot, or to read the
-// newest one for a follower.
+// snapshotJob is a job for runSnapshots: to save a snapshot if save is set, and
+// otherwise to read the newest one for the receiver of message.
 type snapshotJob struct {
 	save    *quorumpb.Snapshot
 	message *quorumpb.Message
 }
 
+// snapshotDone reports a finished snapshotJob. read is the snapshot that was
+// read, or nil if there is none.
 type snapshotDone struct {
 	job  snapshotJob
 	read *quorumpb.Snapshot
 }
 
-// outgoingSnapshot is a snapshot on its way to a follower, one part at a time:
-// the next leaves when the one before is acknowledged, so that a snapshot
+// outgoingSnapshot is a snapshot that is being sent to a follower in chunks. A
+// chunk is sent only after the one before was acknowledged, so that a snapshot
 // cannot fill the transport's queues.
 type outgoingSnapshot struct {
 	message  *quorumpb.Message
 	snapshot *quorumpb.Snapshot
 	offset   uint64
-	// idleTicks since the last part was sent.
+	// idleTicks is the number of ticks since the last chunk was sent.
 	idleTicks int
 }
 
-// incomingSnapshot is a snapshot that arrives from a leader.
+// incomingSnapshot is a snapshot that is being received from a leader.
 type incomingSnapshot struct {
 	from string
 	term uint64
@@ -41,7 +43,8 @@
 	data []byte
 }
 
-// runSnapshots is the snapshots' duty.
+// runSnapshots executes snapshot jobs until ctx ends. An error stops the
+// replica.
 func (r *Replica) runSnapshots(ctx context.Context) error {
 	for {
 		select {
@@ -67,7 +70,8 @@
 	}
 }
 
-// handleSnapshotDone takes up a snapshot that was saved or read.
+// handleSnapshotDone compacts the log after a snapshot was saved, or starts to
+// send a snapshot that was read.
 func (l *eventLoop) handleSnapshotDone(d snapshotDone) error {
 	if s := d.job.save; s != nil {
 		l.snapshotInProgress = false
@@ -91,12 +95,14 @@
 	return nil
 }
 
-// startSending answers the Node's wish to send a snapshot.
+// startSending queues the reading of a snapshot that the Node wants to send with
+// m. It replaces an earlier snapshot for the same follower.
 func (l *eventLoop) startSending(to quorum.ID, m *quorumpb.Message) {
 	delete(l.outgoingSnapshots, to)
 	l.snapshotJobs = append(l.snapshotJobs, snapshotJob{message: m})
 }
 
+// sendChunk sends the chunk at the current offset, at most MaxBatchBytes long.
 func (l *eventLoop) sendChunk(out *outgoingSnapshot) {
 	out.idleTicks = 0
 	data := out.snapshot.GetData()
@@ -112,14 +118,16 @@
 	})
 }
 
-// sendMessage hands over a message that belongs to the driver alone.
+// sendMessage passes a message that does not come from the Node to the
+// transport.
 func (l *eventLoop) sendMessage(m *quorumpb.Message) {
 	if l.r.cfg.Transport != nil {
 		l.r.cfg.Transport.Send(quorum.ID(m.GetTo()), []*quorumpb.Message{m})
 	}
 }
 
-// resendOverdueChunks repeats a part that got no answer: it or its answer was lost.
+// resendOverdueChunks sends a chunk again if it was not acknowledged within half
+// an election timeout, because the chunk or its acknowledgement may be lost.
 func (l *eventLoop) resendOverdueChunks() {
 	var overdue []*outgoingSnapshot
 	for _, out := range l.outgoingSnapshots {
@@ -133,8 +141,9 @@
 	}
 }
 
-// handleSnapshotMessage handles the parts of snapshots and their answers. What is
-// left for the Node, a whole snapshot among it, is returned.
+// handleSnapshotMessage handles snapshot chunks and their acknowledgements. If
+// handled is false, the caller passes remaining to the Node: m itself, or a
+// message with the complete snapshot.
 func (l *eventLoop) handleSnapshotMessage(m *quorumpb.Message) (handled bool, remaining *quorumpb.Message) {
 	if quorum.ID(m.GetTo()) != l.r.id {
 		return false, m
@@ -150,6 +159,8 @@
 	}
 }
 
+// handleChunkAck sends the chunk that the follower asks for next, or ends the
+// transfer if the follower has the complete snapshot.
 func (l *eventLoop) handleChunkAck(m *quorumpb.Message) {
 	from := quorum.ID(m.GetFrom())
 	out := l.outgoingSnapshots[from]
@@ -159,7 +170,7 @@
 	}
 	nextOffset := m.GetChunk().GetOffset()
 	if nextOffset > uint64(len(out.snapshot.GetData())) || nextOffset < out.offset {
-		// An old answer.
+		// The acknowledgement is stale or not valid.
 		return
 	}
 	l.r.node.SnapshotProgress(from)
@@ -173,8 +184,9 @@
 	}
 }
 
-// receiveChunk collects a part. Parts are taken in order only; the answer says
-// which is wanted next.
+// receiveChunk appends a chunk to the incoming snapshot. It accepts chunks only
+// in order and acknowledges each one with the offset expected next. Once the
+// snapshot is complete, handled is false and complete holds it.
 func (l *eventLoop) receiveChunk(m *quorumpb.Message) (handled bool, complete *quorumpb.Message) {
 	chunk := m.GetChunk()
 	data := m.GetSnapshot().GetData()
@@ -185,7 +197,8 @@
 	in := l.incoming
 	if in == nil || in.from != m.GetFrom() || in.term != m.GetTerm() || !proto.Equal(in.meta, m.GetSnapshot().GetMeta()) {
 		if chunk.GetOffset() != 0 {
-			// The start was sent to an earlier run of this replica.
+			// The first chunks were sent before this replica was restarted, or
+			// belong to another snapshot.
 			return true, nil
 		}
 		in = &incomingSnapshot{
@@ -211,6 +224,7 @@
 	return false, complete
 }
 
+// acknowledgeChunk answers the chunk m with the offset expected next.
 func (l *eventLoop) acknowledgeChunk(m *quorumpb.Message, nextOffset uint64) {
 	l.sendMessage(&quorumpb.Message{
 		Type:     quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT_REPLY,
--- a/quorum/replica/workers.go
+++ b/quorum/replica/workers.go
@@ -8,33 +8,36 @@
 	"github.com/go-faster/errors"
 )
 
-// journalJob asks the journal's duty to make a batch durable, or to release
-// the log up to an index.
+// journalJob is a job for runJournal: to make a batch durable or, if
+// releaseIndex is not zero, to release the log up to that index.
 type journalJob struct {
 	batch        quorum.Batch
 	releaseIndex uint64
 }
 
+// journalDone reports a finished journalJob.
 type journalDone struct {
 	job journalJob
 }
 
-// applyJob asks the state machine's duty to apply entries, to restore a
-// snapshot, or to take one.
+// applyJob is a job for runApply: to restore a snapshot if restore is set, to
+// take one if snapshotMeta is set, and otherwise to apply entries.
 type applyJob struct {
 	entries      []*quorumpb.Entry
 	restore      *quorumpb.Snapshot
 	snapshotMeta *quorumpb.SnapshotMeta
 }
 
+// applyDone reports a finished applyJob: the results of the entries, or the
+// snapshot that was taken.
 type applyDone struct {
 	job      applyJob
 	results  [][]byte
 	snapshot *quorumpb.Snapshot
 }
 
-// runJournal is the journal's duty. Its errors end the replica: what is on
-// disk is not known any more.
+// runJournal executes journal jobs until ctx ends. An error stops the replica,
+// because the state on disk is then unknown.
 func (r *Replica) runJournal(ctx context.Context) error {
 	for {
 		select {
@@ -53,14 +56,15 @@
 	}
 }
 
+// persist executes a journalJob.
 func (r *Replica) persist(job journalJob) error {
 	if job.releaseIndex > 0 {
 		return r.journal.Release(job.releaseIndex)
 	}
 	b := job.batch
 	if b.Snapshot != nil {
-		// The snapshot first: a Reset without it would leave neither the old
-		// log nor the new state.
+		// Save the snapshot first: after a Reset without it the disk would hold
+		// neither the old log nor the new state.
 		if err := r.journal.SaveSnapshot(b.Snapshot); err != nil {
 			return err
 		}
@@ -71,7 +75,8 @@
 	return r.journal.Save(b.HardState, b.Entries)
 }
 
-// handlePersisted goes on with a batch that is durable.
+// handlePersisted sends the messages of a batch that is durable and restores
+// the snapshot in it.
 func (l *eventLoop) handlePersisted(d journalDone) error {
 	if d.job.releaseIndex > 0 {
 		return nil
@@ -85,7 +90,8 @@
 	return nil
 }
 
-// runApply is the state machine's duty.
+// runApply executes the jobs of the state machine until ctx ends. An error stops
+// the replica.
 func (r *Replica) runApply(ctx context.Context) error {
 	for {
 		select {
@@ -105,19 +111,20 @@
 	}
 }
 
+// apply executes an applyJob.
 func (r *Replica) apply(job applyJob) (applyDone, error) {
 	done := applyDone{job: job}
 	switch {
 	case job.restore != nil:
 		meta := job.restore.GetMeta()
 		if err := r.cfg.StateMachine.Restore(meta.GetIndex(), job.restore.GetData()); err != nil {
-			return done, errors.Wrapf(err, "replica: restore at %d", meta.GetIndex())
+			return done, errors.Wrapf(err, "replica: restore snapshot at index %d", meta.GetIndex())
 		}
 		r.counters.snapshotsRestored.Add(1)
 	case job.snapshotMeta != nil:
 		data, err := r.cfg.StateMachine.Snapshot()
 		if err != nil {
-			return done, errors.Wrapf(err, "replica: snapshot at %d", job.snapshotMeta.GetIndex())
+			return done, errors.Wrapf(err, "replica: take snapshot at index %d", job.snapshotMeta.GetIndex())
 		}
 		done.snapshot = &quorumpb.Snapshot{Meta: job.snapshotMeta, Data: data}
 	default:
@@ -126,10 +133,13 @@
 	return done, nil
 }
 
+// applyEntries applies entries to the state machine and returns their results.
+// The result of an entry without data for the state machine is nil.
 func (r *Replica) applyEntries(entries []*quorumpb.Entry) [][]byte {
 	results := make([][]byte, len(entries))
 	for i, e := range entries {
-		// Memberships are the Node's; a leader's first entry has no payload.
+		// The Node handles membership entries, and the first entry of a leader
+		// has no payload.
 		if e.GetType() == quorumpb.EntryType_ENTRY_TYPE_DATA && len(e.GetData()) > 0 {
 			results[i] = r.cfg.StateMachine.Apply(e.GetIndex(), e.GetData())
 		}
@@ -138,7 +148,7 @@
 	return results
 }
 
-// handleApplied takes up what the state machine has done.
+// handleApplied handles a finished job of the state machine.
 func (l *eventLoop) handleApplied(d applyDone) error {
 	switch {
 	case d.job.restore != nil:
@@ -157,6 +167,8 @@
 	return nil
 }
 
+// finishProposals advances appliedIndex over the applied entries and finishes
+// the proposals among them.
 func (l *eventLoop) finishProposals(d applyDone) {
 	for i, e := range d.job.entries {
 		l.appliedIndex = e.GetIndex()
@@ -167,7 +179,7 @@
 			continue
 		}
 		if q.position.Term != e.GetTerm() {
-			// Another leader's entry took the place.
+			// The entry of another leader replaced the proposal.
 			l.failProposal(q, ErrLeadershipLost)
 			continue
 		}
@@ -176,8 +188,8 @@
 	}
 }
 
-// failProposalsInSnapshot answers proposals that a snapshot covers: whether they are in
-// it cannot be told.
+// failProposalsInSnapshot fails the proposals up to the index of a restored
+// snapshot: the snapshot does not show whether they were committed.
 func (l *eventLoop) failProposalsInSnapshot() {
 	for index, q := range l.pendingProposals {
 		if index <= l.appliedIndex {
@@ -186,7 +198,8 @@
 	}
 }
 
-// startSnapshotIfDue asks for a snapshot when enough was applied since the last one.
+// startSnapshotIfDue queues the taking of a snapshot if SnapshotEntries or
+// SnapshotBytes were applied since the last one and none is in progress.
 func (l *eventLoop) startSnapshotIfDue() {
 	due := l.entriesSinceSnapshot >= l.r.cfg.SnapshotEntries || l.bytesSinceSnapshot >= l.r.cfg.SnapshotBytes
 	if !due || l.snapshotInProgress {
