--- a/quorum/journal/damage_test.go
+++ b/quorum/journal/damage_test.go
@@ -14,23 +14,21 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Symptom: a replica does not start after a power cut, or starts without
-// entries that it had acknowledged.
-// Sequence: power is lost while a record is written; any number of its bytes
-// reached the disk.
-// Cause: the end of the newest segment is a part of a record.
+// Guards against a replica that does not start after a power failure, or starts
+// without entries that it had acknowledged. Power fails while a record is
+// written, so that the newest segment ends with any part of the record.
 func TestTornTailAtEveryByte(t *testing.T) {
 	fs := journaltest.New()
-	j, _ := open(t, fs)
-	require.NoError(t, j.Save(hard(1), log(1, 2, 1)))
+	j, _ := openJournal(t, fs)
+	require.NoError(t, j.Save(hardState(1), logEntries(1, 2, 1)))
 	synced := len(fs.Content(newestSegment(t, fs)))
-	require.NoError(t, j.Save(hard(2), log(3, 3, 2)))
+	require.NoError(t, j.Save(hardState(2), logEntries(3, 3, 2)))
 	path := newestSegment(t, fs)
-	whole := fs.Content(path)
-	for size := synced; size <= len(whole); size++ {
-		for _, garbled := range []bool{false, true} {
-			data := append([]byte(nil), whole[:size]...)
-			if garbled && size > synced {
+	original := fs.Content(path)
+	for size := synced; size <= len(original); size++ {
+		for _, corrupted := range []bool{false, true} {
+			data := append([]byte(nil), original[:size]...)
+			if corrupted && size > synced {
 				data[size-1] ^= 0x40
 			}
 			torn := journaltest.New()
@@ -38,39 +36,41 @@
 				torn.SetContent(filepath.Join(dir, name), fs.Content(filepath.Join(dir, name)))
 			}
 			torn.SetContent(path, data)
-			_, state := open(t, torn)
-			if size == len(whole) && !garbled {
-				requireLog(t, append(log(1, 2, 1), log(3, 3, 2)...), state.Entries)
+			_, state := openJournal(t, torn)
+			if size == len(original) && !corrupted {
+				requireLog(t, append(logEntries(1, 2, 1), logEntries(3, 3, 2)...), state.Entries)
 				require.Zero(t, state.TornBytes)
 				continue
 			}
-			requireLog(t, log(1, 2, 1), state.Entries)
-			require.True(t, proto.Equal(hard(1), state.HardState))
+			requireLog(t, logEntries(1, 2, 1), state.Entries)
+			require.True(t, proto.Equal(hardState(1), state.HardState))
 			require.Equal(t, int64(size-synced), state.TornBytes)
-			// The cut is durable, and the journal goes on.
+			// The truncation is durable, and the journal accepts writes.
 			torn.Crash(func(int) int { return 0 })
-			again, state := open(t, torn)
+			reopened, state := openJournal(t, torn)
 			require.Zero(t, state.TornBytes)
-			require.NoError(t, again.Save(hard(2), log(3, 3, 2)))
+			require.NoError(t, reopened.Save(hardState(2), logEntries(3, 3, 2)))
 		}
 	}
 }
 
-// Symptom: a replica votes twice or lacks entries that it had acknowledged.
-// Sequence: a byte of a synced record changes on disk.
-// Cause: it is taken for a torn write, and the log is cut there.
-func TestDamageStops(t *testing.T) {
+// Guards against a replica that votes twice or lacks acknowledged entries. A
+// byte of a synced record changes on disk, and the journal takes it for a torn
+// write and truncates the log there.
+func TestOpenRefusesDamage(t *testing.T) {
 	for _, segmentBytes := range []int64{512, 1 << 20} {
-		t.Run(fmt.Sprint(segmentBytes), func(t *testing.T) { damageStops(t, segmentBytes) })
+		t.Run(fmt.Sprint(segmentBytes), func(t *testing.T) { testDamageRefused(t, segmentBytes) })
 	}
 }
 
-func damageStops(t *testing.T, segmentBytes int64) {
+// testDamageRefused changes each byte of each file in turn and requires that
+// Open fails and leaves the file as it is.
+func testDamageRefused(t *testing.T, segmentBytes int64) {
 	fs := journaltest.New()
 	j, _, err := journal.Open(dir, journal.Options{FS: fs, SegmentBytes: segmentBytes})
 	require.NoError(t, err)
 	for i := range uint64(30) {
-		require.NoError(t, j.Save(hard(1), log(i+1, i+1, 1)))
+		require.NoError(t, j.Save(hardState(1), logEntries(i+1, i+1, 1)))
 	}
 	require.NoError(t, j.SaveSnapshot(snapshotAt(2, 1)))
 	require.NoError(t, j.Close())
@@ -78,15 +78,15 @@
 	require.NoError(t, err)
 	for _, name := range names {
 		path := filepath.Join(dir, name)
-		whole := fs.Content(path)
-		end := len(whole)
+		original := fs.Content(path)
+		end := len(original)
 		if path == newestSegment(t, fs) {
-			// The last record only says that the journal was closed.
-			end -= closedRecord
+			// The last record only marks that the journal was closed.
+			end -= closeRecordBytes
 		}
-		for at := range end {
-			data := append([]byte(nil), whole...)
-			data[at] ^= 0x10
+		for offset := range end {
+			data := append([]byte(nil), original...)
+			data[offset] ^= 0x10
 			fs.SetContent(path, data)
 			_, _, err := journal.Open(dir, journal.Options{FS: fs})
 			code := result.JournalDamaged
@@ -94,23 +94,26 @@
 				code = result.SnapshotDamaged
 			}
 			requireCode(t, code, err)
-			require.Equal(t, data, fs.Content(path), "a damaged file was changed")
+			require.Equal(t, data, fs.Content(path), "Open changed a damaged file")
 		}
-		fs.SetContent(path, whole)
+		fs.SetContent(path, original)
 	}
-	_, state := open(t, fs)
+	_, state := openJournal(t, fs)
 	require.Len(t, state.Entries, 28)
 }
 
-// closedRecord is the size of the record that Close leaves, in bytes.
-const closedRecord = 12 + 2
+// closeRecordBytes is the size of the record that Close writes, in bytes:
+// header and payload.
+const closeRecordBytes = 12 + 2
 
-func TestMissingFileStops(t *testing.T) {
+// Guards against a replica that starts with an incomplete log or with a new
+// identity after a file of the journal was removed.
+func TestOpenRefusesMissingFile(t *testing.T) {
 	for _, missing := range []string{"identity", "log-0000000000000001.seg", "log-0000000000000003.seg"} {
 		fs := journaltest.New()
-		j, _ := open(t, fs)
+		j, _ := openJournal(t, fs)
 		for i := range uint64(40) {
-			require.NoError(t, j.Save(hard(1), log(i+1, i+1, 1)))
+			require.NoError(t, j.Save(hardState(1), logEntries(i+1, i+1, 1)))
 		}
 		require.NoError(t, j.Close())
 		fs.SetContent(filepath.Join(dir, missing), nil)
@@ -119,19 +122,21 @@
 	}
 }
 
-func TestForeignSegmentStops(t *testing.T) {
+// Guards against a replica that starts with the log of another disk, or reports
+// such a log as damage. A segment is copied from one disk to another.
+func TestOpenRefusesSegmentOfAnotherDisk(t *testing.T) {
 	fs, other := journaltest.New(), journaltest.New()
 	for _, f := range []*journaltest.FS{fs, other} {
-		j, _ := open(t, f)
-		require.NoError(t, j.Save(hard(1), log(1, 3, 1)))
+		j, _ := openJournal(t, f)
+		require.NoError(t, j.Save(hardState(1), logEntries(1, 3, 1)))
 		require.NoError(t, j.Close())
 	}
 	path := newestSegment(t, fs)
 	fs.SetContent(path, other.Content(path))
 	_, _, err := journal.Open(dir, journal.Options{FS: fs})
 	requireCode(t, result.WrongDisk, err)
-	// Without a readable header it is damage, not a segment that was never
-	// begun: it is longer than a header.
+	// Without a readable header the file is damage, not an unfinished segment,
+	// because it is longer than a header.
 	data := fs.Content(path)
 	for i := range data {
 		data[i] ^= 0x55
--- a/quorum/replica/bench_test.go
+++ b/quorum/replica/bench_test.go
@@ -19,33 +19,35 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// direct is a transport without a network. Its map is fixed before the start.
-type direct map[string]*replica.Replica
+// directTransport delivers messages without a network, to the replica of each
+// instance. The map must be complete before a replica runs.
+type directTransport map[string]*replica.Replica
 
 // Send implements replica.Transport.
-func (d direct) Send(to quorum.ID, msgs []*quorumpb.Message) {
+func (t directTransport) Send(to quorum.ID, msgs []*quorumpb.Message) {
 	for _, m := range msgs {
-		d[to.Instance()].Deliver(m)
+		t[to.Instance()].Deliver(m)
 	}
 }
 
-// counter is a state machine of constant size.
-type counter struct{ n int }
+// countingStateMachine counts entries; its snapshots have a constant size of
+// 64 KiB.
+type countingStateMachine struct{ applied int }
 
-func (c *counter) Apply(uint64, []byte) []byte  { c.n++; return nil }
-func (c *counter) Snapshot() ([]byte, error)    { return bytes.Repeat([]byte{1}, 1<<16), nil }
-func (c *counter) Restore(uint64, []byte) error { return nil }
+func (c *countingStateMachine) Apply(uint64, []byte) []byte  { c.applied++; return nil }
+func (c *countingStateMachine) Snapshot() ([]byte, error)    { return bytes.Repeat([]byte{1}, 1<<16), nil }
+func (c *countingStateMachine) Restore(uint64, []byte) error { return nil }
 
-// runGroup runs replicas on real disks until the benchmark ends and returns
-// the leader.
+// runGroup runs replicas on real disks until the benchmark ends. It returns the
+// leader and the directories of all replicas.
 func runGroup(b *testing.B, size int) (leader *replica.Replica, dirs []string) {
-	transport := direct{}
+	transport := directTransport{}
 	var members []replica.Member
 	for i := range size {
 		instance := fmt.Sprint("i", i)
 		dir := filepath.Join(b.TempDir(), instance)
 		r, err := replica.New(replica.Config{
-			Instance: instance, Dir: dir, Transport: transport, StateMachine: &counter{},
+			Instance: instance, Dir: dir, Transport: transport, StateMachine: &countingStateMachine{},
 		})
 		require.NoError(b, err)
 		transport[instance] = r
@@ -53,14 +55,14 @@
 		members = append(members, replica.Member{ID: r.ID(), Voter: true})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	b.Cleanup(func() {
 		cancel()
-		wait.Wait()
+		running.Wait()
 	})
 	for _, r := range transport {
 		require.NoError(b, r.Bootstrap(members))
-		wait.Go(func() { _ = r.Run(ctx) })
+		running.Go(func() { _ = r.Run(ctx) })
 	}
 	for {
 		for _, r := range transport {
@@ -72,10 +74,10 @@
 	}
 }
 
-// payload has the size of an operation record.
+// payload has the size of a typical operation record, 200 bytes.
 var payload = bytes.Repeat([]byte{7}, 200)
 
-// BenchmarkCommit commits with a sync on a real disk for each write.
+// BenchmarkCommit measures commits on real disks, where each write is synced.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{1, 3} {
 		for _, proposers := range []int{1, 16, 256} {
@@ -83,11 +85,11 @@
 				leader, _ := runGroup(b, size)
 				before := leader.Status().Counters.Syncs
 				b.ResetTimer()
-				var next atomic.Int64
-				var wait sync.WaitGroup
+				var started atomic.Int64
+				var workers sync.WaitGroup
 				for range proposers {
-					wait.Go(func() {
-						for next.Add(1) <= int64(b.N) {
+					workers.Go(func() {
+						for started.Add(1) <= int64(b.N) {
 							if _, err := leader.Propose(context.Background(), payload); err != nil {
 								b.Error(err)
 								return
@@ -95,7 +97,7 @@
 						}
 					})
 				}
-				wait.Wait()
+				workers.Wait()
 				b.StopTimer()
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 				b.ReportMetric(float64(b.N)/float64(leader.Status().Counters.Syncs-before), "commits/sync")
@@ -104,7 +106,7 @@
 	}
 }
 
-// BenchmarkRead confirms reads at the leader of three.
+// BenchmarkRead measures linearizable reads at the leader of three replicas.
 func BenchmarkRead(b *testing.B) {
 	leader, _ := runGroup(b, 3)
 	b.SetParallelism(16)
@@ -118,18 +120,19 @@
 	})
 }
 
-// BenchmarkTenThousandChanges reports what one of three replicas keeps after
-// 10,000 changes, with a state of 64 KiB.
+// BenchmarkTenThousandChanges reports the memory and the disk space for each
+// change that one of three replicas uses after 10,000 changes, with a state of
+// 64 KiB.
 func BenchmarkTenThousandChanges(b *testing.B) {
 	const changes = 10_000
 	for range b.N {
 		leader, dirs := runGroup(b, 3)
 		heap := heapBytes()
-		var next atomic.Int64
-		var wait sync.WaitGroup
+		var started atomic.Int64
+		var workers sync.WaitGroup
 		for range 64 {
-			wait.Go(func() {
-				for next.Add(1) <= changes {
+			workers.Go(func() {
+				for started.Add(1) <= changes {
 					if _, err := leader.Propose(context.Background(), payload); err != nil {
 						b.Error(err)
 						return
@@ -137,12 +140,13 @@
 				}
 			})
 		}
-		wait.Wait()
+		workers.Wait()
 		b.ReportMetric(float64(heapBytes()-heap)/3/changes, "heap-B/change")
 		b.ReportMetric(float64(diskBytes(b, dirs[0]))/changes, "disk-B/change")
 	}
 }
 
+// heapBytes returns the size of the live heap, in bytes.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -150,6 +154,7 @@
 	return int64(m.HeapAlloc)
 }
 
+// diskBytes returns the total size of the files in dir, in bytes.
 func diskBytes(b *testing.B, dir string) int64 {
 	var size int64
 	files, err := os.ReadDir(dir)
--- a/quorum/replica/core.go
+++ b/quorum/replica/core.go
@@ -9,98 +9,103 @@
 	"github.com/go-faster/errors"
 )
 
-// maxDrain bounds how many queued items of one kind the core takes up before it
-// looks at the others, so that none of them starves.
-const maxDrain = 256
+// maxItemsPerEvent is the maximum number of queued items of one kind that the
+// event loop handles before it checks the other queues, so that a busy queue
+// cannot starve the others.
+const maxItemsPerEvent = 256
 
-// core is the state of the core's goroutine.
-type core struct {
+// eventLoop is the state of the event loop. Only its goroutine uses it.
+type eventLoop struct {
 	r *Replica
-	// proposed requests wait for their entry to be applied, by index.
-	proposed map[uint64]*request
-	// reads wait for their confirmation, by ID; confirmed ones for the state
-	// machine.
-	reads     map[uint64]*request
-	nextRead  uint64
-	confirmed []*request
-	transfers []*request
+	// pendingProposals are the proposals whose entry is in the log but not yet
+	// applied, by index.
+	pendingProposals map[uint64]*request
+	// pendingReads are the reads that wait for the confirmation of a quorum, by
+	// ID. confirmedReads wait for the state machine to reach their index.
+	pendingReads     map[uint64]*request
+	lastReadID       uint64
+	confirmedReads   []*request
+	pendingTransfers []*request
 
-	// Jobs that wait for their duty. Each is bounded by what the Node lets run
-	// at once: one batch, one apply, one snapshot for each peer.
+	// Jobs that wait for the goroutine that executes them. The Node bounds
+	// their number: it allows one batch, one apply and one snapshot for each
+	// peer at a time.
 	journalJobs  []journalJob
 	applyJobs    []applyJob
 	snapshotJobs []snapshotJob
 
-	applied uint64
-	// Entries and bytes applied since the newest snapshot.
-	sinceEntries, sinceBytes int
-	snapshotting             bool
+	appliedIndex uint64
+	// Number and size in bytes of the entries applied since the last snapshot.
+	entriesSinceSnapshot, bytesSinceSnapshot int
+	snapshotInProgress                       bool
 
-	// changes to report.
-	changes []quorum.StateChange
+	// unreportedChanges are the changes that Config.OnChange has not received
+	// yet.
+	unreportedChanges []quorum.StateChange
 
-	outgoing map[quorum.ID]*outgoingSnapshot
-	incoming *incomingSnapshot
+	outgoingSnapshots map[quorum.ID]*outgoingSnapshot
+	incoming          *incomingSnapshot
 }
 
-func newCore(r *Replica) core {
-	return core{
-		r:        r,
-		proposed: map[uint64]*request{},
-		reads:    map[uint64]*request{},
-		applied:  r.node.Status().Applied,
-		outgoing: map[quorum.ID]*outgoingSnapshot{},
+// newEventLoop returns the event loop of a replica whose Node is set.
+func newEventLoop(r *Replica) eventLoop {
+	return eventLoop{
+		r:                 r,
+		pendingProposals:  map[uint64]*request{},
+		pendingReads:      map[uint64]*request{},
+		appliedIndex:      r.node.Status().Applied,
+		outgoingSnapshots: map[quorum.ID]*outgoingSnapshot{},
 	}
 }
 
-// runCore is the core's duty.
-func (r *Replica) runCore(ctx context.Context) error {
+// runEventLoop runs the event loop until ctx ends or an event fails.
+func (r *Replica) runEventLoop(ctx context.Context) error {
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
-	c := &r.core
+	l := &r.loop
 	for {
-		journal, journalJob := queueHead(r.toJournal, c.journalJobs)
-		apply, applyJob := queueHead(r.toApply, c.applyJobs)
-		snapshot, snapshotJob := queueHead(r.toSnapshot, c.snapshotJobs)
+		journal, journalJob := queueHead(r.toJournal, l.journalJobs)
+		apply, applyJob := queueHead(r.toApply, l.applyJobs)
+		snapshot, snapshotJob := queueHead(r.toSnapshot, l.snapshotJobs)
 		var event func() error
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case journal <- journalJob:
-			c.journalJobs = c.journalJobs[1:]
+			l.journalJobs = l.journalJobs[1:]
 			continue
 		case apply <- applyJob:
-			c.applyJobs = c.applyJobs[1:]
+			l.applyJobs = l.applyJobs[1:]
 			continue
 		case snapshot <- snapshotJob:
-			c.snapshotJobs = c.snapshotJobs[1:]
+			l.snapshotJobs = l.snapshotJobs[1:]
 			continue
 		case <-ticker.C:
-			event = c.tick
-		case m := <-r.inbox:
-			event = func() error { return drain(r.inbox, m, c.deliver) }
+			event = l.handleTick
+		case m := <-r.messages:
+			event = func() error { return handleQueued(r.messages, m, l.handleMessage) }
 		case q := <-r.proposals:
-			event = func() error { return drain(r.proposals, q, c.propose) }
+			event = func() error { return handleQueued(r.proposals, q, l.handleProposal) }
 		case q := <-r.reads:
-			event = func() error { return drain(r.reads, q, c.read) }
+			event = func() error { return handleQueued(r.reads, q, l.handleRead) }
 		case q := <-r.commands:
-			event = func() error { return c.command(q) }
+			event = func() error { return l.handleCommand(q) }
 		case d := <-r.fromJournal:
-			event = func() error { return c.persisted(d) }
+			event = func() error { return l.handlePersisted(d) }
 		case d := <-r.fromApply:
-			event = func() error { return c.appliedDone(d) }
-		case d := <-r.fromSnaps:
-			event = func() error { return c.snapshotDone(d) }
+			event = func() error { return l.handleApplied(d) }
+		case d := <-r.fromSnapshot:
+			event = func() error { return l.handleSnapshotDone(d) }
 		}
-		if err := c.step(event); err != nil {
+		if err := l.step(event); err != nil {
 			return err
 		}
-		c.reportChanges()
+		l.reportChanges()
 	}
 }
 
-// queueHead returns a channel to send the first job to; nil, which a select
-// never takes, where there is none.
+// queueHead returns the channel and the first job to send to it. Without a job
+// the channel is nil, so that a select never chooses it.
 func queueHead[J any](to chan J, jobs []J) (chan<- J, J) {
 	if len(jobs) == 0 {
 		var none J
@@ -109,13 +114,14 @@
 	return to, jobs[0]
 }
 
-// drain handles first and what else is queued behind it, up to a bound. The
-// Node then puts all of it into one batch.
-func drain[T any](queue <-chan T, first T, handle func(T) error) error {
+// handleQueued handles first and the items queued behind it, at most
+// maxItemsPerEvent in total. The Node then combines their effects into one
+// batch.
+func handleQueued[T any](queue <-chan T, first T, handle func(T) error) error {
 	if err := handle(first); err != nil {
 		return err
 	}
-	for range maxDrain - 1 {
+	for range maxItemsPerEvent - 1 {
 		select {
 		case item := <-queue:
 			if err := handle(item); err != nil {
@@ -128,223 +134,243 @@
 	return nil
 }
 
-// step handles one event and then does what the Node wants done.
-func (c *core) step(event func() error) error {
-	c.r.mu.Lock()
-	defer c.r.mu.Unlock()
+// step handles one event and then all batches that the Node has ready.
+func (l *eventLoop) step(event func() error) error {
+	l.r.mu.Lock()
+	defer l.r.mu.Unlock()
 	if err := event(); err != nil {
 		return err
 	}
 	for {
-		batch, ok := c.r.node.Ready()
+		batch, ok := l.r.node.Ready()
 		if !ok {
 			return nil
 		}
-		c.handle(batch)
+		l.handleBatch(batch)
 	}
 }
 
-func (c *core) handle(b quorum.Batch) {
-	c.send(b.Early)
+// handleBatch sends the messages of a batch, reports its results and queues its
+// entries for the journal and the state machine. The messages that depend on
+// the entries being durable are sent after the journal has written them.
+func (l *eventLoop) handleBatch(b quorum.Batch) {
+	l.send(b.Early)
 	if b.Change != nil {
-		c.changed(*b.Change)
+		l.handleStateChange(*b.Change)
 	}
 	for _, s := range b.Reads {
-		c.readDone(s)
+		l.handleReadState(s)
 	}
 	if len(b.Committed) > 0 {
-		c.r.counts.committed.Add(uint64(len(b.Committed)))
-		c.applyJobs = append(c.applyJobs, applyJob{entries: b.Committed})
+		l.r.counters.committed.Add(uint64(len(b.Committed)))
+		l.applyJobs = append(l.applyJobs, applyJob{entries: b.Committed})
 	}
 	if b.MustPersist() {
-		c.journalJobs = append(c.journalJobs, journalJob{batch: b})
+		l.journalJobs = append(l.journalJobs, journalJob{batch: b})
 		return
 	}
-	c.send(b.Messages)
-	c.r.node.Advance(b)
+	l.send(b.Messages)
+	l.r.node.Advance(b)
 }
 
-func (c *core) tick() error {
-	c.r.node.Tick()
-	c.retrySnapshots()
-	c.checkTransfers()
+// handleTick advances the Node by one tick, resends overdue snapshot chunks and
+// refuses abandoned transfers.
+func (l *eventLoop) handleTick() error {
+	l.r.node.Tick()
+	l.resendOverdueChunks()
+	l.refuseAbandonedTransfers()
 	return nil
 }
 
-func (c *core) deliver(m *quorumpb.Message) error {
-	handled, m := c.snapshotMessage(m)
+// handleMessage handles a received message. Misaddressed and malformed messages
+// are counted and dropped; any other error is returned.
+func (l *eventLoop) handleMessage(m *quorumpb.Message) error {
+	handled, m := l.handleSnapshotMessage(m)
 	if handled {
 		return nil
 	}
-	err := c.r.node.Step(m)
+	err := l.r.node.Step(m)
 	switch {
 	case errors.Is(err, quorum.ErrMisaddressed):
-		c.r.counts.messagesMisaddressed.Add(1)
+		l.r.counters.messagesMisaddressed.Add(1)
 	case errors.Is(err, quorum.ErrMalformed):
-		c.r.counts.messagesMalformed.Add(1)
+		l.r.counters.messagesMalformed.Add(1)
 	default:
 		return err
 	}
 	return nil
 }
 
-func (c *core) propose(q *request) error {
-	if !q.take() {
+// handleProposal proposes the data of q unless the caller has canceled it.
+func (l *eventLoop) handleProposal(q *request) error {
+	if !q.claim() {
 		return nil
 	}
-	position, err := c.r.node.Propose(q.data)
-	c.track(q, position, err)
+	position, err := l.r.node.Propose(q.data)
+	l.trackProposal(q, position, err)
 	return nil
 }
 
-// track waits for the entry of q, or refuses q.
-func (c *core) track(q *request, position quorum.Position, err error) {
+// trackProposal registers q until its entry at position is applied. If err is
+// not nil, it refuses q with it.
+func (l *eventLoop) trackProposal(q *request, position quorum.Position, err error) {
 	if err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return
 	}
 	q.position = position
-	c.proposed[position.Index] = q
+	l.pendingProposals[position.Index] = q
 }
 
-func (c *core) command(q *request) error {
-	if !q.take() {
+// handleCommand starts a membership change or a leadership transfer, unless the
+// caller has canceled it.
+func (l *eventLoop) handleCommand(q *request) error {
+	if !q.claim() {
 		return nil
 	}
 	if q.change != nil {
-		position, err := c.r.node.ProposeMembership(*q.change)
-		c.track(q, position, err)
+		position, err := l.r.node.ProposeMembership(*q.change)
+		l.trackProposal(q, position, err)
 		return nil
 	}
-	if err := c.r.node.TransferLeader(q.target); err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+	if err := l.r.node.TransferLeader(q.target); err != nil {
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return nil
 	}
-	c.transfers = append(c.transfers, q)
+	l.pendingTransfers = append(l.pendingTransfers, q)
 	return nil
 }
 
-// checkTransfers refuses transfers that the Node has given up.
-func (c *core) checkTransfers() {
-	if len(c.transfers) == 0 || c.r.node.Status().Transferee != quorum.NoID {
+// refuseAbandonedTransfers refuses the pending transfers once the Node has
+// aborted the transfer.
+func (l *eventLoop) refuseAbandonedTransfers() {
+	if len(l.pendingTransfers) == 0 || l.r.node.Status().Transferee != quorum.NoID {
 		return
 	}
-	for _, q := range c.transfers {
-		q.finish(Applied{}, c.r.counts.refuse(quorum.ErrTransferring))
+	for _, q := range l.pendingTransfers {
+		q.finish(Applied{}, l.r.counters.countRefusal(quorum.ErrTransferring))
 	}
-	c.transfers = nil
+	l.pendingTransfers = nil
 }
 
-func (c *core) read(q *request) error {
-	if !q.take() {
+// handleRead asks the Node for a read index, unless the caller has canceled the
+// read.
+func (l *eventLoop) handleRead(q *request) error {
+	if !q.claim() {
 		return nil
 	}
-	c.nextRead++
-	if err := c.r.node.ReadIndex(c.nextRead); err != nil {
-		q.finish(Applied{}, c.r.counts.refuse(err))
+	l.lastReadID++
+	if err := l.r.node.ReadIndex(l.lastReadID); err != nil {
+		q.finish(Applied{}, l.r.counters.countRefusal(err))
 		return nil
 	}
-	c.reads[c.nextRead] = q
+	l.pendingReads[l.lastReadID] = q
 	return nil
 }
 
-func (c *core) readDone(s quorum.ReadState) {
-	q := c.reads[s.ID]
-	delete(c.reads, s.ID)
+// handleReadState finishes a read that the Node has confirmed, or has dropped
+// after the loss of leadership. A confirmed read whose index is not yet applied
+// waits in confirmedReads.
+func (l *eventLoop) handleReadState(s quorum.ReadState) {
+	q := l.pendingReads[s.ID]
+	delete(l.pendingReads, s.ID)
 	switch {
 	case s.Lost:
 		q.finish(Applied{}, ErrLeadershipLost)
-	case s.Index <= c.applied:
+	case s.Index <= l.appliedIndex:
 		q.finish(Applied{Index: s.Index}, nil)
 	default:
 		q.index = s.Index
-		c.confirmed = append(c.confirmed, q)
+		l.confirmedReads = append(l.confirmedReads, q)
 	}
 }
 
-// finishReads answers the confirmed reads that the state machine has reached.
-func (c *core) finishReads() {
-	waiting := c.confirmed[:0]
-	for _, q := range c.confirmed {
-		if q.index > c.applied {
+// finishAppliedReads finishes the confirmed reads whose index is applied.
+func (l *eventLoop) finishAppliedReads() {
+	waiting := l.confirmedReads[:0]
+	for _, q := range l.confirmedReads {
+		if q.index > l.appliedIndex {
 			waiting = append(waiting, q)
 			continue
 		}
 		q.finish(Applied{Index: q.index}, nil)
 	}
-	clear(c.confirmed[len(waiting):])
-	c.confirmed = waiting
+	clear(l.confirmedReads[len(waiting):])
+	l.confirmedReads = waiting
 }
 
-// changed takes up a change of role, term or leader.
-func (c *core) changed(s quorum.StateChange) {
-	c.r.counts.leaderChanges.Add(1)
+// handleStateChange handles a change of role, term or leader.
+func (l *eventLoop) handleStateChange(s quorum.StateChange) {
+	l.r.counters.leaderChanges.Add(1)
 	if s.Role != quorum.RoleLeader {
-		c.loseLeadership()
+		l.handleLeadershipLoss()
 	}
-	c.changes = append(c.changes, s)
+	l.unreportedChanges = append(l.unreportedChanges, s)
 }
 
-// reportChanges calls Config.OnChange, after the lock is free, so that it can
-// ask for the Status.
-func (c *core) reportChanges() {
-	for _, s := range c.changes {
-		if c.r.cfg.OnChange != nil {
-			c.r.cfg.OnChange(s)
+// reportChanges calls Config.OnChange for each unreported change. It must be
+// called without r.mu, because OnChange may call Status.
+func (l *eventLoop) reportChanges() {
+	for _, s := range l.unreportedChanges {
+		if l.r.cfg.OnChange != nil {
+			l.r.cfg.OnChange(s)
 		}
 	}
-	c.changes = c.changes[:0]
+	l.unreportedChanges = l.unreportedChanges[:0]
 }
 
-// loseLeadership answers what this replica can no longer bring to an end. A
-// proposal that is committed already is left to be applied; any other may be
-// committed by the next leader or overwritten, and nobody here can know.
-func (c *core) loseLeadership() {
-	commit := c.r.node.Status().Commit
-	for index, q := range c.proposed {
+// handleLeadershipLoss finishes the requests that depend on leadership. A
+// committed proposal remains pending until it is applied. Any other proposal may
+// be committed by the next leader or overwritten, so its outcome is unknown.
+// Transfers have succeeded, and outgoing snapshots are abandoned.
+func (l *eventLoop) handleLeadershipLoss() {
+	commit := l.r.node.Status().Commit
+	for index, q := range l.pendingProposals {
 		if index > commit {
-			c.loseProposal(q, ErrLeadershipLost)
+			l.failProposal(q, ErrLeadershipLost)
 		}
 	}
-	for _, q := range c.transfers {
+	for _, q := range l.pendingTransfers {
 		q.finish(Applied{}, nil)
 	}
-	c.transfers = nil
-	clear(c.outgoing)
+	l.pendingTransfers = nil
+	clear(l.outgoingSnapshots)
 }
 
-func (c *core) loseProposal(q *request, cause error) {
-	delete(c.proposed, q.position.Index)
+// failProposal finishes q with an UnknownOutcomeError.
+func (l *eventLoop) failProposal(q *request, cause error) {
+	delete(l.pendingProposals, q.position.Index)
 	q.finish(Applied{}, &UnknownOutcomeError{Cause: cause})
 }
 
-// loseAll answers everything at the end of the replica.
-func (c *core) loseAll(cause error) {
-	for _, q := range c.proposed {
-		c.loseProposal(q, cause)
-	}
-	for id, q := range c.reads {
-		delete(c.reads, id)
+// failAllRequests finishes all requests that the event loop holds with cause,
+// and proposals with an UnknownOutcomeError, when the replica stops.
+func (l *eventLoop) failAllRequests(cause error) {
+	for _, q := range l.pendingProposals {
+		l.failProposal(q, cause)
+	}
+	for id, q := range l.pendingReads {
+		delete(l.pendingReads, id)
 		q.finish(Applied{}, cause)
 	}
-	for _, q := range c.confirmed {
+	for _, q := range l.confirmedReads {
 		q.finish(Applied{}, cause)
 	}
-	for _, q := range c.transfers {
+	for _, q := range l.pendingTransfers {
 		q.finish(Applied{}, cause)
 	}
-	c.confirmed, c.transfers = nil, nil
+	l.confirmedReads, l.pendingTransfers = nil, nil
 }
 
-// send hands messages to the transport, one call for each receiver. The
-// snapshots among them get their data first.
-func (c *core) send(messages []*quorumpb.Message) {
+// send passes messages to the transport, in one call for each receiver. For a
+// snapshot message it first starts reading the snapshot's data.
+func (l *eventLoop) send(messages []*quorumpb.Message) {
 	var order []quorum.ID
 	byReceiver := map[quorum.ID][]*quorumpb.Message{}
 	for _, m := range messages {
 		to := quorum.ID(m.GetTo())
 		if m.GetType() == quorumpb.MessageType_MESSAGE_TYPE_SNAPSHOT {
-			c.startSnapshot(to, m)
+			l.startSending(to, m)
 			continue
 		}
 		if byReceiver[to] == nil {
@@ -352,10 +378,10 @@
 		}
 		byReceiver[to] = append(byReceiver[to], m)
 	}
-	if c.r.cfg.Transport == nil {
+	if l.r.cfg.Transport == nil {
 		return
 	}
 	for _, to := range order {
-		c.r.cfg.Transport.Send(to, byReceiver[to])
+		l.r.cfg.Transport.Send(to, byReceiver[to])
 	}
 }
--- a/quorum/replica/group_test.go
+++ b/quorum/replica/group_test.go
@@ -18,13 +18,14 @@
 	"github.com/carawaypitch/carawaypitch/quorum/replica"
 )
 
-// store is a state machine: a row of words. Apply returns the last word before.
-type store struct {
+// wordStore is a state machine that holds a list of words. Apply appends a word
+// and returns the one before it.
+type wordStore struct {
 	mu    sync.Mutex
 	words []string
 }
 
-func (s *store) Apply(_ uint64, data []byte) []byte {
+func (s *wordStore) Apply(_ uint64, data []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := ""
@@ -35,9 +36,9 @@
 	return []byte(before)
 }
 
-func (s *store) Snapshot() ([]byte, error) { return []byte(strings.Join(s.all(), "\n")), nil }
+func (s *wordStore) Snapshot() ([]byte, error) { return []byte(strings.Join(s.all(), "\n")), nil }
 
-func (s *store) Restore(_ uint64, data []byte) error {
+func (s *wordStore) Restore(_ uint64, data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.words = nil
@@ -47,13 +48,15 @@
 	return nil
 }
 
-func (s *store) all() []string {
+// all returns a copy of the list.
+func (s *wordStore) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.words...)
 }
 
-func (s *store) last() string {
+// last returns the last word, or "" if there is none.
+func (s *wordStore) last() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.words) == 0 {
@@ -62,38 +65,40 @@
 	return s.words[len(s.words)-1]
 }
 
-// node is an instance with its disk and the replica that runs on it.
+// node is an instance with its disk and its replica. r is nil while the instance
+// is down.
 type node struct {
 	instance string
 	fs       *journaltest.FS
-	store    *store
+	store    *wordStore
 	r        *replica.Replica
 	cancel   context.CancelFunc
 	ended    chan error
 }
 
-// group connects replicas. It runs inside a synctest bubble, where time is
-// simulated.
+// group is a set of replicas and the simulated network between them. It must be
+// used inside synctest.Test, which simulates time.
 type group struct {
 	t     *testing.T
 	mu    sync.Mutex
 	rng   *rand.Rand
 	nodes map[string]*node
-	// away are cut off from all others.
-	away map[string]bool
-	// loss is the share of lost messages in percent; jitter delays them, so
-	// that they overtake each other.
-	loss   int
-	jitter time.Duration
-	config replica.Config
+	// isolated holds the instances that can reach only each other.
+	isolated map[string]bool
+	// lossPercent is the percentage of messages that are lost. Messages are
+	// delayed randomly by less than maxDelay, so that they can be reordered;
+	// zero means no delay.
+	lossPercent int
+	maxDelay    time.Duration
+	config      replica.Config
 }
 
 func newGroup(t *testing.T, seed uint64) *group {
 	return &group{
-		t:     t,
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[string]*node{},
-		away:  map[string]bool{},
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		nodes:    map[string]*node{},
+		isolated: map[string]bool{},
 		config: replica.Config{
 			Dir:             "/data",
 			SnapshotEntries: 50,
@@ -110,20 +115,21 @@
 	n := g.nodes[to.Instance()]
 	for _, m := range msgs {
 		from := quorum.ID(m.GetFrom()).Instance()
-		lost := g.away[from] != g.away[to.Instance()] || g.rng.IntN(100) < g.loss
+		lost := g.isolated[from] != g.isolated[to.Instance()] || g.rng.IntN(100) < g.lossPercent
 		if n == nil || n.r == nil || lost {
 			continue
 		}
 		r, m := n.r, proto.CloneOf(m)
-		if g.jitter == 0 {
+		if g.maxDelay == 0 {
 			r.Deliver(m)
 			continue
 		}
-		time.AfterFunc(time.Duration(g.rng.Int64N(int64(g.jitter))), func() { r.Deliver(m) })
+		time.AfterFunc(time.Duration(g.rng.Int64N(int64(g.maxDelay))), func() { r.Deliver(m) })
 	}
 }
 
-// open makes the replica of an instance from its disk.
+// open creates the replica of an instance from its disk without running it. A
+// new instance gets an empty disk.
 func (g *group) open(instance string) *node {
 	g.mu.Lock()
 	n := g.nodes[instance]
@@ -132,7 +138,7 @@
 		g.nodes[instance] = n
 	}
 	g.mu.Unlock()
-	s := &store{}
+	s := &wordStore{}
 	config := g.config
 	config.Instance, config.FS, config.Transport, config.StateMachine = instance, n.fs, g, s
 	r, err := replica.New(config)
@@ -143,6 +149,7 @@
 	return n
 }
 
+// run starts the replica of n.
 func (g *group) run(n *node) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.ended = cancel, make(chan error, 1)
@@ -156,7 +163,7 @@
 	return n
 }
 
-// bootstrap starts a group of voters.
+// bootstrap starts replicas as the initial voters of a new group.
 func (g *group) bootstrap(instances ...string) {
 	var voters []replica.Member
 	for _, instance := range instances {
@@ -168,7 +175,7 @@
 	}
 }
 
-// stop ends a replica without a loss.
+// stop stops a replica without loss of data.
 func (g *group) stop(n *node) {
 	n.cancel()
 	require.NoError(g.t, <-n.ended)
@@ -177,9 +184,9 @@
 	g.mu.Unlock()
 }
 
-// crash ends a replica and loses what it had not synced.
+// crash stops a replica and loses a random part of its unsynced data.
 func (g *group) crash(n *node) {
-	n.fs.StopAt(1, 0) // Nothing more reaches the disk.
+	n.fs.StopAt(1, 0) // No further change reaches the disk.
 	n.cancel()
 	<-n.ended
 	g.mu.Lock()
@@ -188,6 +195,7 @@
 	g.mu.Unlock()
 }
 
+// stopAll stops all running replicas.
 func (g *group) stopAll() {
 	for _, n := range g.nodes {
 		if n.r != nil {
@@ -196,24 +204,27 @@
 	}
 }
 
+// isolate separates the given instances from all others; without arguments it
+// removes the separation.
 func (g *group) isolate(instances ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	clear(g.away)
+	clear(g.isolated)
 	for _, instance := range instances {
-		g.away[instance] = true
+		g.isolated[instance] = true
 	}
 }
 
-// leader waits for a leader among the replicas that are not cut off.
+// leader waits for a leader that serves reads among the replicas that are not
+// isolated, and fails the test after 200 attempts.
 func (g *group) leader() *node {
 	g.t.Helper()
 	for range 200 {
 		for _, n := range g.nodes {
 			g.mu.Lock()
-			away := g.away[n.instance]
+			isolated := g.isolated[n.instance]
 			g.mu.Unlock()
-			if n.r == nil || away || n.r.Status().Role != quorum.RoleLeader {
+			if n.r == nil || isolated || n.r.Status().Role != quorum.RoleLeader {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -225,11 +236,11 @@
 		}
 		time.Sleep(replica.DefaultTickInterval)
 	}
-	require.Fail(g.t, "no leader")
+	require.Fail(g.t, "no leader was elected")
 	return nil
 }
 
-// propose commits words at the leader.
+// propose commits words one after the other at the leader.
 func (g *group) propose(words ...string) {
 	g.t.Helper()
 	for _, word := range words {
@@ -238,14 +249,14 @@
 	}
 }
 
-// join adds an instance as learner and promotes it once it has caught up.
-func (g *group) join(n *node) {
+// addVoter adds an instance as a learner and promotes it once it has caught up.
+func (g *group) addVoter(n *node) {
 	g.t.Helper()
-	l := g.leader()
-	_, err := l.r.AddLearner(g.t.Context(), n.r.ID(), n.instance+":1")
+	leader := g.leader()
+	_, err := leader.r.AddLearner(g.t.Context(), n.r.ID(), n.instance+":1")
 	require.NoError(g.t, err)
 	for range 500 {
-		_, err = l.r.Promote(g.t.Context(), n.r.ID())
+		_, err = leader.r.Promote(g.t.Context(), n.r.ID())
 		if !errors.Is(err, quorum.ErrNotCaughtUp) {
 			break
 		}
@@ -254,5 +265,6 @@
 	require.NoError(g.t, err)
 }
 
-// settle lets followers apply what is committed.
-func settle() { time.Sleep(time.Second) }
+// waitForFollowers waits one second of simulated time, so that followers apply
+// the committed entries.
+func waitForFollowers() { time.Sleep(time.Second) }
--- a/quorum/replica/linear_test.go
+++ b/quorum/replica/linearizability_test.go
@@ -17,52 +17,55 @@
 )
 
 const (
-	clients    = 5
-	operations = 250
-	faults     = 25
+	clientCount         = 5
+	operationsPerClient = 250
+	faultCount          = 25
 )
 
-// mendEvery is after how many faults everything is mended, so that a seed
-// cannot leave the group without a quorum for most of its run.
-const mendEvery = 4
+// healInterval is the number of faults after which all instances are reconnected
+// and restarted, so that no seed leaves the group without a quorum for most of
+// its run.
+const healInterval = 4
 
-// backOff is how long a client waits after a refusal.
-const backOff = 40 * time.Millisecond
+// refusalBackoff is the time that a client waits after a failed operation.
+const refusalBackoff = 40 * time.Millisecond
 
 var instances = []string{"a", "b", "c"}
 
-// operation on a register: a write, which returns the value before it, or a
-// read.
+// operation is the input or the output of an operation on a register: a write,
+// which returns the previous value, or a read, whose write field is "".
 type operation struct {
 	write string
-	// known is false for the output of a write whose outcome is unknown.
+	// known reports whether value is the output of the operation; it is false
+	// for a write with an unknown outcome.
 	value string
 	known bool
 }
 
-// registerModel is a register whose writes return the value before.
+// registerModel models a register whose writes return the previous value.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		in, out := input.(operation), output.(operation)
-		fits := !out.known || out.value == state.(string)
+		consistent := !out.known || out.value == state.(string)
 		if in.write == "" {
-			return fits, state
+			return consistent, state
 		}
-		return fits, in.write
+		return consistent, in.write
 	},
 }
 
-// history records operations. Its clock counts events.
+// history records operations. Its clock is a logical one that counts events.
 type history struct {
 	clock      atomic.Int64
 	mu         sync.Mutex
 	operations []porcupine.Operation
 }
 
-// never is the end of an operation that may still take effect.
-const never = int64(1) << 60
+// neverReturned is the end time of an operation that may still take effect.
+const neverReturned = int64(1) << 60
 
+// add records an operation that lasted from call to end.
 func (h *history) add(client int, call, end int64, in, out operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,41 +74,44 @@
 	})
 }
 
-// client does operations at whichever replica leads.
-func (g *group) client(h *history, id int) {
+// runClient performs random reads and writes, most of them at the last known
+// leader.
+func (g *group) runClient(h *history, id int) {
 	leader := ""
-	for i := range operations {
+	for i := range operationsPerClient {
 		g.mu.Lock()
 		n := g.nodes[instances[g.rng.IntN(len(instances))]]
 		if hint := g.nodes[leader]; hint != nil && g.rng.IntN(5) > 0 {
 			n = hint
 		}
-		r, words := n.r, n.store
+		r, store := n.r, n.store
 		write := g.rng.IntN(2) == 0
 		g.mu.Unlock()
 		time.Sleep(7 * time.Millisecond)
 		if r == nil {
 			leader = ""
-			time.Sleep(backOff)
+			time.Sleep(refusalBackoff)
 			continue
 		}
 		leader = r.Status().Leader.Instance()
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-		done := false
+		completed := false
 		if write {
-			done = h.write(ctx, id, r, fmt.Sprintf("%d.%d", id, i))
+			completed = h.write(ctx, id, r, fmt.Sprintf("%d.%d", id, i))
 		} else {
-			done = h.read(ctx, id, r, words)
+			completed = h.read(ctx, id, r, store)
 		}
 		cancel()
-		if !done {
-			// Otherwise all operations could be spent while nobody leads.
-			time.Sleep(backOff)
+		if !completed {
+			// Otherwise all operations could fail while there is no leader.
+			time.Sleep(refusalBackoff)
 		}
 	}
 }
 
-func (h *history) write(ctx context.Context, id int, r *replica.Replica, word string) (done bool) {
+// write proposes word and records the operation unless it was refused. It
+// reports whether the word was applied.
+func (h *history) write(ctx context.Context, id int, r *replica.Replica, word string) (completed bool) {
 	call := h.clock.Add(1)
 	applied, err := r.Propose(ctx, []byte(word))
 	in := operation{write: word}
@@ -113,13 +119,16 @@
 	case err == nil:
 		h.add(id, call, h.clock.Add(1), in, operation{value: string(applied.Result), known: true})
 	case errors.Is(err, replica.ErrUnknownOutcome):
-		h.add(id, call, never, in, operation{})
+		h.add(id, call, neverReturned, in, operation{})
 	}
-	// A refusal promises that there is no effect: the checker finds out.
+	// A refused write must have no effect. It is not recorded, so the checker
+	// detects an effect.
 	return err == nil
 }
 
-func (h *history) read(ctx context.Context, id int, r *replica.Replica, s *store) (done bool) {
+// read reads the last word and records the operation. It reports whether the
+// read succeeded.
+func (h *history) read(ctx context.Context, id int, r *replica.Replica, s *wordStore) (completed bool) {
 	call := h.clock.Add(1)
 	if _, err := r.Read(ctx); err != nil {
 		return false
@@ -129,8 +138,9 @@
 	return true
 }
 
-// fault does something bad, or mends it.
-func (g *group) fault() {
+// injectFault isolates or crashes a random replica, or reverts an earlier fault:
+// it reconnects all instances or restarts the crashed ones.
+func (g *group) injectFault() {
 	var nodes []*node
 	for _, name := range instances {
 		nodes = append(nodes, g.nodes[name])
@@ -152,6 +162,7 @@
 	}
 }
 
+// restartAll starts the replicas that do not run.
 func (g *group) restartAll() {
 	for _, name := range instances {
 		if g.nodes[name].r == nil {
@@ -160,40 +171,39 @@
 	}
 }
 
-// Symptom: a read returns old state, an acknowledged write is gone, or a
-// refused one took effect.
-// Sequence: clients write and read at any replica while messages are lost and
-// reordered, leaders are cut off and replicas lose power.
-// Cause: see the history; the seed repeats the faults.
+// Guards against reads of stale state, lost acknowledged writes and refused
+// writes that take effect. Clients write and read at any replica while messages
+// are lost and reordered, leaders are isolated and replicas lose power. The seed
+// determines the faults.
 func TestLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			h := &history{}
-			bubble(t, seed, func(t *testing.T, g *group) {
-				g.loss, g.jitter = 3, 4*time.Millisecond
+			runSimulated(t, seed, func(t *testing.T, g *group) {
+				g.lossPercent, g.maxDelay = 3, 4*time.Millisecond
 				g.bootstrap(instances...)
 				g.leader()
-				var wait sync.WaitGroup
-				for id := range clients {
-					wait.Go(func() { g.client(h, id) })
+				var running sync.WaitGroup
+				for id := range clientCount {
+					running.Go(func() { g.runClient(h, id) })
 				}
-				for i := range faults {
+				for i := range faultCount {
 					time.Sleep(150 * time.Millisecond)
-					g.fault()
-					if i%mendEvery == 0 {
+					g.injectFault()
+					if i%healInterval == 0 {
 						g.isolate()
 						g.restartAll()
 					}
 				}
-				wait.Wait()
+				running.Wait()
 			})
-			written := 0
+			completed := 0
 			for _, o := range h.operations {
-				if o.Return != never {
-					written++
+				if o.Return != neverReturned {
+					completed++
 				}
 			}
-			require.Greater(t, written, 500, "too little happened")
+			require.Greater(t, completed, 500, "too few operations completed")
 			require.True(t, porcupine.CheckOperations(registerModel, h.operations), "not linearizable")
 		})
 	}
