--- a/agent/http.go
+++ b/agent/http.go
@@ -46,7 +46,7 @@
 }
 
 func (a *Agent) routes() *echo.Echo {
-	e := process.NewRouter(process.Process{Ready: a.readyError, WriteMetrics: a.meter.write}, a.httpError)
+	e := process.NewRouter(process.Probes{Ready: a.readyError, WriteMetrics: a.meter.write}, a.httpError)
 	e.POST("/v1/announce", a.postAnnounce)
 	e.POST("/v1/leave", a.postLeave)
 	e.GET("/v1/leave/:server", a.getLeave)
@@ -58,7 +58,7 @@
 	if c.Response().Committed {
 		return
 	}
-	refusal := process.Refusal(err)
+	refusal := process.ResultFrom(err)
 	a.meter.refused(refusal.Code, 0)
 	a.log.WithField("path", c.Request().URL.Path).
 		WithField("code", uint16(refusal.Code)).
--- a/agent/server_loop.go
+++ b/agent/server_loop.go
@@ -39,13 +39,13 @@
 			return
 		case in := <-s.inputs.C():
 			s.take(in)
-			ticks.Within(s.nextTick())
+			ticks.FireWithin(s.nextTick())
 		case now := <-ticks.C():
 			s.sendUnsent()
 			s.noteDeparture(now)
 			s.shareAdvice(now)
 			s.step(now, gate.Tick{})
-			ticks.Fired(s.nextTick())
+			ticks.Rearm(s.nextTick())
 		}
 	}
 }
--- a/chart/chart.go
+++ b/chart/chart.go
@@ -51,15 +51,15 @@
 	// States are sorted by name.
 	States []State
 	// Events are sorted by name.
-	Events []Item
+	Events []Declaration
 	// Guards are sorted by name.
-	Guards []Item
+	Guards []Declaration
 	// Actions are sorted by name.
-	Actions []Item
+	Actions []Declaration
 }
 
-// Item is a declared name and its documentation.
-type Item struct {
+// Declaration is a declared name and its documentation.
+type Declaration struct {
 	Name, Doc string
 }
 
@@ -103,8 +103,8 @@
 
 const negation = "!"
 
-// Named loads the embedded chart of that name.
-func Named(name string) (*Chart, error) {
+// LoadEmbedded loads the embedded chart of that name.
+func LoadEmbedded(name string) (*Chart, error) {
 	return Load(Files, path.Join("charts", name+".jsonc"))
 }
 
@@ -204,10 +204,10 @@
 	return out
 }
 
-func items(declared map[string]string) []Item {
-	var out []Item
+func items(declared map[string]string) []Declaration {
+	var out []Declaration
 	for _, name := range sortedKeys(declared) {
-		out = append(out, Item{Name: name, Doc: declared[name]})
+		out = append(out, Declaration{Name: name, Doc: declared[name]})
 	}
 	return out
 }
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -58,13 +58,13 @@
 
 func TestEmbeddedCharts(t *testing.T) {
 	for _, name := range []string{"request", "attempt", "server", "replica", "order"} {
-		c, err := chart.Named(name)
+		c, err := chart.LoadEmbedded(name)
 		require.NoError(t, err)
 		require.Equal(t, name, c.Name)
 		for _, state := range c.States {
 			require.NotEmpty(t, state.Doc, state.Name)
 		}
-		for _, list := range [][]chart.Item{c.Events, c.Guards, c.Actions} {
+		for _, list := range [][]chart.Declaration{c.Events, c.Guards, c.Actions} {
 			for _, item := range list {
 				require.NotEmpty(t, item.Doc, item.Name)
 			}
@@ -129,7 +129,7 @@
 	for _, part := range []string{"open is not in the Go", "ajar is not in the chart", "shut stands twice"} {
 		require.ErrorContains(t, err, part)
 	}
-	_, err = chart.Open[doorState, doorEvent]("order", nil, nil)
+	_, err = chart.BindEmbedded[doorState, doorEvent]("order", nil, nil)
 	require.ErrorContains(t, err, "event commit is not in the Go names")
 }
 
@@ -164,7 +164,7 @@
 		require.True(t, result.Is(err, result.ChartInvalid), name)
 		require.ErrorContains(t, err, c.want, name)
 	}
-	_, err := chart.Named("none")
+	_, err := chart.LoadEmbedded("none")
 	require.True(t, result.Is(err, result.ChartInvalid))
 }
 
--- a/chart/check.go
+++ b/chart/check.go
@@ -43,7 +43,7 @@
 	for _, state := range k.chart.States {
 		names = append(names, state.Name)
 	}
-	for _, list := range [][]Item{k.chart.Events, k.chart.Guards, k.chart.Actions} {
+	for _, list := range [][]Declaration{k.chart.Events, k.chart.Guards, k.chart.Actions} {
 		for _, item := range list {
 			names = append(names, item.Name)
 		}
@@ -88,9 +88,9 @@
 
 // use notes that a name is used and checks that it is declared. A misspelt guard would otherwise be one that never
 // holds, and the branch would silently not be taken.
-func (k *checker) use(kind, name string, declared []Item, state string) {
+func (k *checker) use(kind, name string, declared []Declaration, state string) {
 	k.used[kind+" "+name] = true
-	if !slices.ContainsFunc(declared, func(i Item) bool { return i.Name == name }) {
+	if !slices.ContainsFunc(declared, func(i Declaration) bool { return i.Name == name }) {
 		k.add("state %s: unknown %s %q", state, kind, name)
 	}
 }
@@ -98,7 +98,7 @@
 func (k *checker) unused() {
 	kinds := []struct {
 		kind     string
-		declared []Item
+		declared []Declaration
 	}{{"event", k.chart.Events}, {"guard", k.chart.Guards}, {"action", k.chart.Actions}}
 	for _, kind := range kinds {
 		for _, item := range kind.declared {
--- a/chart/promises_test.go
+++ b/chart/promises_test.go
@@ -12,7 +12,7 @@
 // eachBranch calls f for every branch of an embedded chart.
 func eachBranch(t *testing.T, name string, f func(from chart.State, event string, list []chart.Branch, i int)) {
 	t.Helper()
-	c, err := chart.Named(name)
+	c, err := chart.LoadEmbedded(name)
 	require.NoError(t, err)
 	for _, state := range c.States {
 		for event, list := range state.On {
--- a/chart/table.go
+++ b/chart/table.go
@@ -53,9 +53,9 @@
 	return t, nil
 }
 
-// Open binds the embedded chart of that name. Errors are those of Load and Bind.
-func Open[S, E ~uint8](name string, states, events []string) (*Table[S, E], error) {
-	c, err := Named(name)
+// BindEmbedded binds the embedded chart of that name. Errors are those of Load and Bind.
+func BindEmbedded[S, E ~uint8](name string, states, events []string) (*Table[S, E], error) {
+	c, err := LoadEmbedded(name)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/carawaypitch/daemons.go
+++ b/cmd/carawaypitch/daemons.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return exit(err)
 	}
-	lines := logging.NewQueue(os.Stdout)
+	lines := logging.NewAsyncHandler(os.Stdout)
 	defer lines.Close()
 	d, err := make(read, &log.Logger{Handler: lines, Level: level(read)})
 	if err != nil {
--- a/control/http.go
+++ b/control/http.go
@@ -28,7 +28,7 @@
 
 // routes returns the HTTP interface for operators and for the platform.
 func (c *Control) routes() http.Handler {
-	e := process.NewRouter(process.Process{Ready: c.Ready, WriteMetrics: c.options.Metrics.WritePrometheus}, c.writeError)
+	e := process.NewRouter(process.Probes{Ready: c.Ready, WriteMetrics: c.options.Metrics.WritePrometheus}, c.writeError)
 	e.GET("/v1/classes", c.getClasses, c.authenticate)
 	e.GET("/v1/classes/:name", c.getClass, c.authenticate)
 	e.PUT("/v1/classes/:name", c.putClass, c.authenticate)
@@ -86,7 +86,7 @@
 	if call.Response().Committed {
 		return
 	}
-	failure := process.Refusal(err)
+	failure := process.ResultFrom(err)
 	c.counters.refused(failure.Code).Inc()
 	var body errorBody
 	encoded, _ := json.Marshal(failure)
--- a/entry/http.go
+++ b/entry/http.go
@@ -99,7 +99,7 @@
 }
 
 func (e *Entry) routes() *echo.Echo {
-	r := process.NewRouter(process.Process{Ready: e.Ready, WriteMetrics: e.meter.set.WritePrometheus}, e.httpError)
+	r := process.NewRouter(process.Probes{Ready: e.Ready, WriteMetrics: e.meter.set.WritePrometheus}, e.httpError)
 	r.Use(assignRequestID)
 	r.POST("/v1/chat/completions", e.postCompletion)
 	r.POST("/v1/completions", e.postCompletion)
@@ -124,7 +124,7 @@
 
 // httpError responds with the result code of an error.
 func (e *Entry) httpError(err error, c echo.Context) {
-	refusal := process.Refusal(err)
+	refusal := process.ResultFrom(err)
 	e.meter.countRefusal(refusal.Code, 0)
 	e.replyError(c, refusal)
 }
--- a/entry/scheduler.go
+++ b/entry/scheduler.go
@@ -28,13 +28,13 @@
 			return nil
 		case <-ticks.C():
 			e.step(sched.Tick{})
-			ticks.Fired(e.scheduler.NextTick())
+			ticks.Rearm(e.scheduler.NextTick())
 		case <-samples.C:
 			e.sampleQueues()
 		case in := <-e.inputs.C():
 			e.handleInput(in)
 			e.handleQueuedInputs()
-			ticks.Within(e.scheduler.NextTick())
+			ticks.FireWithin(e.scheduler.NextTick())
 		}
 	}
 }
--- a/gate/charts.go
+++ b/gate/charts.go
@@ -94,7 +94,7 @@
 
 // mustOpen panics if the embedded chart doesn't match the code: a program with such a chart must not start.
 func mustOpen[S, E ~uint8](name string, states, events []string) *chart.Table[S, E] {
-	table, err := chart.Open[S, E](name, states, events)
+	table, err := chart.BindEmbedded[S, E](name, states, events)
 	if err != nil {
 		panic(err)
 	}
--- a/logging/queue.go
+++ b/logging/queue.go
@@ -29,12 +29,12 @@
 // leftOutEvent is the event of the line that says how many lines were left out before it.
 const leftOutEvent = "log_lines_left_out"
 
-// Queue is a handler that never makes its callers wait: lines go to a bounded ring, and a goroutine writes them.
+// AsyncHandler is a handler that never makes its callers wait: lines go to a bounded ring, and a goroutine writes them.
 //
 // Were lines written by the duties themselves, a reader of the log that stops reading would stop them: the pipe fills
 // up, and the next line blocks the scheduler. One would notice it as a process that answers nothing and logs nothing.
 // What doesn't fit is left out and counted, and the count is a line of its own.
-type Queue struct {
+type AsyncHandler struct {
 	w     io.Writer
 	now   func() time.Time
 	lines *ring.Ring[[]byte]
@@ -47,9 +47,9 @@
 	written atomic.Int64  // lines of level info in that second
 }
 
-// NewQueue returns a handler that writes to w. Close ends its goroutine.
-func NewQueue(w io.Writer) *Queue {
-	q := &Queue{
+// NewAsyncHandler returns a handler that writes to w. Close ends its goroutine.
+func NewAsyncHandler(w io.Writer) *AsyncHandler {
+	q := &AsyncHandler{
 		w:     w,
 		now:   time.Now,
 		lines: ring.New[[]byte]("log", queueLines),
@@ -61,7 +61,7 @@
 }
 
 // HandleLog implements log.Handler. It never waits and never fails.
-func (q *Queue) HandleLog(e *log.Entry) error {
+func (q *AsyncHandler) HandleLog(e *log.Entry) error {
 	if e.Level <= log.InfoLevel && !q.admits() || !q.lines.TryPush(appendLine(nil, e)) {
 		q.leftOut.Add(1)
 	}
@@ -69,7 +69,7 @@
 }
 
 // admits tells whether one more line of level info is within the bounds.
-func (q *Queue) admits() bool {
+func (q *AsyncHandler) admits() bool {
 	if q.lines.Len() >= ordinaryLines {
 		return false
 	}
@@ -80,7 +80,7 @@
 }
 
 // Close writes what waits and ends the goroutine. It gives up on a reader that has stopped reading.
-func (q *Queue) Close() {
+func (q *AsyncHandler) Close() {
 	q.once.Do(func() { close(q.stop) })
 	select {
 	case <-q.done:
@@ -89,7 +89,7 @@
 }
 
 // write writes what is there in one call for many lines.
-func (q *Queue) write() {
+func (q *AsyncHandler) write() {
 	defer close(q.done)
 	for {
 		select {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (q *Queue) drain() {
+func (q *AsyncHandler) drain() {
 	for {
 		select {
 		case line := <-q.lines.C():
@@ -115,7 +115,7 @@
 
 // writeFrom writes a line and those that wait behind it. An error of the writer has nowhere to be told: the lines count
 // as left out.
-func (q *Queue) writeFrom(first []byte) {
+func (q *AsyncHandler) writeFrom(first []byte) {
 	batch, lines := first, uint64(1)
 	for len(batch) < batchBytes {
 		select {
--- a/logging/queue_test.go
+++ b/logging/queue_test.go
@@ -39,7 +39,7 @@
 func TestReaderThatStoppedReadingCostsLinesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &gatedWriter{open: make(chan struct{})}
-		q := NewQueue(w)
+		q := NewAsyncHandler(w)
 		logger := &log.Logger{Handler: q, Level: log.InfoLevel}
 		for range 4 * queueLines {
 			logger.Info("ordinary")
@@ -57,7 +57,7 @@
 func TestLinesOfASecondAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		q := NewQueue(&out)
+		q := NewAsyncHandler(&out)
 		logger := &log.Logger{Handler: q, Level: log.InfoLevel}
 		for range 2 {
 			for range linesPerSecond + 50 {
@@ -77,7 +77,7 @@
 func TestCloseDoesNotWaitForAReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &gatedWriter{open: make(chan struct{})}
-		q := NewQueue(w)
+		q := NewAsyncHandler(w)
 		(&log.Logger{Handler: q, Level: log.InfoLevel}).Info("a")
 		synctest.Wait()
 		began := time.Now()
@@ -91,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
 		require.NoError(t, r.CloseWithError(errors.New("gone")))
-		q := NewQueue(w)
+		q := NewAsyncHandler(w)
 		require.NoError(t, q.HandleLog(&log.Entry{Level: log.WarnLevel}))
 		synctest.Wait()
 		require.EqualValues(t, 1, q.leftOut.Load())
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkQueue(b *testing.B) {
-	q := NewQueue(io.Discard)
+	q := NewAsyncHandler(io.Discard)
 	defer q.Close()
 	logger := &log.Logger{Handler: q, Level: log.InfoLevel}
 	b.ReportAllocs()
--- a/pause/timer.go
+++ b/pause/timer.go
@@ -17,15 +17,15 @@
 // C receives the time when the timer fires. Fired has to follow.
 func (t *Timer) C() <-chan time.Time { return t.timer.C }
 
-// Fired sets the timer again after it has fired.
-func (t *Timer) Fired(in time.Duration) {
+// Rearm sets the timer again after it has fired.
+func (t *Timer) Rearm(in time.Duration) {
 	t.at = time.Now().Add(in)
 	t.timer.Reset(in)
 }
 
-// Within has the timer fire no later than that. One that is set to fire earlier stays: setting it anew with each event would
+// FireWithin has the timer fire no later than that. One that is set to fire earlier stays: setting it anew with each event would
 // cost more than the look that it spares.
-func (t *Timer) Within(in time.Duration) {
+func (t *Timer) FireWithin(in time.Duration) {
 	if at := time.Now().Add(in); at.Before(t.at) {
 		t.at = at
 		t.timer.Reset(in)
--- a/process/process.go
+++ b/process/process.go
@@ -20,8 +20,8 @@
 // bearer is the scheme of the Authorization header, compared without regard to case (RFC 9110, section 11.1).
 const bearer = "Bearer "
 
-// Process is what a daemon tells the platform.
-type Process struct {
+// Probes is what a daemon tells the platform.
+type Probes struct {
 	// Ready returns nil when the process may receive work, and otherwise the reason with its code.
 	Ready func() error
 	// WriteMetrics writes all metrics in the text format of Prometheus.
@@ -34,7 +34,7 @@
 }
 
 // NewRouter returns a router that serves GET /healthz, /readyz and /metrics, and hands errors to onError.
-func NewRouter(p Process, onError echo.HTTPErrorHandler) *echo.Echo {
+func NewRouter(p Probes, onError echo.HTTPErrorHandler) *echo.Echo {
 	router := echo.New()
 	router.HideBanner = true
 	router.HidePort = true
@@ -52,7 +52,7 @@
 
 // getReady serves GET /readyz. A process that isn't ready refuses nobody, so its reason is no error for onError, which
 // counts refusals.
-func (p Process) getReady(c echo.Context) error {
+func (p Probes) getReady(c echo.Context) error {
 	if err := p.Ready(); err != nil {
 		reason := result.From(err)
 		return c.JSON(reason.Status(), reason)
@@ -62,14 +62,14 @@
 
 // getMetrics serves GET /metrics. The text is whole before the answer begins, so that a slow reader holds no lock of
 // the metrics.
-func (p Process) getMetrics(c echo.Context) error {
+func (p Probes) getMetrics(c echo.Context) error {
 	var text bytes.Buffer
 	p.WriteMetrics(&text)
 	return c.Blob(http.StatusOK, contentTypeMetrics, text.Bytes())
 }
 
-// Refusal gives the numbered code of an error, also of one that the router made.
-func Refusal(err error) *result.Error {
+// ResultFrom gives the numbered code of an error, also of one that the router made.
+func ResultFrom(err error) *result.Error {
 	var routed *echo.HTTPError
 	if !errors.As(err, &routed) {
 		return result.From(err)
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -15,12 +15,12 @@
 func TestRouter(t *testing.T) {
 	var reason error
 	refused := result.Code(0)
-	router := NewRouter(Process{
+	router := NewRouter(Probes{
 		Ready:        func() error { return reason },
 		WriteMetrics: func(w io.Writer) { _, _ = io.WriteString(w, "one 1\n") },
 	}, func(err error, c echo.Context) {
-		refused = Refusal(err).Code
-		_ = c.NoContent(Refusal(err).Status())
+		refused = ResultFrom(err).Code
+		_ = c.NoContent(ResultFrom(err).Status())
 	})
 	get := func(method, path string) (int, string) {
 		recorder := httptest.NewRecorder()
--- a/process/start.go
+++ b/process/start.go
@@ -16,12 +16,12 @@
 	startRetryMax = time.Second
 )
 
-// Start calls begin until it succeeds or ctx ends, and returns what it made, or its last error.
+// StartWithRetry calls begin until it succeeds or ctx ends, and returns what it made, or its last error.
 //
 // A platform starts a process anew as soon as it ends. One that can't start for a lasting reason would spin: each start costs
 // more processor time than a second of its work, on a machine that others need. It was seen as 472 starts in 18 s. The reason is
 // logged when it is another than before, not each time.
-func Start[T any](ctx context.Context, logger log.Interface, begin func() (T, error)) (T, error) {
+func StartWithRetry[T any](ctx context.Context, logger log.Interface, begin func() (T, error)) (T, error) {
 	wait := startRetryMin
 	last := ""
 	for {
--- a/process/start_test.go
+++ b/process/start_test.go
@@ -21,7 +21,7 @@
 		tries := 0
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		_, err := Start(ctx, logger, func() (int, error) {
+		_, err := StartWithRetry(ctx, logger, func() (int, error) {
 			tries++
 			return 0, errors.New("no room")
 		})
@@ -36,7 +36,7 @@
 		lines := memory.New()
 		logger := &log.Logger{Handler: lines, Level: log.InfoLevel}
 		causes := []error{errors.New("address in use"), errors.New("disk full"), errors.New("disk full"), nil}
-		made, err := Start(t.Context(), logger, func() (int, error) {
+		made, err := StartWithRetry(t.Context(), logger, func() (int, error) {
 			cause := causes[0]
 			causes = causes[1:]
 			return 7, cause
--- a/sched/state.go
+++ b/sched/state.go
@@ -113,7 +113,7 @@
 )
 
 func openChart() (*chart.Table[state, event], error) {
-	table, err := chart.Open[state, event](chartName, stateNames, eventNames)
+	table, err := chart.BindEmbedded[state, event](chartName, stateNames, eventNames)
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 
 // requireImplemented checks that every declared name is implemented. An action that isn't would silently be
 // skipped.
-func requireImplemented(what string, declared []chart.Item, known []string) error {
+func requireImplemented(what string, declared []chart.Declaration, known []string) error {
 	for _, item := range declared {
 		if !slices.Contains(known, item.Name) {
 			return result.New(result.ChartInvalid, "chart %s: no code for %s %s", chartName, what, item.Name)
--- a/spec/charts.go
+++ b/spec/charts.go
@@ -186,16 +186,16 @@
 func openCharts() (*charts, error) {
 	c := &charts{}
 	var err error
-	if c.request, err = chart.Open[requestState, requestEvent]("request", requestStates, requestEvents); err != nil {
+	if c.request, err = chart.BindEmbedded[requestState, requestEvent]("request", requestStates, requestEvents); err != nil {
 		return nil, errors.Wrap(err, "spec")
 	}
-	if c.attempt, err = chart.Open[attemptState, attemptEvent]("attempt", attemptStates, attemptEvents); err != nil {
+	if c.attempt, err = chart.BindEmbedded[attemptState, attemptEvent]("attempt", attemptStates, attemptEvents); err != nil {
 		return nil, errors.Wrap(err, "spec")
 	}
-	if c.server, err = chart.Open[serverState, serverEvent]("server", serverStates, serverEvents); err != nil {
+	if c.server, err = chart.BindEmbedded[serverState, serverEvent]("server", serverStates, serverEvents); err != nil {
 		return nil, errors.Wrap(err, "spec")
 	}
-	if c.order, err = chart.Open[orderState, orderEvent]("order", orderStates, orderEvents); err != nil {
+	if c.order, err = chart.BindEmbedded[orderState, orderEvent]("order", orderStates, orderEvents); err != nil {
 		return nil, errors.Wrap(err, "spec")
 	}
 	return c, nil
--- a/story/losses.go
+++ b/story/losses.go
@@ -22,10 +22,10 @@
 
 // Causes of answers that are not what was asked for. Refusals and failures have their code's name.
 const (
-	// CauseWaited is an answer that began late and had waited at its entry for more than half of its time.
-	CauseWaited = "late: waited for a place"
-	// CauseComputed is one that began late though it was sent soon: its prompt, or the server, took so long.
-	CauseComputed = "late: computed too long"
+	// CauseQueueWait is an answer that began late and had waited at its entry for more than half of its time.
+	CauseQueueWait = "late: waited for a place"
+	// CauseSlowCompute is one that began late though it was sent soon: its prompt, or the server, took so long.
+	CauseSlowCompute = "late: computed too long"
 	// CauseRetried is one that began late after a second attempt.
 	CauseRetried = "late: a first attempt failed"
 	// CausePaused is one that began in time and paused between two events for longer than allowed.
@@ -147,9 +147,9 @@
 	case line.number("attempts")-line.number("refusals") > 1:
 		return CauseRetried
 	case line.number("sent_ms") > due/2:
-		return CauseWaited
+		return CauseQueueWait
 	default:
-		return CauseComputed
+		return CauseSlowCompute
 	}
 }
 
--- a/story/losses_test.go
+++ b/story/losses_test.go
@@ -29,11 +29,11 @@
 		require.Equal(t, "long", loss.Class)
 	}
 	require.Equal(t, map[string]int{
-		CausePaused: 1, CauseComputed: 1, CauseWaited: 1, CauseRetried: 1,
+		CausePaused: 1, CauseSlowCompute: 1, CauseQueueWait: 1, CauseRetried: 1,
 		"deadline_passed_in_queue (1205)": 2, "over_usage_cap (1208)": 1,
 	}, causes)
 	first := l.List()[0]
-	require.Equal(t, CauseComputed, first.Cause, "the most prompt tokens")
+	require.Equal(t, CauseSlowCompute, first.Cause, "the most prompt tokens")
 	require.EqualValues(t, 54_000, first.LargestPrompt)
 	require.Equal(t, 300*time.Millisecond, first.RoomAge)
 }
