--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock tells steady time that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that includes the time in which the machine is suspended.
 package clock
 
 import (
@@ -7,14 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot is the time since the machine's boot, with the time in which it was suspended.
+// SinceBoot returns the time since the machine booted (CLOCK_BOOTTIME), including the time in which it was suspended. It
+// never decreases. It panics if the kernel doesn't provide that clock.
 //
-// The runtime's own steady clock stands still then: a process that wakes after seconds would go on with leases that have
-// long run out, and one would notice by two holders of the same thing.
+// The Go runtime's monotonic clock stops while the machine is suspended. With that clock, a process that resumes after
+// several seconds would still treat its expired leases as valid, and two processes would hold the same lease at a time.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every kernel that this runs on has the clock; without it no lease may be trusted.
+		// All supported kernels have CLOCK_BOOTTIME. Without it, lease expiry can't be determined.
 		panic("clock: CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -8,7 +8,8 @@
 	"github.com/carawaypitch/carawaypitch/clock"
 )
 
-func TestSinceBootNeverGoesBack(t *testing.T) {
+// Guards against a clock that goes backwards between two reads, which would make an expired lease valid again.
+func TestSinceBootIsMonotonic(t *testing.T) {
 	last := clock.SinceBoot()
 	require.Positive(t, last)
 	for range 1000 {
