--- a/pause/pause.go
+++ b/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides waits that end early when a context is done, and a timer that can be brought forward.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or the end of ctx. It returns false in the second case.
+// For waits until d has passed or ctx is done, whichever comes first. It reports whether d passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against a wait that ends at the wrong time, or that continues after its context has ended.
 func TestFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/pause/timer.go
+++ b/pause/timer.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Timer is for a duty that looks at its work when something is due, and sooner when an event brings that forward. Only the duty may
-// use it.
+// Timer fires at the time when the next work of an event loop is due, and can be brought forward when an event makes work
+// due sooner. It is not safe for concurrent use: only the goroutine of the event loop may use it.
 type Timer struct {
 	timer *time.Timer
 	at    time.Time
 }
 
-// NewTimer returns a timer that fires after a time.
+// NewTimer returns a timer that fires once after in.
 func NewTimer(in time.Duration) *Timer {
 	return &Timer{timer: time.NewTimer(in), at: time.Now().Add(in)}
 }
 
-// C receives the time when the timer fires. Fired has to follow.
+// C returns the channel on which the time is sent when the timer fires. After each receive, call Rearm.
 func (t *Timer) C() <-chan time.Time { return t.timer.C }
 
-// Rearm sets the timer again after it has fired.
+// Rearm starts the timer again after it has fired; it next fires after in.
 func (t *Timer) Rearm(in time.Duration) {
 	t.at = time.Now().Add(in)
 	t.timer.Reset(in)
 }
 
-// FireWithin has the timer fire no later than that. One that is set to fire earlier stays: setting it anew with each event would
-// cost more than the look that it spares.
+// FireWithin makes the timer fire after in at the latest. A timer that is already set to fire earlier is left unchanged:
+// resetting it with every event would cost more than the check of the work that this saves.
 func (t *Timer) FireWithin(in time.Duration) {
 	if at := time.Now().Add(in); at.Before(t.at) {
 		t.at = at
@@ -32,5 +32,5 @@
 	}
 }
 
-// Stop ends the timer.
+// Stop prevents the timer from firing.
 func (t *Timer) Stop() { t.timer.Stop() }
--- a/pause/timer_test.go
+++ b/pause/timer_test.go
@@ -8,18 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTimerIsBroughtForwardAndNeverPutOff(t *testing.T) {
+// Guards against a timer that a later FireWithin postpones: work that is due would be done late.
+func TestTimerFireWithinOnlyShortens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		timer := NewTimer(time.Second)
 		defer timer.Stop()
 		timer.FireWithin(time.Minute)
 		timer.FireWithin(100 * time.Millisecond)
 		timer.FireWithin(500 * time.Millisecond)
 		<-timer.C()
-		require.Equal(t, 100*time.Millisecond, time.Since(begun))
+		require.Equal(t, 100*time.Millisecond, time.Since(start))
 		timer.Rearm(2 * time.Second)
 		<-timer.C()
-		require.Equal(t, 2100*time.Millisecond, time.Since(begun))
+		require.Equal(t, 2100*time.Millisecond, time.Since(start))
 	})
 }
