--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring holds the bounded rings that join the duties of a daemon.
+// Package ring provides the bounded queues through which the event loops of a daemon exchange items.
 package ring
 
 import (
@@ -7,19 +7,19 @@
 )
 
 // Ring is a bounded queue for any number of producers and consumers. It is a buffered channel with a name and a
-// count of refusals, so it works in testing/synctest bubbles and in select statements.
+// count of refused items, so it works in testing/synctest bubbles and in select statements.
 //
-// A scheduler uses TryPush only. With an unbounded queue, or one that blocks, a slow duty would stop the scheduler
-// or let memory grow until the process dies; one would notice it as latency without a cause. A full ring refuses
-// at once, and the count names the duty that is slow.
+// A scheduler uses TryPush only. With a queue that blocks, a slow consumer would stall the scheduler, which shows as
+// latency without a visible cause; with an unbounded queue, memory would grow until the process is killed. A full ring
+// refuses at once, and its count of refusals identifies the slow consumer.
 type Ring[T any] struct {
 	name    string
 	items   chan T
 	refused atomic.Uint64
 }
 
-// New returns an empty ring that holds at most capacity items. It panics if capacity is less than 1. The name is
-// for logs and metrics.
+// New returns an empty ring that holds at most capacity items. It panics if capacity is less than 1. The name appears
+// in logs and metrics.
 func New[T any](name string, capacity int) *Ring[T] {
 	if capacity < 1 {
 		panic("ring: capacity of " + name + " is less than 1")
@@ -27,12 +27,12 @@
 	return &Ring[T]{name: name, items: make(chan T, capacity)}
 }
 
-// Name returns the ring's name.
+// Name returns the name given to New.
 func (r *Ring[T]) Name() string {
 	return r.name
 }
 
-// TryPush adds v and returns true. If the ring is full it counts a refusal and returns false at once.
+// TryPush adds v without blocking. It reports whether there was room; if not, it counts a refusal and drops v.
 func (r *Ring[T]) TryPush(v T) bool {
 	select {
 	case r.items <- v:
@@ -43,7 +43,7 @@
 	}
 }
 
-// Push adds v, and waits while the ring is full. It returns the cause of ctx's end if that comes first.
+// Push adds v, blocking while the ring is full. If ctx is done first, it returns the cause.
 func (r *Ring[T]) Push(ctx context.Context, v T) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Pop takes the oldest item, and waits while the ring is empty. It returns the cause of ctx's end if that comes
-// first; items that remain can then still be taken through C.
+// Pop removes and returns the oldest item, blocking while the ring is empty. If ctx is done first, it returns the
+// cause; remaining items can then still be received from C.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	var zero T
 	if ctx.Err() != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// PopBatch waits for one item, then takes what else is there without waiting, up to len(buf). It returns how many
-// items it put into buf. An empty buf gives 0 at once. Errors are those of Pop.
+// PopBatch blocks until there is one item, then takes further items without blocking, up to len(buf) in all. It
+// returns the number of items stored in buf. With an empty buf it returns 0 at once. Errors are those of Pop.
 func (r *Ring[T]) PopBatch(ctx context.Context, buf []T) (int, error) {
 	if len(buf) == 0 {
 		return 0, nil
@@ -92,22 +92,22 @@
 	return len(buf), nil
 }
 
-// C returns the channel to receive from, for select statements. It is never closed.
+// C returns the channel of the items, for use in select statements. It is never closed.
 func (r *Ring[T]) C() <-chan T {
 	return r.items
 }
 
-// Len returns how many items the ring holds now.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int {
 	return len(r.items)
 }
 
-// Cap returns how many items the ring can hold.
+// Cap returns the maximum number of items.
 func (r *Ring[T]) Cap() int {
 	return cap(r.items)
 }
 
-// Refused returns how many times TryPush found the ring full.
+// Refused returns the number of items that TryPush refused because the ring was full.
 func (r *Ring[T]) Refused() uint64 {
 	return r.refused.Load()
 }
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -12,6 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/ring"
 )
 
+// Guards against a full ring that blocks its producer or drops an item without counting it.
 func TestTryPushRefusesWhenFull(t *testing.T) {
 	r := ring.New[int]("test", 2)
 	require.True(t, r.TryPush(1))
@@ -24,6 +25,7 @@
 	require.Equal(t, 1, <-r.C())
 }
 
+// Guards against Push losing an item, or returning early, while the ring is full.
 func TestPushWaitsForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := ring.New[int]("test", 1)
@@ -40,9 +42,8 @@
 	})
 }
 
-// Symptom: a daemon does not stop.
-// Sequence: a duty waits at a full or empty ring; the daemon's context ends.
-// Cause: a wait that doesn't watch the context.
+// Guards against a daemon that doesn't stop because a goroutine blocks on a full or empty ring and ignores the end of
+// the daemon's context.
 func TestWaitsEndWithTheContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := errors.New("stop")
@@ -65,7 +66,8 @@
 	})
 }
 
-func TestPopBatchTakesWhatIsThere(t *testing.T) {
+// Guards against a batch that blocks for more items once it has one, or that loses items beyond the buffer.
+func TestPopBatchTakesAvailableItems(t *testing.T) {
 	r := ring.New[int]("test", 4)
 	for v := range 3 {
 		r.TryPush(v)
@@ -82,6 +84,7 @@
 	require.Zero(t, n)
 }
 
+// Guards against items that are lost or delivered twice with concurrent producers and consumers.
 func TestManyProducersAndConsumers(t *testing.T) {
 	const producers, each = 4, 500
 	r := ring.New[int]("test", 3)
@@ -111,6 +114,7 @@
 	require.Equal(t, producers*each*(each-1)/2, total)
 }
 
+// Guards against a ring without capacity, which would refuse every TryPush.
 func TestCapacityBelowOnePanics(t *testing.T) {
 	require.Panics(t, func() { ring.New[int]("test", 0) })
 }
