--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,8 +1,8 @@
-// Package rendezvous ranks others by a hash, as in rendezvous hashing: each process has an order of its own, so that the choices of
-// all spread evenly, and one that comes or goes changes the choices of few.
+// Package rendezvous implements rendezvous hashing: each process ranks candidates by a hash of both names. The choices of
+// all processes spread evenly over the candidates, and a candidate that is added or removed changes few choices.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank is where other stands in self's order, the lowest first.
+// Rank returns the hash by which self orders other among its candidates; the candidate with the lowest rank comes first.
 func Rank(self, other string) uint64 { return xxhash.Sum64String(self + "\n" + other) }
