--- a/network/memory/conn.go
+++ b/network/memory/conn.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// pipeBytes is how much one direction holds before Write blocks.
-const pipeBytes = 256 << 10
+// pipeCapacity is the number of bytes that one direction of a connection buffers before Write blocks.
+const pipeCapacity = 256 << 10
 
-// pipe is one direction of a connection. The network's lock guards it.
+// pipe is one direction of a connection. Its fields are guarded by the network's lock.
 type pipe struct {
-	network *Network
-	route   route
-	wake    *sync.Cond
-	parts   []part
-	bytes   int
-	closed  bool // by either end
-	ended   int  // ends that closed it
-	read    deadline
-	write   deadline
-}
-
-// part is what one Write gave.
-type part struct {
+	network       *Network
+	route         route
+	changed       *sync.Cond
+	segments      []segment
+	bytes         int
+	closed        bool // by at least one end
+	closedEnds    int  // number of ends that closed it
+	readDeadline  deadline
+	writeDeadline deadline
+}
+
+// segment is the data of one Write and the time at which it arrives.
+type segment struct {
 	data []byte
 	due  time.Time
 }
 
+// connect returns the two ends of a new connection, that of the host near first.
 func (n *Network) connect(nearAddr, farAddr addr, near, far string) (net.Conn, net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,75 +42,79 @@
 }
 
 func (n *Network) newPipe(r route) *pipe {
-	p := &pipe{network: n, route: r, wake: sync.NewCond(&n.mu)}
+	p := &pipe{network: n, route: r, changed: sync.NewCond(&n.mu)}
 	n.pipes[p] = true
 	return p
 }
 
-// take copies what has arrived. The end of the stream travels like bytes: a cut hides it.
-func (p *pipe) take(b []byte) (int, error) {
+// receive blocks until bytes have arrived and copies them. The end of the stream is held back by a cut, as bytes are.
+func (p *pipe) receive(b []byte) (int, error) {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	for {
 		cut := p.network.cuts[p.route]
 		switch {
-		case p.read.passed():
+		case p.readDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
-		case !cut && len(p.parts) > 0 && !p.parts[0].due.After(time.Now()):
-			return p.copyOut(b), nil
-		case !cut && len(p.parts) == 0 && p.closed:
+		case !cut && len(p.segments) > 0 && !p.segments[0].due.After(time.Now()):
+			return p.dequeue(b), nil
+		case !cut && len(p.segments) == 0 && p.closed:
 			return 0, io.EOF
 		}
-		p.wake.Wait()
+		p.changed.Wait()
 	}
 }
 
-func (p *pipe) copyOut(b []byte) int {
-	n := copy(b, p.parts[0].data)
-	p.parts[0].data = p.parts[0].data[n:]
-	if len(p.parts[0].data) == 0 {
-		p.parts = p.parts[1:]
+// dequeue copies bytes of the first segment, and wakes writers. The network's lock is held.
+func (p *pipe) dequeue(b []byte) int {
+	n := copy(b, p.segments[0].data)
+	p.segments[0].data = p.segments[0].data[n:]
+	if len(p.segments[0].data) == 0 {
+		p.segments = p.segments[1:]
 	}
 	p.bytes -= n
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 	return n
 }
 
-func (p *pipe) put(b []byte) (int, error) {
+// send buffers b, blocking while the pipe is at its capacity.
+func (p *pipe) send(b []byte) (int, error) {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	for {
 		switch {
-		case p.write.passed():
+		case p.writeDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
 		case p.closed && !p.network.cuts[p.route]:
 			return 0, syscall.EPIPE
-		case p.bytes < pipeBytes:
-			p.append(b)
+		case p.bytes < pipeCapacity:
+			p.enqueue(b)
 			return len(b), nil
 		}
-		p.wake.Wait()
+		p.changed.Wait()
 	}
 }
 
-func (p *pipe) append(b []byte) {
+// enqueue adds a segment. Its arrival is not before that of the previous segment, so that a delay that is removed doesn't
+// reorder bytes. The network's lock is held.
+func (p *pipe) enqueue(b []byte) {
 	delay := p.network.delays[p.route]
 	due := time.Now().Add(delay)
-	if last := len(p.parts) - 1; last >= 0 && p.parts[last].due.After(due) {
-		due = p.parts[last].due
+	if last := len(p.segments) - 1; last >= 0 && p.segments[last].due.After(due) {
+		due = p.segments[last].due
 	}
-	p.parts = append(p.parts, part{data: append([]byte(nil), b...), due: due})
+	p.segments = append(p.segments, segment{data: append([]byte(nil), b...), due: due})
 	p.bytes += len(b)
 	if delay > 0 {
 		time.AfterFunc(time.Until(due), p.broadcast)
 	}
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 }
 
 func (p *pipe) broadcast() {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 }
 
 // conn is one end of a connection.
@@ -117,13 +122,13 @@
 	in, out       *pipe
 	local, remote addr
 	mu            sync.Mutex
-	done          bool
+	closed        bool
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.in.take(b)
-	if err != nil && c.isDone() {
+	n, err := c.in.receive(b)
+	if err != nil && c.isClosed() {
 		err = net.ErrClosed
 	}
 	return n, err
@@ -131,25 +136,25 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.isDone() {
+	if c.isClosed() {
 		return 0, net.ErrClosed
 	}
-	return c.out.put(b)
+	return c.out.send(b)
 }
 
-func (c *conn) isDone() bool {
+func (c *conn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.done
+	return c.closed
 }
 
-// Close implements net.Conn. The peer reads what was written before, unless the way to it is cut.
+// Close implements net.Conn. The peer can read what was written before, unless the route to it is cut.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	again := c.done
-	c.done = true
+	alreadyClosed := c.closed
+	c.closed = true
 	c.mu.Unlock()
-	if again {
+	if alreadyClosed {
 		return nil
 	}
 	n := c.in.network
@@ -157,15 +162,15 @@
 	defer n.mu.Unlock()
 	for _, p := range []*pipe{c.in, c.out} {
 		p.closed = true
-		p.ended++
-		if p.ended == 2 {
+		p.closedEnds++
+		if p.closedEnds == 2 {
 			delete(n.pipes, p)
 		}
-		p.wake.Broadcast()
+		p.changed.Broadcast()
 	}
-	// This end's own calls have to return also while the route is cut.
-	c.in.read.now()
-	c.out.write.now()
+	// Blocked reads and writes of this end have to return even while the route is cut.
+	c.in.readDeadline.expire()
+	c.out.writeDeadline.expire()
 	return nil
 }
 
@@ -177,37 +182,37 @@
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.in.setDeadline(&c.in.read, t)
-	c.out.setDeadline(&c.out.write, t)
+	c.in.setDeadline(&c.in.readDeadline, t)
+	c.out.setDeadline(&c.out.writeDeadline, t)
 	return nil
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.in.setDeadline(&c.in.read, t)
+	c.in.setDeadline(&c.in.readDeadline, t)
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.out.setDeadline(&c.out.write, t)
+	c.out.setDeadline(&c.out.writeDeadline, t)
 	return nil
 }
 
-// deadline is when calls fail; zero means never.
+// deadline is the time from which calls fail; zero means no deadline. If expired is set, calls fail at any time.
 type deadline struct {
-	at    time.Time
-	final bool
+	at      time.Time
+	expired bool
 }
 
-func (d *deadline) now()         { d.final = true }
-func (d *deadline) passed() bool { return d.final || !d.at.IsZero() && !d.at.After(time.Now()) }
+func (d *deadline) expire()      { d.expired = true }
+func (d *deadline) passed() bool { return d.expired || !d.at.IsZero() && !d.at.After(time.Now()) }
 
 func (p *pipe) setDeadline(d *deadline, at time.Time) {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	d.at = at
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 	if wait := time.Until(at); !at.IsZero() && wait > 0 {
 		time.AfterFunc(wait, p.broadcast)
 	}
--- a/network/memory/memory.go
+++ b/network/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is an in-memory network for tests. It works in testing/synctest bubbles, and its connections can be
-// cut silently, refused and delayed between any two hosts.
+// Package memory provides an in-memory network for tests. It works in testing/synctest bubbles, and can partition any
+// two hosts silently, refuse connections to a host, and delay bytes between two hosts.
 package memory
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/carawaypitch/carawaypitch/network"
 )
 
-// firstPort is where the ports of listeners that ask for port 0 begin.
+// firstPort is the first port given to listeners that ask for port 0.
 const firstPort = 40000
 
-// Network joins hosts, which are named by IP number.
+// Network connects hosts, which are identified by IP address. Any number of goroutines may use it.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -26,13 +26,13 @@
 	cuts      map[route]bool
 	delays    map[route]time.Duration
 	refusing  map[string]bool
-	pipes     map[*pipe]bool // all open ones
+	pipes     map[*pipe]bool // directions of connections that are not closed at both ends
 }
 
 // route is one direction between two hosts.
 type route struct{ from, to string }
 
-// New returns a network without faults.
+// New returns a network without injected faults.
 func New() *Network {
 	return &Network{
 		listeners: make(map[string]*listener),
@@ -44,28 +44,28 @@
 	}
 }
 
-// Host returns the network as the host at ip sees it.
+// Host returns the network interface of the host at ip: it listens at ip and dials from ip.
 func (n *Network) Host(ip string) network.Network {
 	return host{network: n, ip: ip}
 }
 
-// Cut stops all bytes between two hosts in both directions. Nobody gets an error: bytes wait as they do for TCP's
-// retransmission, dialling times out, and Heal lets all go on.
+// Cut partitions two hosts in both directions. Open connections get no error: bytes are held back as TCP does while it
+// retransmits, and dials time out. Heal delivers the bytes.
 func (n *Network) Cut(a, b string) {
-	n.change(func() {
+	n.update(func() {
 		n.cuts[route{a, b}] = true
 		n.cuts[route{b, a}] = true
 	})
 }
 
-// CutOneWay is Cut for the bytes that one host sends to another.
+// CutOneWay is like Cut, but holds back only the bytes sent by from to to.
 func (n *Network) CutOneWay(from, to string) {
-	n.change(func() { n.cuts[route{from, to}] = true })
+	n.update(func() { n.cuts[route{from, to}] = true })
 }
 
-// Heal takes back the cuts and delays between two hosts.
+// Heal removes the partitions and delays between two hosts, in both directions.
 func (n *Network) Heal(a, b string) {
-	n.change(func() {
+	n.update(func() {
 		for _, r := range []route{{a, b}, {b, a}} {
 			delete(n.cuts, r)
 			delete(n.delays, r)
@@ -73,19 +73,20 @@
 	})
 }
 
-// Delay lets bytes that are written from now on arrive later by d. Bytes keep their order.
+// Delay makes bytes that from sends to to after the call arrive d later. The order of bytes is kept.
 func (n *Network) Delay(from, to string, d time.Duration) {
-	n.change(func() { n.delays[route{from, to}] = d })
+	n.update(func() { n.delays[route{from, to}] = d })
 }
 
-// Refuse makes dials to a host fail at once while on is set, as if its process were dead. Open connections stay.
+// Refuse sets whether dials to a host fail at once with ECONNREFUSED, as if no process ran there. Open connections are
+// not affected.
 func (n *Network) Refuse(ip string, on bool) {
-	n.change(func() { n.refusing[ip] = on })
+	n.update(func() { n.refusing[ip] = on })
 }
 
-// Reset closes all connections from and to a host, as the end of its process does.
+// Reset closes all connections from and to a host, as happens when its process ends.
 func (n *Network) Reset(ip string) {
-	n.change(func() {
+	n.update(func() {
 		for p := range n.pipes {
 			if p.route.from == ip || p.route.to == ip {
 				p.closed = true
@@ -94,22 +95,23 @@
 	})
 }
 
-// change changes the network under its lock and wakes all that wait.
-func (n *Network) change(do func()) {
+// update calls do with the lock held, then wakes all blocked reads and writes.
+func (n *Network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
 	for p := range n.pipes {
-		p.wake.Broadcast()
+		p.changed.Broadcast()
 	}
 }
 
+// host is the network as seen by the host at ip.
 type host struct {
 	network *Network
 	ip      string
 }
 
-// Listen implements network.Network. The host of address has to be this one, or empty.
+// Listen implements network.Network. The IP address in address must be that of the host, or empty.
 func (h host) Listen(address string) (net.Listener, error) {
 	ip, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -142,11 +144,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "memory: dial")
 	}
-	if h.network.isCut(h.ip, ip) {
+	if h.network.cutEitherWay(h.ip, ip) {
 		<-ctx.Done()
 		return nil, errors.Wrapf(ctx.Err(), "memory: dial %s", address)
 	}
-	l := h.network.find(ip, address)
+	l := h.network.listenerAt(ip, address)
 	if l == nil {
 		return nil, errors.Wrapf(syscall.ECONNREFUSED, "memory: dial %s", address)
 	}
@@ -161,13 +163,15 @@
 	}
 }
 
-func (n *Network) isCut(a, b string) bool {
+// cutEitherWay reports whether at least one direction between two hosts is cut; a dial needs both.
+func (n *Network) cutEitherWay(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[route{a, b}] || n.cuts[route{b, a}]
 }
 
-func (n *Network) find(ip, address string) *listener {
+// listenerAt returns the listener at address, or nil if there is none or the host at ip refuses connections.
+func (n *Network) listenerAt(ip, address string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refusing[ip] {
@@ -208,7 +212,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return l.address }
 
-// addr is the "IP:port" of an end.
+// addr is the "IP:port" of one end of a connection.
 type addr string
 
 // Network implements net.Addr.
--- a/network/memory/memory_test.go
+++ b/network/memory/memory_test.go
@@ -17,8 +17,8 @@
 	hostB = "10.0.0.2"
 )
 
-// open returns the two ends of a connection from hostA to hostB.
-func open(t *testing.T, n *Network) (near, far net.Conn) {
+// connectPair returns the two ends of a connection from hostA to hostB; near is that of hostA.
+func connectPair(t *testing.T, n *Network) (near, far net.Conn) {
 	t.Helper()
 	l, err := n.Host(hostB).Listen(hostB + ":0")
 	require.NoError(t, err)
@@ -35,13 +35,15 @@
 	return near, far
 }
 
+// Guards against a partition that shows as an error, or that loses bytes or the end of the stream: real TCP holds them
+// back until the network recovers.
 func TestCutHoldsBytesUntilHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
-		near, far := open(t, n)
+		near, far := connectPair(t, n)
 		n.Cut(hostA, hostB)
 		_, err := near.Write([]byte("hello"))
-		require.NoError(t, err, "a cut is silent")
+		require.NoError(t, err, "a write to a cut route must not fail")
 		near.Close()
 
 		require.NoError(t, far.SetReadDeadline(time.Now().Add(time.Minute)))
@@ -58,6 +60,7 @@
 	})
 }
 
+// Guards against dials that fail in another way than over TCP: refused without a listener, timed out when cut.
 func TestDialFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
@@ -79,10 +82,11 @@
 	})
 }
 
+// Guards against reordered bytes: a write without delay must not arrive before an earlier, delayed one.
 func TestDelayKeepsOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
-		near, far := open(t, n)
+		near, far := connectPair(t, n)
 		n.Delay(hostA, hostB, time.Second)
 		start := time.Now()
 		_, err := near.Write([]byte("a"))
@@ -99,10 +103,11 @@
 	})
 }
 
+// Guards against an end of a connection that doesn't notice that the process of its peer has ended.
 func TestResetEndsBothEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
-		near, far := open(t, n)
+		near, far := connectPair(t, n)
 		n.Reset(hostB)
 		_, err := far.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
--- a/network/network.go
+++ b/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how a daemon reaches TCP. The daemons take a Network instead of calling package net, so that a
-// test can run several of them in one process over connections it can cut.
+// Package network abstracts how daemons open and accept TCP connections. Daemons use a Network instead of calling
+// package net, so that a test can run several of them in one process and interrupt the connections between them.
 package network
 
 import (
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// DialTimeout bounds one attempt to open a connection.
+// DialTimeout bounds a single attempt to open a connection.
 const DialTimeout = 2 * time.Second
 
-// Network opens and accepts connections by IP number and port.
+// Network opens and accepts connections. Addresses are "IP:port".
 type Network interface {
-	// Listen accepts connections at address; port 0 takes a free one, which the listener's Addr tells.
+	// Listen accepts connections at address. With port 0 a free port is chosen; the listener's Addr returns it.
 	Listen(address string) (net.Listener, error)
 
-	// Dial opens a connection to address, within DialTimeout and the context.
+	// Dial opens a connection to address. It fails after DialTimeout, or when ctx is done.
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// TCP is the machine's own network.
+// TCP is the Network of the operating system.
 type TCP struct{}
 
 // Listen implements Network.
