--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes one line of key=value pairs for each event.
+// Package logging writes log entries as one line of key=value pairs each.
 //
 //	time=2026-01-02T15:04:05.678Z level=info event=request_answered code=0 request=7f3a
 //
@@ -18,27 +18,27 @@
 // timeFormat is RFC 3339 in UTC, with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// renamed goes before a field whose name is one that each line has.
-const renamed = "field_"
+// reservedPrefix is put before a field name that is the key of a fixed part of the line: time, level or event.
+const reservedPrefix = "field_"
 
-// New returns a logger that writes events of at least that level to w.
+// New returns a logger that writes entries of at least the given level to w, synchronously.
 func New(level log.Level, w io.Writer) *log.Logger {
 	return &log.Logger{Handler: NewHandler(w), Level: level}
 }
 
-// Handler writes entries as lines. Any number of goroutines may use it.
+// Handler is a log.Handler that writes each entry as a line. Any number of goroutines may use it.
 type Handler struct {
 	mu  sync.Mutex
 	w   io.Writer
 	buf []byte
 }
 
-// NewHandler returns a handler that writes to w, one call of Write for each line.
+// NewHandler returns a handler that writes to w, with one call of Write per line.
 func NewHandler(w io.Writer) *Handler {
 	return &Handler{w: w}
 }
 
-// HandleLog writes one line. It returns the error of the writer.
+// HandleLog implements log.Handler. It returns the error of the writer.
 func (h *Handler) HandleLog(e *log.Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,6 +47,7 @@
 	return err
 }
 
+// appendLine appends the line for e to buf, with its line break.
 func appendLine(buf []byte, e *log.Entry) []byte {
 	buf = append(buf, "time="...)
 	buf = e.Timestamp.UTC().AppendFormat(buf, timeFormat)
@@ -63,11 +64,12 @@
 	return append(buf, '\n')
 }
 
-// fieldKey returns the name with each byte that would break the line's form replaced.
+// fieldKey returns name with each character that would break the key=value syntax replaced by an underscore, and with
+// reservedPrefix if it is a reserved name.
 func fieldKey(name string) string {
 	switch name {
 	case "time", "level", "event":
-		return renamed + name
+		return reservedPrefix + name
 	case "":
 		return "_"
 	}
@@ -81,10 +83,10 @@
 	return r
 }
 
-// appendValue quotes a value that would break the line's form.
+// appendValue appends value, quoted if it would break the key=value syntax.
 //
-// A caller's header or an engine's error text may hold a line break. Written as it is, it would add lines of the
-// caller's making to the log, which then says what never happened; quoted, it stays inside its own value.
+// A caller's header or an engine's error text may contain a line break. Unquoted, it would let the caller forge log
+// lines for events that never happened.
 func appendValue(buf []byte, value string) []byte {
 	if value == "" || strings.ContainsFunc(value, needsQuotes) {
 		return strconv.AppendQuote(buf, value)
@@ -92,6 +94,7 @@
 	return append(buf, value...)
 }
 
+// needsQuotes reports whether r would break the key=value syntax or isn't printable.
 func needsQuotes(r rune) bool {
 	return r <= ' ' || r == '=' || r == '"' || r == '\\' || !strconv.IsPrint(r) || r == '\uFFFD'
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -15,6 +15,7 @@
 	"github.com/carawaypitch/carawaypitch/logging"
 )
 
+// Guards against lines that operators' tools can't parse, or whose fields change their order.
 func TestLineForm(t *testing.T) {
 	cases := map[string]struct {
 		fields log.Fields
@@ -41,16 +42,16 @@
 	}
 }
 
-// Symptom: the log tells of an event that never happened.
-// Sequence: a caller sends a header with a line break; its value is logged.
-// Cause: a value that is written as it is.
-func TestValuesStayOnTheirLine(t *testing.T) {
+// Guards against log injection: a header with a line break, logged unquoted, would add a line for an event that never
+// happened.
+func TestLineBreaksInValuesAreQuoted(t *testing.T) {
 	var out bytes.Buffer
 	logging.New(log.InfoLevel, &out).WithField("class", "x\ntime=0 event=forged").Info("a\nb")
 	require.Equal(t, 1, strings.Count(out.String(), "\n"))
 	require.Contains(t, out.String(), `event="a\nb" class="x\ntime=0 event=forged"`)
 }
 
+// Guards against concurrent writers mixing their lines, and against lines below the logger's level.
 func TestLevelAndManyWriters(t *testing.T) {
 	var out bytes.Buffer
 	logger := logging.New(log.InfoLevel, &out)
@@ -69,6 +70,7 @@
 	}
 }
 
+// Guards against a failed write that the caller can't notice.
 func TestWriterErrorIsReturned(t *testing.T) {
 	r, w := io.Pipe()
 	require.NoError(t, r.CloseWithError(io.ErrClosedPipe))
--- a/logging/queue_test.go
+++ b/logging/queue_test.go
@@ -14,53 +14,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gatedWriter is a reader of the log that reads only once it is opened.
-type gatedWriter struct {
-	open chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// stalledWriter blocks all writes until resume is closed, as a pipe does whose reader has stopped reading.
+type stalledWriter struct {
+	resume chan struct{}
+	mu     sync.Mutex
+	text   bytes.Buffer
 }
 
-func (w *gatedWriter) Write(p []byte) (int, error) {
-	<-w.open
+func (w *stalledWriter) Write(p []byte) (int, error) {
+	<-w.resume
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.text.Write(p)
 }
 
-func (w *gatedWriter) String() string {
+func (w *stalledWriter) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.text.String()
 }
 
-// Symptom: an entry answers nobody any more, and writes no line that says why. Sequence: whoever reads the log stops
-// reading; the pipe is full; a duty writes its next line. Cause: lines written by those who make them.
-func TestReaderThatStoppedReadingCostsLinesOnly(t *testing.T) {
+// Guards against a process that neither answers nor logs because the reader of its log has stopped reading: the pipe
+// fills up, and a synchronous write of the next line blocks the scheduler.
+func TestStalledReaderDropsLinesWithoutBlocking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &gatedWriter{open: make(chan struct{})}
+		w := &stalledWriter{resume: make(chan struct{})}
 		q := NewAsyncHandler(w)
 		logger := &log.Logger{Handler: q, Level: log.InfoLevel}
-		for range 4 * queueLines {
+		for range 4 * queueCapacity {
 			logger.Info("ordinary")
 		}
 		logger.Warn("kept")
-		close(w.open)
+		close(w.resume)
 		synctest.Wait()
 		q.Close()
-		require.Contains(t, w.String(), "event=kept", "room is kept for warnings")
-		require.Contains(t, w.String(), "event="+leftOutEvent)
-		require.LessOrEqual(t, strings.Count(w.String(), "event=ordinary"), linesPerSecond)
+		require.Contains(t, w.String(), "event=kept", "capacity is reserved for warnings")
+		require.Contains(t, w.String(), "event="+droppedEvent)
+		require.LessOrEqual(t, strings.Count(w.String(), "event=ordinary"), infoLinesPerSecond)
 	})
 }
 
-func TestLinesOfASecondAreBounded(t *testing.T) {
+// Guards against a process that floods its log: lines of level info above the rate are dropped and counted.
+func TestInfoLinesPerSecondAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		q := NewAsyncHandler(&out)
 		logger := &log.Logger{Handler: q, Level: log.InfoLevel}
 		for range 2 {
-			for range linesPerSecond + 50 {
+			for range infoLinesPerSecond + 50 {
 				logger.Info("ordinary")
 				synctest.Wait()
 			}
@@ -69,32 +70,34 @@
 		logger.Info("last")
 		synctest.Wait()
 		q.Close()
-		require.Equal(t, 2*linesPerSecond, strings.Count(out.String(), "event=ordinary"))
+		require.Equal(t, 2*infoLinesPerSecond, strings.Count(out.String(), "event=ordinary"))
 		require.Contains(t, out.String(), "lines=50")
 	})
 }
 
-func TestCloseDoesNotWaitForAReader(t *testing.T) {
+// Guards against a process that can't exit because the reader of its log has stopped reading.
+func TestCloseTimesOutOnStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &gatedWriter{open: make(chan struct{})}
+		w := &stalledWriter{resume: make(chan struct{})}
 		q := NewAsyncHandler(w)
 		(&log.Logger{Handler: q, Level: log.InfoLevel}).Info("a")
 		synctest.Wait()
-		began := time.Now()
+		start := time.Now()
 		q.Close()
-		require.Equal(t, closeWait, time.Since(began))
-		close(w.open)
+		require.Equal(t, closeTimeout, time.Since(start))
+		close(w.resume)
 	})
 }
 
-func TestWriterThatFailsCountsAsLeftOut(t *testing.T) {
+// Guards against lines that are lost in a failed write without being counted.
+func TestFailedWriteCountsAsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
 		require.NoError(t, r.CloseWithError(errors.New("gone")))
 		q := NewAsyncHandler(w)
 		require.NoError(t, q.HandleLog(&log.Entry{Level: log.WarnLevel}))
 		synctest.Wait()
-		require.EqualValues(t, 1, q.leftOut.Load())
+		require.EqualValues(t, 1, q.dropped.Load())
 		q.Close()
 	})
 }
