--- a/process/process_test.go
+++ b/process/process_test.go
@@ -12,14 +12,16 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
+// Guards against an endpoint with a wrong status, and against a failed readiness probe that is counted as a refused
+// request.
 func TestRouter(t *testing.T) {
 	var reason error
-	refused := result.Code(0)
+	errorCode := result.Code(0)
 	router := NewRouter(Probes{
 		Ready:        func() error { return reason },
 		WriteMetrics: func(w io.Writer) { _, _ = io.WriteString(w, "one 1\n") },
 	}, func(err error, c echo.Context) {
-		refused = ResultFrom(err).Code
+		errorCode = ResultFrom(err).Code
 		_ = c.NoContent(ResultFrom(err).Status())
 	})
 	get := func(method, path string) (int, string) {
@@ -35,18 +37,19 @@
 	status, body := get(http.MethodGet, "/readyz")
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Contains(t, body, `"name":"stopping"`)
-	require.Zero(t, refused, "not being ready is no refusal")
+	require.Zero(t, errorCode, "a failed readiness probe must not be counted as a refusal")
 	status, body = get(http.MethodGet, "/metrics")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "one 1\n", body)
 	status, _ = get(http.MethodGet, "/none")
 	require.Equal(t, http.StatusNotFound, status)
-	require.Equal(t, result.NotFound, refused)
+	require.Equal(t, result.NotFound, errorCode)
 	status, _ = get(http.MethodPost, "/healthz")
 	require.Equal(t, http.StatusMethodNotAllowed, status)
-	require.Equal(t, result.MethodNotAllowed, refused)
+	require.Equal(t, result.MethodNotAllowed, errorCode)
 }
 
+// Guards against keys that are accepted with another scheme, or refused for the case of the scheme's name.
 func TestBearerKey(t *testing.T) {
 	for header, want := range map[string]string{"": "", "Bearer k": "k", "bearer k": "k", "Basic k": "", "Bearer": ""} {
 		request := httptest.NewRequest(http.MethodGet, "/", http.NoBody)
--- a/process/start.go
+++ b/process/start.go
@@ -9,33 +9,36 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// The wait between two tries to start: doubled each time, from a time in which a port of a process that just died is free
-// again, up to one that is short beside the four seconds or more that a machine has to catch up once what it lacked is back.
+// Bounds of the backoff between attempts to start, which doubles with each attempt. Within startBackoffMin, a port of a
+// process that just died is free again. startBackoffMax is short compared with the four seconds or more in which an
+// instance has to be serving again once the missing resource is back.
 const (
-	startRetryMin = 250 * time.Millisecond
-	startRetryMax = time.Second
+	startBackoffMin = 250 * time.Millisecond
+	startBackoffMax = time.Second
 )
 
-// StartWithRetry calls begin until it succeeds or ctx ends, and returns what it made, or its last error.
+// StartWithRetry calls start until it succeeds or ctx is done, with exponential backoff between attempts. It returns the
+// results of the last attempt.
 //
-// A platform starts a process anew as soon as it ends. One that can't start for a lasting reason would spin: each start costs
-// more processor time than a second of its work, on a machine that others need. It was seen as 472 starts in 18 s. The reason is
-// logged when it is another than before, not each time.
-func StartWithRetry[T any](ctx context.Context, logger log.Interface, begin func() (T, error)) (T, error) {
-	wait := startRetryMin
-	last := ""
+// A platform restarts a process as soon as it exits. A process that exits because it can't start for a persistent reason
+// would be restarted in a tight loop, at a rate of 472 starts in 18 s, and each start costs more processor time than a second of
+// regular work, on a machine shared with other processes. An error is logged only if its text differs from that of the
+// previous attempt.
+func StartWithRetry[T any](ctx context.Context, logger log.Interface, start func() (T, error)) (T, error) {
+	backoff := startBackoffMin
+	lastLogged := ""
 	for {
-		made, err := begin()
+		started, err := start()
 		if err == nil {
-			return made, nil
+			return started, nil
 		}
-		if text := err.Error(); text != last {
-			last = text
+		if text := err.Error(); text != lastLogged {
+			lastLogged = text
 			logger.WithError(err).Error("start_failed")
 		}
-		if !pause.For(ctx, wait) {
-			return made, err
+		if !pause.For(ctx, backoff) {
+			return started, err
 		}
-		wait = min(2*wait, startRetryMax)
+		backoff = min(2*backoff, startBackoffMax)
 	}
 }
--- a/process/start_test.go
+++ b/process/start_test.go
@@ -12,37 +12,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a process is started hundreds of times in half a minute, and its machine has no time for anything else. Sequence:
-// what it needs to start is missing for good; the platform starts it again at once. Cause: it ended with each failure.
-func TestStartWaitsLongerEachTime(t *testing.T) {
+// Guards against a restart loop that takes all processor time: a process that exits whenever a resource is missing is
+// restarted by the platform at once, hundreds of times in half a minute.
+func TestStartWithRetryBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lines := memory.New()
 		logger := &log.Logger{Handler: lines, Level: log.InfoLevel}
-		tries := 0
+		attempts := 0
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		_, err := StartWithRetry(ctx, logger, func() (int, error) {
-			tries++
+			attempts++
 			return 0, errors.New("no room")
 		})
 		require.Error(t, err)
-		require.LessOrEqual(t, tries, 62)
-		require.Len(t, lines.Entries, 1, "a reason is told once")
+		require.LessOrEqual(t, attempts, 62)
+		require.Len(t, lines.Entries, 1, "an unchanged error is logged once")
 	})
 }
 
-func TestStartSucceedsLater(t *testing.T) {
+// Guards against giving up after the first failure, and against a new error that isn't logged.
+func TestStartWithRetrySucceedsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lines := memory.New()
 		logger := &log.Logger{Handler: lines, Level: log.InfoLevel}
 		causes := []error{errors.New("address in use"), errors.New("disk full"), errors.New("disk full"), nil}
-		made, err := StartWithRetry(t.Context(), logger, func() (int, error) {
+		started, err := StartWithRetry(t.Context(), logger, func() (int, error) {
 			cause := causes[0]
 			causes = causes[1:]
 			return 7, cause
 		})
 		require.NoError(t, err)
-		require.Equal(t, 7, made)
+		require.Equal(t, 7, started)
 		require.Len(t, lines.Entries, 2)
 	})
 }
