--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,7 +1,7 @@
-// Package chart reads state charts from files into dense tables.
+// Package chart loads state charts from files and compiles them into transition tables.
 //
 // A chart file is JSON with comments. It declares the events, guards and actions, each with a line of
-// documentation, and the states with what each event does there:
+// documentation, and the states with the transitions of each event:
 //
 //	{
 //	  "name": "door",
@@ -17,11 +17,11 @@
 //	  }
 //	}
 //
-// What an event does is one branch or a list of them; the first branch whose guards all hold is taken. A guard
-// written "!name" holds when the boolean doesn't. A final state may only stay as it is.
+// An event in a state has one branch or a list of them; the first branch whose guards all hold is taken. A guard
+// written "!name" holds if the boolean is false. All branches of a final state lead back to it.
 //
-// The code that decides and the spec package that checks the design read the same files, so that what was checked
-// is what runs. Everything here is pure: a table holds no clock and starts no goroutine.
+// The schedulers and the model checker in package spec load the same files, so that the checked model is the one that
+// runs. Nothing here depends on time: a table reads no clock and starts no goroutine.
 package chart
 
 import (
@@ -37,16 +37,16 @@
 	"github.com/carawaypitch/carawaypitch/settings/jsonc"
 )
 
-// Files holds the charts of carawaypitch, as charts/NAME.jsonc.
+// Files holds the embedded charts, as charts/NAME.jsonc.
 //
 //go:embed charts/*.jsonc
 var Files embed.FS
 
-// Chart is a checked state chart. It isn't changed after Load.
+// Chart is a valid state chart. It isn't modified after Load.
 type Chart struct {
 	// Name is the chart's name.
 	Name string
-	// Initial is the name of the only initial state.
+	// Initial is the name of the initial state.
 	Initial string
 	// States are sorted by name.
 	States []State
@@ -58,7 +58,7 @@
 	Actions []Declaration
 }
 
-// Declaration is a declared name and its documentation.
+// Declaration is the name of an event, guard or action with its documentation.
 type Declaration struct {
 	Name, Doc string
 }
@@ -69,23 +69,23 @@
 	Name string
 	// Doc says what the state means.
 	Doc string
-	// Final is true for a state that isn't left again.
+	// Final is true for a state that no event leaves.
 	Final bool
-	// On maps an event's name to its branches, in the order in which they are tried.
+	// On maps the name of an event to its branches, in the order in which they are tried. Other events aren't allowed.
 	On map[string][]Branch
 }
 
-// Branch is one way that an event may go in a state.
+// Branch is one possible transition of an event in a state.
 type Branch struct {
 	// To is the name of the next state.
 	To string
 	// Guards must all hold for the branch to be taken.
 	Guards []Guard
-	// Actions are the names of what the owner of the table then does, in order.
+	// Actions are the names of the actions that the caller then performs, in order.
 	Actions []string
 }
 
-// Guard is a named boolean, or its opposite.
+// Guard is a named boolean or its negation.
 type Guard struct {
 	// Name is the declared name of the boolean.
 	Name string
@@ -93,22 +93,24 @@
 	Not bool
 }
 
-// String returns the guard as the file has it.
+// String returns the guard in the syntax of chart files: its name, after "!" if it is negated.
 func (g Guard) String() string {
 	if g.Not {
-		return negation + g.Name
+		return negationPrefix + g.Name
 	}
 	return g.Name
 }
 
-const negation = "!"
+// negationPrefix stands before the name of a negated guard in a chart file.
+const negationPrefix = "!"
 
-// LoadEmbedded loads the embedded chart of that name.
+// LoadEmbedded loads the embedded chart of that name. Errors are those of Load.
 func LoadEmbedded(name string) (*Chart, error) {
 	return Load(Files, path.Join("charts", name+".jsonc"))
 }
 
-// Load reads and checks a chart file. The error has code result.ChartInvalid and lists every mistake found.
+// Load reads and validates a chart file. The error has code result.ChartInvalid; for a file that can be decoded, it lists
+// all mistakes.
 func Load(files fs.FS, name string) (*Chart, error) {
 	data, err := fs.ReadFile(files, name)
 	if err != nil {
@@ -125,7 +127,7 @@
 	return c, nil
 }
 
-// chartFile is the form of a file.
+// chartFile is the JSON schema of a chart file.
 type chartFile struct {
 	Name    string               `json:"name"`
 	Doc     string               `json:"doc"`
@@ -148,10 +150,10 @@
 	Actions []string `json:"actions"`
 }
 
-// branchList is one branch or a list of them.
+// branchList is decoded from a single branch or from a list of branches.
 type branchList []branchFile
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON implements json.Unmarshaler. Unknown fields are errors.
 func (l *branchList) UnmarshalJSON(data []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -163,7 +165,7 @@
 }
 
 func (f *chartFile) chart() *Chart {
-	c := &Chart{Name: f.Name, Events: items(f.Events), Guards: items(f.Guards), Actions: items(f.Actions)}
+	c := &Chart{Name: f.Name, Events: declarations(f.Events), Guards: declarations(f.Guards), Actions: declarations(f.Actions)}
 	for _, name := range sortedKeys(f.States) {
 		in := f.States[name]
 		c.States = append(c.States, State{Name: name, Doc: in.Doc, Final: in.Final, On: branches(in.On)})
@@ -174,6 +176,7 @@
 	return c
 }
 
+// initials returns the sorted names of all states that are marked as initial; a valid chart has one.
 func (f *chartFile) initials() []string {
 	var names []string
 	for _, name := range sortedKeys(f.States) {
@@ -198,13 +201,13 @@
 func guards(names []string) []Guard {
 	var out []Guard
 	for _, name := range names {
-		plain, not := strings.CutPrefix(name, negation)
+		plain, not := strings.CutPrefix(name, negationPrefix)
 		out = append(out, Guard{Name: plain, Not: not})
 	}
 	return out
 }
 
-func items(declared map[string]string) []Declaration {
+func declarations(declared map[string]string) []Declaration {
 	var out []Declaration
 	for _, name := range sortedKeys(declared) {
 		out = append(out, Declaration{Name: name, Doc: declared[name]})
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -36,7 +36,7 @@
 				{"to": "shut", "guards": ["locked", "!heavy"], "actions": ["ring_bell"]},
 				{"to": "open", "guards": ["!locked"]},
 			],
-			"lean": {"to": "shut"}, // nothing happens
+			"lean": {"to": "shut"}, // no action
 		}},
 		"open": {"final": true, "on": {"push": {"to": "open"}}},
 	},
@@ -56,6 +56,7 @@
 	return table
 }
 
+// Guards against an embedded chart that is invalid, or that has a state, event, guard or action without documentation.
 func TestEmbeddedCharts(t *testing.T) {
 	for _, name := range []string{"request", "attempt", "server", "replica", "order"} {
 		c, err := chart.LoadEmbedded(name)
@@ -72,7 +73,8 @@
 	}
 }
 
-func TestNextGuardedTakesTheFirstBranchThatHolds(t *testing.T) {
+// Guards against a transition whose guards don't hold, and against negated guards that are evaluated as plain ones.
+func TestNextGuardedTakesFirstBranchWhoseGuardsHold(t *testing.T) {
 	table := doorTable(t)
 	cases := []struct {
 		locked, heavy bool
@@ -103,10 +105,9 @@
 	require.False(t, table.Final(shut))
 }
 
-// Symptom: a request waits for ever and no counter moved.
-// Sequence: an event arrives in a state in which nobody expected it.
-// Cause: a table that ignores what it doesn't list.
-func TestEventThatIsNotAllowedIsACountedError(t *testing.T) {
+// Guards against a request that waits forever without any counter to show it: an event that the chart doesn't allow in
+// the present state must be a counted error, not be ignored.
+func TestDisallowedEventIsACountedError(t *testing.T) {
 	table := doorTable(t)
 	_, err := table.Next(open, lean)
 	require.EqualError(t, err, "chart_event_refused (1902): chart door, state open, event lean: not allowed")
@@ -121,7 +122,8 @@
 	require.Equal(t, uint64(1), table.RefusedAt(open, lean))
 }
 
-func TestBindWantsTheSameNamesOnBothSides(t *testing.T) {
+// Guards against Go constants that don't match the chart, which would make a table take transitions of other states.
+func TestBindRequiresMatchingNames(t *testing.T) {
 	c, err := load(t, door)
 	require.NoError(t, err)
 	_, err = chart.Bind[doorState, doorEvent](c, []string{"shut", "ajar", "shut"}, []string{"push", "lean"})
@@ -133,6 +135,7 @@
 	require.ErrorContains(t, err, "event commit is not in the Go names")
 }
 
+// Guards against a mistake in a chart file that is found only when an event is refused at run time, or never.
 func TestLoadFindsMistakes(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"syntax":          {`{`, "line 1"},
@@ -145,16 +148,16 @@
 			"want one initial state, got 2",
 		},
 		"name":          {`{"name": "Big C"}`, "not snake_case"},
-		"unknown state": {one(`{"to": "b"}`), `unknown state "b"`},
+		"unknown state": {singleStateChart(`{"to": "b"}`), `unknown state "b"`},
 		"final left": {
 			`{"name": "c", "events": {"e": ""}, "states": {"a": {"initial": true, "final": true, "on": {"e": {"to": "b"}}}, "b": {"final": true}}}`,
 			"leaves a final state",
 		},
-		"unknown guard":  {one(`{"to": "a", "guards": ["!g"]}`), `unknown guard "g"`},
-		"unknown action": {one(`{"to": "a", "actions": ["x"]}`), `unknown action "x"`},
-		"no branch":      {one(`[]`), "no branch"},
-		"never taken":    {one(`[{"to": "a"}, {"to": "a"}]`), "never taken"},
-		"dead end":       {one(`{"to": "a"}`), "state a is a dead end"},
+		"unknown guard":  {singleStateChart(`{"to": "a", "guards": ["!g"]}`), `unknown guard "g"`},
+		"unknown action": {singleStateChart(`{"to": "a", "actions": ["x"]}`), `unknown action "x"`},
+		"no branch":      {singleStateChart(`[]`), "no branch"},
+		"never taken":    {singleStateChart(`[{"to": "a"}, {"to": "a"}]`), "never taken"},
+		"dead end":       {singleStateChart(`{"to": "a"}`), "state a is a dead end"},
 		"unreachable":    {`{"name": "c", "states": {"a": {"initial": true, "final": true}, "b": {"final": true}}}`, "b can't be reached"},
 		"unused event":   {`{"name": "c", "events": {"e": ""}, "states": {"a": {"initial": true, "final": true}}}`, `event "e" is declared and not used`},
 		"unknown event":  {`{"name": "c", "states": {"a": {"initial": true, "on": {"e": {"to": "a"}}}}}`, `unknown event "e"`},
@@ -168,7 +171,7 @@
 	require.True(t, result.Is(err, result.ChartInvalid))
 }
 
-// one returns a chart with one state, whose event e does on.
-func one(on string) string {
+// singleStateChart returns a chart with the single state a and the event e, whose branches are given by on.
+func singleStateChart(on string) string {
 	return `{"name": "c", "events": {"e": ""}, "states": {"a": {"initial": true, "on": {"e": ` + on + `}}}}`
 }
--- a/chart/promises_test.go
+++ b/chart/invariants_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/chart"
 )
 
-// eachBranch calls f for every branch of an embedded chart.
+// eachBranch calls f for each branch of an embedded chart: list[i] of the event in the state from.
 func eachBranch(t *testing.T, name string, f func(from chart.State, event string, list []chart.Branch, i int)) {
 	t.Helper()
 	c, err := chart.LoadEmbedded(name)
@@ -23,27 +23,26 @@
 	}
 }
 
-// excludes tells whether the branch is taken only if the boolean doesn't hold: by its own guards, or because an
-// earlier branch, which otherwise asks for no more, takes that case away.
+// excludes reports whether list[i] is taken only if the named boolean is false: because its own guards say so, or because
+// an earlier branch is taken whenever the boolean is true and the guards of list[i] hold.
 func excludes(list []chart.Branch, i int, name string) bool {
-	yes, no := chart.Guard{Name: name}, chart.Guard{Name: name, Not: true}
-	if slices.Contains(list[i].Guards, no) {
+	holds, negated := chart.Guard{Name: name}, chart.Guard{Name: name, Not: true}
+	if slices.Contains(list[i].Guards, negated) {
 		return true
 	}
 	return slices.ContainsFunc(list[:i], func(earlier chart.Branch) bool {
-		return slices.Contains(earlier.Guards, yes) && !slices.ContainsFunc(earlier.Guards, func(g chart.Guard) bool {
-			return g != yes && !slices.Contains(list[i].Guards, g)
+		return slices.Contains(earlier.Guards, holds) && !slices.ContainsFunc(earlier.Guards, func(g chart.Guard) bool {
+			return g != holds && !slices.Contains(list[i].Guards, g)
 		})
 	})
 }
 
-// Symptom: a request runs on two engines at a time.
-// Sequence: an attempt is dispatched; its agent is silent; the entry dispatches the request again, or hands the
-// body to a second agent that takes an old reservation.
-// Cause: a way back to dispatching that isn't a proof that the attempt is over.
+// Guards against a request that runs on two engines at a time: its agent doesn't answer, and the entry dispatches the
+// request again without proof that the attempt is over, or sends the body to a second agent that takes an old
+// reservation.
 func TestRequestIsDispatchedAgainOnlyAfterAProof(t *testing.T) {
 	waiting := []string{"queued", "reserved"}
-	proofs := []string{"never_started", "cancel_confirmed", "attempt_failed", "proved_over", "earlier_over"}
+	proofEvents := []string{"never_started", "cancel_confirmed", "attempt_failed", "proved_over", "earlier_over"}
 	eachBranch(t, "request", func(from chart.State, event string, list []chart.Branch, i int) {
 		at := from.Name + " " + event
 		sends := slices.Contains(list[i].Actions, "send_body")
@@ -52,7 +51,7 @@
 			require.Contains(t, waiting, from.Name, at)
 		}
 		if !slices.Contains(waiting, from.Name) && slices.Contains(waiting, list[i].To) {
-			require.Contains(t, proofs, event, at)
+			require.Contains(t, proofEvents, event, at)
 		}
 		if event == "take" && from.Name != "reserved" {
 			require.Equal(t, []string{"decline_take"}, list[i].Actions, at)
@@ -60,9 +59,8 @@
 	})
 }
 
-// Symptom: a caller is told "ran: no" for work that an engine began.
-// Sequence: an attempt runs and is cancelled; the request waits again; it is refused for want of room.
-// Cause: a refusal that looks only at the state the request is in now.
+// Guards against telling a caller "ran: no" for work that an engine began: an attempt runs and is cancelled, the request
+// is queued again, and is then refused for lack of capacity by a check of its present state only.
 func TestRequestIsRefusedOnlyIfNoAttemptBegan(t *testing.T) {
 	eachBranch(t, "request", func(from chart.State, event string, list []chart.Branch, i int) {
 		if list[i].To == "refused" && from.Name != "refused" {
@@ -73,17 +71,16 @@
 	})
 }
 
-// Symptom: an agent says "never started, and never will" of an attempt that runs or ran, or gives it to the engine.
-// Sequence: an attempt is sent to the engine and cancelled; its dispatch comes a second time, or the engine answers
-// the cancellation with something that proves nothing.
-// Cause: a promise from a state in which the engine may have heard of the attempt, or without a tombstone.
-func TestAgentPromisesOnlyWhatItKnows(t *testing.T) {
-	unheard := []string{"absent", "reserved", "offered", "admitted"}
-	ends := []string{"finish", "engine_failed", "engine_cancelled", "never_sent"}
+// Guards against an agent that reports "never started" for an attempt that runs or ran, or that starts it later: after an
+// attempt was sent to the engine and cancelled, its dispatch arrives a second time, or the engine's answer to the
+// cancellation proves nothing. The report is allowed only before the engine may know the attempt, and needs a tombstone.
+func TestAgentReportsNeverStartedOnlyWithProof(t *testing.T) {
+	beforeEngineCall := []string{"absent", "reserved", "offered", "admitted"}
+	terminalReports := []string{"finish", "engine_failed", "engine_cancelled", "never_sent"}
 	eachBranch(t, "attempt", func(from chart.State, event string, list []chart.Branch, i int) {
 		b, at := list[i], from.Name+" "+event
 		if slices.Contains(b.Actions, "reply_never_started") {
-			require.True(t, slices.Contains(unheard, from.Name) || event == "never_sent", at)
+			require.True(t, slices.Contains(beforeEngineCall, from.Name) || event == "never_sent", at)
 			require.Equal(t, "tombstoned", b.To, at)
 		}
 		if b.To == "tombstoned" && !from.Final {
@@ -96,16 +93,15 @@
 			}
 		}
 		if from.Name == "cancelling" && b.To == "tombstoned" {
-			proved := len(b.Guards) == 1 && (b.Guards[0].Name == "engine_knows" || b.Guards[0].Name == "run_over")
-			require.True(t, slices.Contains(ends, event) || proved, at)
+			hasProof := len(b.Guards) == 1 && (b.Guards[0].Name == "engine_knows" || b.Guards[0].Name == "run_over")
+			require.True(t, slices.Contains(terminalReports, event) || hasProof, at)
 		}
 	})
 }
 
-// Symptom: a backend server that leaves gets new work.
-// Sequence: it announces itself each second, also while it drains.
-// Cause: an announcement that ends a leave.
-func TestNothingEndsALeave(t *testing.T) {
+// Guards against new work for a backend server that is leaving: it announces itself each second, also while it drains,
+// and an announcement must not cancel the leave.
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	leaving := []string{"leaving", "draining", "drained"}
 	eachBranch(t, "server", func(from chart.State, event string, list []chart.Branch, i int) {
 		if slices.Contains(leaving, from.Name) {
@@ -117,10 +113,9 @@
 	})
 }
 
-// Symptom: two leaders in one term, or a replica that never held the log wins an election.
-// Sequence: a learner or a removed replica hears no leader and starts an election.
-// Cause: a way to leader that isn't a won vote of a voter.
-func TestOnlyAVoterThatWonLeads(t *testing.T) {
+// Guards against two leaders in one term, and against a leader that never had the log: a learner or a removed replica
+// without contact to the leader must not start an election. Only a voter that won the vote becomes leader.
+func TestOnlyElectedVoterBecomesLeader(t *testing.T) {
 	eachBranch(t, "replica", func(from chart.State, event string, list []chart.Branch, i int) {
 		b, at := list[i], from.Name+" "+event
 		if b.To == "leader" {
@@ -136,9 +131,8 @@
 	})
 }
 
-// Symptom: a model's last ready copy is unloaded under demand.
-// Sequence: an order to unload is sent; the other copy goes; a new leader sends the order again.
-// Cause: a check at the first sending only.
+// Guards against unloading the last ready copy of a model that is in demand: an order to unload is sent, the other copy
+// disappears, and a new leader sends the order again without repeating the check.
 func TestOrderIsCheckedAtEachSending(t *testing.T) {
 	eachBranch(t, "order", func(from chart.State, event string, list []chart.Branch, i int) {
 		if slices.Contains(list[i].Actions, "send_order") {
--- a/chart/table.go
+++ b/chart/table.go
@@ -8,17 +8,18 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Transition is a branch in terms of the Go type of states. Its slices belong to the table: don't change them.
+// Transition is a Branch with its target state as a Go value. Its slices belong to the table and must not be modified.
 type Transition[S ~uint8] struct {
 	// To is the next state.
 	To S
-	// Guards are what had to hold.
+	// Guards are the guards that must all hold for the transition to be taken.
 	Guards []Guard
-	// Actions are the names of what to do now, in order.
+	// Actions are the names of the actions to perform, in order.
 	Actions []string
 }
 
-// Table is a chart bound to Go types. Any number of goroutines may use it.
+// Table is the transition table of a chart, with states of type S and events of type E. Any number of goroutines may use
+// it.
 type Table[S, E ~uint8] struct {
 	chart   *Chart
 	states  []string
@@ -28,18 +29,18 @@
 	cells   []cell[S]
 }
 
-// cell is what one event does in one state. Without branches the event isn't allowed there.
+// cell holds the transitions of one event in one state; none if the event isn't allowed there.
 type cell[S ~uint8] struct {
 	branches []Transition[S]
 	refused  atomic.Uint64
 }
 
-// Bind maps the chart to Go types: states[i] is the name of S(i), events[i] of E(i). The error has code
-// result.ChartInvalid if the names aren't the same on both sides, and lists the differences.
+// Bind maps the chart to Go types: states[i] is the name of S(i), and events[i] that of E(i). If the names differ from
+// those of the chart, the error has code result.ChartInvalid and lists the differences.
 func Bind[S, E ~uint8](c *Chart, states, events []string) (*Table[S, E], error) {
 	var differences []string
-	differences = append(differences, differ("state", c.stateNames(), states)...)
-	differences = append(differences, differ("event", c.eventNames(), events)...)
+	differences = append(differences, nameDifferences("state", c.stateNames(), states)...)
+	differences = append(differences, nameDifferences("event", c.eventNames(), events)...)
 	if len(differences) > 0 {
 		return nil, result.New(result.ChartInvalid, "chart %s: %s", c.Name, strings.Join(differences, "; "))
 	}
@@ -48,12 +49,12 @@
 	t.final = make([]bool, len(states))
 	t.cells = make([]cell[S], len(states)*len(events))
 	for i := range c.States {
-		t.fill(&c.States[i])
+		t.addState(&c.States[i])
 	}
 	return t, nil
 }
 
-// BindEmbedded binds the embedded chart of that name. Errors are those of Load and Bind.
+// BindEmbedded loads and binds the embedded chart of that name. Errors are those of Load and Bind.
 func BindEmbedded[S, E ~uint8](name string, states, events []string) (*Table[S, E], error) {
 	c, err := LoadEmbedded(name)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return Bind[S, E](c, states, events)
 }
 
-func (t *Table[S, E]) fill(s *State) {
+func (t *Table[S, E]) addState(s *State) {
 	from := t.state(s.Name)
 	t.final[from] = s.Final
 	for name, list := range s.On {
@@ -85,8 +86,9 @@
 	return &t.cells[int(s)*len(t.events)+int(e)]
 }
 
-// Next returns what event e does in state s, where that doesn't depend on guards. The error has code
-// result.ChartEventRefused if the chart doesn't allow the event there, or guards decide; it is counted.
+// Next returns the transition of event e in state s, if it doesn't depend on guards. If the chart doesn't allow the event
+// there, or the first branch has guards, the event is counted as refused and the error has code
+// result.ChartEventRefused.
 func (t *Table[S, E]) Next(s S, e E) (Transition[S], error) {
 	c := t.cell(s, e)
 	if c == nil || len(c.branches) == 0 {
@@ -98,25 +100,27 @@
 	return c.branches[0], nil
 }
 
-// NextGuarded returns the first branch of event e in state s whose guards all hold. guard gives the value of a
-// named boolean. The error has code result.ChartEventRefused if there is no such branch; it is counted.
+// NextGuarded returns the first transition of event e in state s whose guards all hold. guard returns the value of a
+// named boolean. If there is no such transition, the event is counted as refused and the error has code
+// result.ChartEventRefused.
 //
-// An event that the chart doesn't allow means that two processes disagree on what happened, such as an answer to
-// a request that was never dispatched. Were it ignored, the request would wait for ever and nobody would know.
+// An event that the chart doesn't allow means that two processes have inconsistent state, such as an answer to a
+// request that was never dispatched. If it were ignored, the request could wait forever without any indication.
 func (t *Table[S, E]) NextGuarded(s S, e E, guard func(name string) bool) (Transition[S], error) {
 	c := t.cell(s, e)
 	if c == nil || len(c.branches) == 0 {
 		return Transition[S]{}, t.refuse(c, s, e, "not allowed")
 	}
 	for i := range c.branches {
-		if holds(c.branches[i].Guards, guard) {
+		if allHold(c.branches[i].Guards, guard) {
 			return c.branches[i], nil
 		}
 	}
 	return Transition[S]{}, t.refuse(c, s, e, "no branch's guards hold")
 }
 
-func holds(guards []Guard, value func(name string) bool) bool {
+// allHold reports whether all guards hold for the given values of booleans.
+func allHold(guards []Guard, value func(name string) bool) bool {
 	for _, g := range guards {
 		if value(g.Name) == g.Not {
 			return false
@@ -133,7 +137,7 @@
 		t.chart.Name, t.StateName(s), t.EventName(e), reason)
 }
 
-// Refused returns how many events were refused since Bind. Values out of range aren't counted.
+// Refused returns the number of events refused since Bind. States and events out of range aren't counted.
 func (t *Table[S, E]) Refused() uint64 {
 	total := uint64(0)
 	for i := range t.cells {
@@ -142,7 +146,7 @@
 	return total
 }
 
-// RefusedAt returns how many times event e was refused in state s.
+// RefusedAt returns the number of times that event e was refused in state s; 0 if either is out of range.
 func (t *Table[S, E]) RefusedAt(s S, e E) uint64 {
 	if c := t.cell(s, e); c != nil {
 		return c.refused.Load()
@@ -150,8 +154,8 @@
 	return 0
 }
 
-// Branches returns the branches of event e in state s in the order in which they are tried; none if the event
-// isn't allowed there.
+// Branches returns the transitions of event e in state s, in the order in which they are tried; nil if the event isn't
+// allowed there.
 func (t *Table[S, E]) Branches(s S, e E) []Transition[S] {
 	if c := t.cell(s, e); c != nil {
 		return c.branches
@@ -159,27 +163,27 @@
 	return nil
 }
 
-// Chart returns the chart that the table was made from.
+// Chart returns the chart given to Bind.
 func (t *Table[S, E]) Chart() *Chart {
 	return t.chart
 }
 
-// Initial returns the initial state.
+// Initial returns the chart's initial state.
 func (t *Table[S, E]) Initial() S {
 	return t.initial
 }
 
-// Final tells whether s is a final state.
+// Final reports whether s is a final state; false if s is out of range.
 func (t *Table[S, E]) Final(s S) bool {
 	return int(s) < len(t.final) && t.final[s]
 }
 
-// StateName returns the name of s, or "out_of_range".
+// StateName returns the chart's name of s, or "out_of_range".
 func (t *Table[S, E]) StateName(s S) string {
 	return nameAt(t.states, int(s))
 }
 
-// EventName returns the name of e, or "out_of_range".
+// EventName returns the chart's name of e, or "out_of_range".
 func (t *Table[S, E]) EventName(e E) string {
 	return nameAt(t.events, int(e))
 }
@@ -207,8 +211,8 @@
 	return names
 }
 
-// differ lists names that stand on one side only, and names that the Go side has twice.
-func differ(kind string, inChart, inGo []string) []string {
+// nameDifferences describes the names that only one of the two lists has, and names that are twice in inGo.
+func nameDifferences(kind string, inChart, inGo []string) []string {
 	var out []string
 	for _, name := range inChart {
 		if !slices.Contains(inGo, name) {
