--- a/story/line.go
+++ b/story/line.go
@@ -1,4 +1,5 @@
-// Package story reads the log lines of processes and tells what became of one request.
+// Package story reconstructs the course of one request from the log lines of several processes, and summarises the requests
+// that were refused, failed or late.
 package story
 
 import (
@@ -7,25 +8,27 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
-	// Process is what stands before the line's first pair, as collectors put it, or else the file that the line is from.
+	// Process is the last word before the first key=value pair, as log collectors add it, or the name given to Parse if
+	// there is none.
 	Process string
-	// At is its time by its process's own clock. Clocks of different processes need not agree.
+	// At is the time by the clock of the process that wrote the line. Clocks of different processes may differ.
 	At time.Time
-	// Event is its name, such as request_failed.
+	// Event is the name of the event, such as request_failed.
 	Event string
-	// Text is the line as it was written, without what stands before its fields.
+	// Text is the line as written, without any prefix before the first pair.
 	Text string
 
 	fields map[string]string
 }
 
-// Field returns the value of a field, empty if the line has none of that name.
+// Field returns the value of the field of that name, or an empty string if there is none.
 func (l Line) Field(name string) string { return l.fields[name] }
 
-// Parse reads a line of key=value pairs. What stands before the first pair, such as the prefix of a collector, is left
-// out. False means that it is no line of this system.
+// Parse parses a line of key=value pairs. A prefix before the first pair, such as that of a log collector, gives the
+// line's Process; without one, it is process. Parse reports whether text is a log line of this system, with a valid time
+// and an event.
 func Parse(process, text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -48,7 +51,7 @@
 	return line, true
 }
 
-// nextPair takes the first pair off a text.
+// nextPair splits the first key=value pair off text. The value may be quoted.
 func nextPair(text string) (key, value, rest string) {
 	key, rest, _ = strings.Cut(text, "=")
 	if quoted, err := strconv.QuotedPrefix(rest); err == nil {
--- a/story/losses_test.go
+++ b/story/losses_test.go
@@ -20,6 +20,7 @@
 no line of this system
 `
 
+// Guards against a late or failed request that is counted under a wrong cause, or not at all.
 func TestLossesAreSortedByCause(t *testing.T) {
 	l := Losses{Pause: 400 * time.Millisecond}
 	require.NoError(t, l.Read("file", strings.NewReader(lossLines)))
@@ -33,11 +34,12 @@
 		"deadline_passed_in_queue (1205)": 2, "over_usage_cap (1208)": 1,
 	}, causes)
 	first := l.List()[0]
-	require.Equal(t, CauseSlowCompute, first.Cause, "the most prompt tokens")
+	require.Equal(t, CauseSlowCompute, first.Cause, "the group with the most prompt tokens must be first")
 	require.EqualValues(t, 54_000, first.LargestPrompt)
 	require.Equal(t, 300*time.Millisecond, first.RoomAge)
 }
 
+// Guards against organisations that are counted together, and against wrong counts of unsent requests and free capacity.
 func TestLossesByOrganisation(t *testing.T) {
 	l := Losses{ByOrganisation: true}
 	require.NoError(t, l.Read("file", strings.NewReader(lossLines)))
@@ -55,9 +57,10 @@
 	var table strings.Builder
 	require.NoError(t, l.Write(&table))
 	require.Contains(t, table.String(), "deadline_passed_in_queue (1205)")
-	require.NotContains(t, table.String(), CausePaused, "pauses aren't judged without a bound")
+	require.NotContains(t, table.String(), CausePaused, "pauses must not count as losses without a bound")
 }
 
+// Guards against a crash or a division by zero on an empty log.
 func TestNoLossesWithoutLines(t *testing.T) {
 	var l Losses
 	require.NoError(t, l.Read("file", strings.NewReader("")))
--- a/story/story.go
+++ b/story/story.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// maxLine bounds a line of a log, in bytes.
-	maxLine = 1 << 20
-	// contextBefore is how long before an event of the request changes of what a process believed are shown.
-	contextBefore = 5 * time.Second
+	// maxLineBytes is the length limit of a log line; a longer one is an error.
+	maxLineBytes = 1 << 20
+	// contextWindow is the time before an event of the request from which state changes of the same process are shown.
+	contextWindow = 5 * time.Second
 )
 
-// beliefEvents change what a process goes by, and so what it does with later requests.
-var beliefEvents = []string{
+// contextEvents are the events of state changes that affect how a process handles later requests.
+var contextEvents = []string{
 	"config_applied", "settings_reloaded", "link_up", "link_down", "server_condition", "server_leaving", "server_announced",
 	"entry_started", "entry_stopping", "agent_started", "agent_stopping", "control_started", "role_changed",
 	"desired_state_committed", "announcement_not_committed", "log_lines_left_out",
 }
 
-// Log holds the lines of one file that matter to a story, in the order in which they were written.
+// Log holds the lines of one log that are about a request, and those of state changes, in the order of the log.
 type Log struct {
-	process string
-	lines   []Line
-	beliefs []Line
+	process      string
+	requestLines []Line
+	contextLines []Line
 }
 
-// Read reads a log and keeps the lines about a request, whose id may be a prefix, and the changes of what
-// the process believed.
+// Read reads a log and keeps the lines about requests whose id begins with request, and those of state changes. process is
+// the name for lines without a prefix. It returns the reader's error.
 func Read(process string, r io.Reader, request string) (*Log, error) {
 	l := &Log{process: process}
 	err := eachLine(process, r, func(line Line) {
 		switch {
 		case strings.HasPrefix(line.Field("request"), request):
-			l.lines = append(l.lines, line)
-		case slices.Contains(beliefEvents, line.Event):
-			l.beliefs = append(l.beliefs, line)
+			l.requestLines = append(l.requestLines, line)
+		case slices.Contains(contextEvents, line.Event):
+			l.contextLines = append(l.contextLines, line)
 		}
 	})
 	if err != nil {
@@ -50,10 +50,10 @@
 	return l, nil
 }
 
-// eachLine calls f with each line of this system in a log. The error is the reader's.
+// eachLine calls f with each line of a log that Parse accepts. It returns the reader's error, wrapped with process.
 func eachLine(process string, r io.Reader, f func(Line)) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, ok := Parse(process, scanner.Text()); ok {
 			f(line)
@@ -65,17 +65,18 @@
 	return nil
 }
 
-// Write tells the story of a request from the logs of any number of processes: attempts at backend servers first, then
-// how the entry ended it, each with what its process had come to believe shortly before, and how long before. Processes'
-// clocks need not agree: ages are taken within one process. The error is the writer's.
+// Write writes the course of a request from the logs of any number of processes: the attempts at backend servers first,
+// then how the entry ended the request. Each line is followed by the state changes of the same process within
+// contextWindow before it, with their ages. Clocks of different processes may differ, since an age is the difference of
+// two times of one process. It returns the writer's error.
 func Write(w io.Writer, logs []*Log) error {
-	var all []chapter
+	var all []traceEntry
 	for _, l := range logs {
-		for _, line := range l.lines {
-			all = append(all, chapter{line: line, before: l.before(line)})
+		for _, line := range l.requestLines {
+			all = append(all, traceEntry{line: line, context: l.precedingContext(line)})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b chapter) int { return a.rank() - b.rank() })
+	slices.SortStableFunc(all, func(a, b traceEntry) int { return a.causalRank() - b.causalRank() })
 	for _, c := range all {
 		if err := c.write(w); err != nil {
 			return err
@@ -88,37 +89,39 @@
 	return nil
 }
 
-// before returns the last change of each kind of belief in the time before a line.
-func (l *Log) before(line Line) []Line {
+// precedingContext returns the latest state change for each context key within contextWindow before a line, of the same
+// process.
+func (l *Log) precedingContext(line Line) []Line {
 	last := make(map[string]Line)
-	for _, belief := range l.beliefs {
-		age := line.At.Sub(belief.At)
-		if belief.Process == line.Process && age >= 0 && age <= contextBefore {
-			last[belief.subject()] = belief
+	for _, change := range l.contextLines {
+		age := line.At.Sub(change.At)
+		if change.Process == line.Process && age >= 0 && age <= contextWindow {
+			last[change.contextKey()] = change
 		}
 	}
 	var out []Line
-	for _, belief := range l.beliefs {
-		if last[belief.subject()].Text == belief.Text {
-			out = append(out, belief)
+	for _, change := range l.contextLines {
+		if last[change.contextKey()].Text == change.Text {
+			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// subject names what a belief is about; a later one about the same replaces it.
-func (l Line) subject() string {
+// contextKey identifies what a state change is about; a later change with the same key replaces an earlier one.
+func (l Line) contextKey() string {
 	return l.Event + " " + l.Field("server") + " " + l.Field("agent")
 }
 
-// chapter is one line about the request with what led to it.
-type chapter struct {
-	line   Line
-	before []Line
+// traceEntry is one line about the request with the state changes that preceded it.
+type traceEntry struct {
+	line    Line
+	context []Line
 }
 
-// rank orders by cause: what agents say of attempts comes before what the entry says of the end.
-func (c chapter) rank() int {
+// causalRank orders entries by causality, since times of different processes can't be compared: ends of attempts, logged by
+// agents, come before the end of the request, logged by the entry.
+func (c traceEntry) causalRank() int {
 	switch c.line.Event {
 	case "attempt_ended":
 		return 0
@@ -129,16 +132,16 @@
 	}
 }
 
-func (c chapter) write(w io.Writer) error {
+func (c traceEntry) write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "%s: %s\n", c.line.Process, c.line.Text); err != nil {
 		return err
 	}
-	for _, belief := range c.before {
-		if belief.Field("server") != "" && belief.Field("server") != c.line.Field("server") {
+	for _, change := range c.context {
+		if change.Field("server") != "" && change.Field("server") != c.line.Field("server") {
 			continue
 		}
-		age := c.line.At.Sub(belief.At)
-		if _, err := fmt.Fprintf(w, "    %s before: %s\n", age, belief.Text); err != nil {
+		age := c.line.At.Sub(change.At)
+		if _, err := fmt.Fprintf(w, "    %s before: %s\n", age, change.Text); err != nil {
 			return err
 		}
 	}
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -21,7 +21,7 @@
 collector agent-1 time=2026-01-02T16:00:01.500Z level=warn event=attempt_ended attempt=1 request=5f3a-1 server=s1 status=500
 `
 
-func tell(t *testing.T, request string) string {
+func writeStory(t *testing.T, request string) string {
 	t.Helper()
 	one, err := Read("entry-1", strings.NewReader(entryLog), request)
 	require.NoError(t, err)
@@ -32,20 +32,22 @@
 	return out.String()
 }
 
-// Clocks differ by an hour; the order is that of cause, and ages are those within a process.
+// Guards against an order or ages taken from clocks of different processes, which differ by an hour here.
 func TestStoryOfARequest(t *testing.T) {
 	require.Equal(t, `agent-1: time=2026-01-02T16:00:01.500Z level=warn event=attempt_ended attempt=1 request=5f3a-1 server=s1 status=500
     1.5s before: time=2026-01-02T16:00:00.000Z level=info event=server_condition condition=suspect server=s1
 entry-1: time=2026-01-02T15:04:05.000Z level=info event=request_failed code=1303 error="engine_failed (1303): a b" request=5f3a-1 server=s1
     4s before: time=2026-01-02T15:04:01.000Z level=info event=config_applied version=7
     800ms before: time=2026-01-02T15:04:04.200Z level=warn event=link_down agent=agent-1 error="link: no heartbeat"
-`, tell(t, "5f3a"))
+`, writeStory(t, "5f3a"))
 }
 
+// Guards against empty output for a request without lines, which an operator can't tell from a failed command.
 func TestStoryOfAnUnknownRequest(t *testing.T) {
-	require.Contains(t, tell(t, "ffff"), "no line about this request")
+	require.Contains(t, writeStory(t, "ffff"), "no line about this request")
 }
 
+// Guards against values that are read wrongly because of quotes, and against accepting lines of other programs.
 func TestParse(t *testing.T) {
 	line, ok := Parse("p", `time=2026-01-02T15:04:05.678Z level=info event=x a="1 \"2\"" b=3 c=`)
 	require.True(t, ok)
@@ -59,6 +61,7 @@
 	}
 }
 
+// Guards against a panic on arbitrary text, and against an accepted line without an event.
 func FuzzParse(f *testing.F) {
 	f.Add(`time=2026-01-02T15:04:05.678Z level=info event=x a="1 \"2\""`)
 	f.Fuzz(func(t *testing.T, text string) {
