--- a/agent/http.go
+++ b/agent/http.go
@@ -46,7 +46,7 @@
 }
 
 func (a *Agent) routes() *echo.Echo {
-	e := process.NewRouter(process.Process{Ready: a.readinessError, WriteMetrics: a.meter.write}, a.handleError)
+	e := process.NewRouter(process.Probes{Ready: a.readinessError, WriteMetrics: a.meter.write}, a.handleError)
 	e.POST("/v1/announce", a.postAnnounce)
 	e.POST("/v1/leave", a.postLeave)
 	e.GET("/v1/leave/:server", a.getLeave)
@@ -58,7 +58,7 @@
 	if c.Response().Committed {
 		return
 	}
-	refusal := process.Refusal(err)
+	refusal := process.ResultFrom(err)
 	a.meter.refused(refusal.Code, 0)
 	a.log.WithField("path", c.Request().URL.Path).
 		WithField("code", uint16(refusal.Code)).
