--- a/cmd/carawaypitch/check.go
+++ b/cmd/carawaypitch/check.go
@@ -56,7 +56,7 @@
 		fmt.Printf("%s: ok, role %s\n", file, role)
 		return true
 	}
-	var mistakes *settings.Mistakes
+	var mistakes *settings.Diagnostics
 	if !errors.As(err, &mistakes) {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", file, err)
 		return false
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -49,7 +49,7 @@
 	read     readFile
 	offsets  map[string]int
 	wrong    map[string]bool // paths with a mistake
-	mistakes []Mistake
+	mistakes []Diagnostic
 }
 
 func newChecker(text *jsonc.Document, file string, read readFile) *checker {
@@ -65,7 +65,7 @@
 	c.wrong[path] = true
 	line, column := c.text.Position(c.offset(path))
 	message := fmt.Sprintf(format, args...)
-	c.mistakes = append(c.mistakes, Mistake{
+	c.mistakes = append(c.mistakes, Diagnostic{
 		Code: code, File: c.file, Path: path, Line: line, Column: column, Message: message,
 	})
 }
@@ -81,11 +81,11 @@
 }
 
 // sorted returns the mistakes in the order of the file.
-func (c *checker) sorted() *Mistakes {
-	slices.SortStableFunc(c.mistakes, func(a, b Mistake) int {
+func (c *checker) sorted() *Diagnostics {
+	slices.SortStableFunc(c.mistakes, func(a, b Diagnostic) int {
 		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Column-b.Column)
 	})
-	return &Mistakes{List: c.mistakes}
+	return &Diagnostics{List: c.mistakes}
 }
 
 // decode fills into from the whole document.
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -29,7 +29,7 @@
 	const path = "/etc/s.jsonc"
 	first, err := parse[T](data, path, noFile)
 	if err != nil {
-		require.NotEmpty(t, err.(*Mistakes).List)
+		require.NotEmpty(t, err.(*Diagnostics).List)
 		return
 	}
 	text, err := Marshal(first)
--- a/settings/mistakes.go
+++ b/settings/mistakes.go
@@ -11,8 +11,8 @@
 	"github.com/carawaypitch/carawaypitch/settings/jsonc"
 )
 
-// Mistake is one thing that is wrong in a settings file.
-type Mistake struct {
+// Diagnostic is one thing that is wrong in a settings file.
+type Diagnostic struct {
 	// Code is one of the 16xx codes.
 	Code result.Code
 	// File is the path of the file: the settings file itself, or one that it names.
@@ -26,18 +26,18 @@
 }
 
 // String returns "file:line:column: path: message (code name)".
-func (m Mistake) String() string {
+func (m Diagnostic) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s (%d %s)", m.File, m.Line, m.Column, m.Path, m.Message, uint16(m.Code), m.Code)
 }
 
-// Mistakes is the error of a file that can't be used.
-type Mistakes struct {
+// Diagnostics is the error of a file that can't be used.
+type Diagnostics struct {
 	// List holds at least one mistake, in the order of the file.
-	List []Mistake
+	List []Diagnostic
 }
 
 // Error returns one line for each mistake.
-func (m *Mistakes) Error() string {
+func (m *Diagnostics) Error() string {
 	lines := make([]string, 0, len(m.List))
 	for _, mistake := range m.List {
 		lines = append(lines, mistake.String())
@@ -46,7 +46,7 @@
 }
 
 // Unwrap returns the first mistake as a *result.Error, so that result.CodeOf finds a code.
-func (m *Mistakes) Unwrap() error {
+func (m *Diagnostics) Unwrap() error {
 	if len(m.List) == 0 {
 		return nil
 	}
@@ -54,19 +54,19 @@
 }
 
 // Has tells whether there is a mistake with that code at that path.
-func (m *Mistakes) Has(code result.Code, path string) bool {
-	return slices.ContainsFunc(m.List, func(x Mistake) bool { return x.Code == code && x.Path == path })
+func (m *Diagnostics) Has(code result.Code, path string) bool {
+	return slices.ContainsFunc(m.List, func(x Diagnostic) bool { return x.Code == code && x.Path == path })
 }
 
-func unreadable(path string, err error) *Mistakes {
-	return &Mistakes{List: []Mistake{{Code: result.SettingsUnreadable, File: path, Message: err.Error()}}}
+func unreadable(path string, err error) *Diagnostics {
+	return &Diagnostics{List: []Diagnostic{{Code: result.SettingsUnreadable, File: path, Message: err.Error()}}}
 }
 
-func syntax(path string, err error) *Mistakes {
-	m := Mistake{Code: result.SettingsSyntax, File: path, Line: 1, Column: 1, Message: err.Error()}
+func syntax(path string, err error) *Diagnostics {
+	m := Diagnostic{Code: result.SettingsSyntax, File: path, Line: 1, Column: 1, Message: err.Error()}
 	var at *jsonc.Error
 	if errors.As(err, &at) {
 		m.Line, m.Column, m.Message = at.Line, at.Column, at.Message
 	}
-	return &Mistakes{List: []Mistake{m}}
+	return &Diagnostics{List: []Diagnostic{m}}
 }
--- a/settings/operator_test.go
+++ b/settings/operator_test.go
@@ -15,7 +15,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "http://127.0.0.1:8080", got.Entry)
 	_, err = Load[Operator](write(t, "wrong", start+`"127.0.0.1:8080"}`))
-	var mistakes *Mistakes
+	var mistakes *Diagnostics
 	require.True(t, errors.As(err, &mistakes), "%v", err)
 	require.Equal(t, "entry", mistakes.List[0].Path)
 	require.Equal(t, result.SettingsBadAddress, mistakes.List[0].Code)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -60,10 +60,10 @@
 }
 
 // mistakesOf reads text as T and returns the mistakes, which must be in the order of the file.
-func mistakesOf[T any](t *testing.T, text string) *Mistakes {
+func mistakesOf[T any](t *testing.T, text string) *Diagnostics {
 	t.Helper()
 	_, err := parse[T]([]byte(text), "/etc/s.jsonc", noFile)
-	var mistakes *Mistakes
+	var mistakes *Diagnostics
 	require.ErrorAs(t, err, &mistakes)
 	return mistakes
 }
@@ -247,7 +247,7 @@
 
 	put("orgs", "{\"organisations\": [\n"+organisation+",\n"+organisation+"]}")
 	_, err = Load[Entry](filepath.Join(folder, "main"))
-	var mistakes *Mistakes
+	var mistakes *Diagnostics
 	require.ErrorAs(t, err, &mistakes)
 	require.True(t, mistakes.Has(result.SettingsDuplicateName, "organisations[1].name"))
 	require.True(t, mistakes.Has(result.SettingsDuplicateName, "organisations[1].key_digests[0]"))
@@ -285,7 +285,7 @@
 // Cause: filling the settings in place.
 func TestReloadKeepsTheOldOnAMistake(t *testing.T) {
 	path := write(t, "s", entryText)
-	holder, err := NewHolder[Entry](path)
+	holder, err := NewReloader[Entry](path)
 	require.NoError(t, err)
 	old := holder.Get()
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(entryText, "8080", "99999", 1)), 0o600))
@@ -295,6 +295,6 @@
 	require.NoError(t, holder.Reload(path))
 	require.Equal(t, "127.0.0.1:8088", holder.Get().Listen.Callers)
 	require.Equal(t, "127.0.0.1:8080", old.Listen.Callers)
-	_, err = NewHolder[Agent](path)
+	_, err = NewReloader[Agent](path)
 	require.Error(t, err)
 }
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -33,13 +33,13 @@
 	Key string `json:"key" settings:"path"`
 }
 
-// Given tells whether TLS is wanted.
-func (t TLS) Given() bool {
+// Enabled tells whether TLS is wanted.
+func (t TLS) Enabled() bool {
 	return t.Certificate != "" || t.Key != "" || t.Authority != "" || len(t.Names) > 0
 }
 
-// Given tells whether TLS is wanted.
-func (t CallerTLS) Given() bool {
+// Enabled tells whether TLS is wanted.
+func (t CallerTLS) Enabled() bool {
 	return t.Certificate != "" || t.Key != ""
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (t TLS) load(read readFile) (*tls.Config, *x509.CertPool, error) {
-	if !t.Given() {
+	if !t.Enabled() {
 		return nil, nil, nil
 	}
 	if t.Certificate == "" || t.Key == "" || t.Authority == "" {
@@ -156,7 +156,7 @@
 }
 
 func (t CallerTLS) serverConfig(read readFile) (*tls.Config, error) {
-	if !t.Given() {
+	if !t.Enabled() {
 		return nil, nil
 	}
 	if t.Certificate == "" || t.Key == "" {
