--- a/settings/jsonc/jsonc.go
+++ b/settings/jsonc/jsonc.go
@@ -1,5 +1,5 @@
-// Package jsonc reads JSON with comments strictly: one whole value, no key twice in an object, no unknown field,
-// and a line and column for each mistake.
+// Package jsonc decodes JSON with comments strictly: it rejects trailing data, duplicate keys in an object and unknown
+// fields, and reports the line and column of an error.
 package jsonc
 
 import (
@@ -12,40 +12,40 @@
 	"github.com/tailscale/hujson"
 )
 
-// Bounds of what Parse takes.
+// Limits of the input of Parse.
 //
-// The parser descends one call for each level, and a text of opening brackets alone (600,000 sufficed) uses up the
-// stack, which ends the process without an error. Depth can't be more than the number of opening brackets, so that
-// is bounded; those in strings and comments count too, which keeps the check apart from the parser's own rules.
+// The parser recurses for each nesting level. A text of 600,000 opening brackets exhausts the stack, which ends the
+// process without an error. The nesting depth can't exceed the number of opening brackets, so that number is limited.
+// Brackets in strings and comments count too, so that the check doesn't depend on the grammar.
 const (
-	// MaxBytes is the largest text.
+	// MaxBytes is the maximum size of the text, in bytes.
 	MaxBytes = 1 << 20
-	// MaxBrackets is the largest number of opening brackets and braces.
+	// MaxBrackets is the maximum number of opening brackets and braces.
 	MaxBrackets = 20_000
 )
 
 // Document is a parsed text.
 type Document struct {
-	// Root is the syntax tree. Its offsets are those of the text.
+	// Root is the syntax tree. Its offsets are byte offsets in the text.
 	Root hujson.Value
 
 	lineStarts []int
 }
 
-// Error is a mistake at a place of the text.
+// Error is an error at a position in the text.
 type Error struct {
-	// Line and Column count from 1; columns count bytes.
+	// Line and Column count from 1, and columns are in bytes.
 	Line, Column int
-	// Message says what is wrong.
+	// Message describes the error.
 	Message string
 }
 
-// Error returns the place and the message.
+// Error returns the position and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// Parse reads the text. The error is an *Error.
+// Parse parses the text. It rejects a text beyond MaxBytes or MaxBrackets. The error is an *Error.
 func Parse(data []byte) (*Document, error) {
 	if len(data) > MaxBytes {
 		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("larger than %d bytes", MaxBytes)}
@@ -60,13 +60,13 @@
 	return &Document{Root: root, lineStarts: lineStarts(data)}, nil
 }
 
-// Position returns the line and column, from 1, of a byte offset.
+// Position returns the line and column of a byte offset. Both count from 1, and columns are in bytes.
 func (d *Document) Position(offset int) (line, column int) {
 	line = sort.SearchInts(d.lineStarts, offset+1)
 	return line, offset - d.lineStarts[line-1] + 1
 }
 
-// duplicates returns the keys that equal an earlier one of the same object.
+// duplicates returns an error for each key that equals an earlier key of the same object.
 func (d *Document) duplicates() []*Error {
 	var found []*Error
 	for value := range d.Root.All() {
@@ -87,27 +87,28 @@
 	return found
 }
 
-// Decode reads the text into v, which is a pointer to a value that encoding/json can fill.
+// Decode decodes the text into v, a pointer as for json.Unmarshal. It rejects duplicate keys and unknown fields. The
+// error is an *Error if its position is known, and otherwise that of encoding/json.
 func Decode(data []byte, v any) error {
 	doc, err := Parse(data)
 	if err != nil {
 		return err
 	}
-	if twice := doc.duplicates(); len(twice) > 0 {
-		return twice[0]
+	if duplicates := doc.duplicates(); len(duplicates) > 0 {
+		return duplicates[0]
 	}
 	doc.Root.Standardize()
 	decoder := json.NewDecoder(bytes.NewReader(doc.Root.Pack()))
 	decoder.DisallowUnknownFields()
-	return doc.located(decoder.Decode(v))
+	return doc.withPosition(decoder.Decode(v))
 }
 
-// located adds a place to err if encoding/json gave one. Standardize puts spaces for comments, so the offsets
-// are still those of the text.
-func (d *Document) located(err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		return d.errorAt(int(wrongType.Offset), err.Error())
+// withPosition returns err as an *Error if encoding/json reports an offset, and otherwise err itself. Standardize
+// replaces comments by spaces, so offsets in its output are those of the text.
+func (d *Document) withPosition(err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return d.errorAt(int(typeErr.Offset), err.Error())
 	}
 	return err
 }
@@ -117,7 +118,8 @@
 	return &Error{Line: line, Column: column, Message: message}
 }
 
-// syntaxError takes the place out of the parser's text, which is the only form it gives it in.
+// syntaxError converts an error of the parser. The position is parsed from the error message, the only form in which
+// the parser returns it.
 func syntaxError(err error) *Error {
 	e := &Error{Line: 1, Column: 1, Message: err.Error()}
 	var line, column int
--- a/settings/jsonc/jsonc_test.go
+++ b/settings/jsonc/jsonc_test.go
@@ -13,12 +13,14 @@
 	B []string `json:"b"`
 }
 
+// Guards against rejecting comments or trailing commas.
 func TestDecode(t *testing.T) {
 	var got sample
 	require.NoError(t, jsonc.Decode([]byte("{\"a\": 1, // one\n /* two */ \"b\": [\"x\",],\n}"), &got))
 	require.Equal(t, sample{A: 1, B: []string{"x"}}, got)
 }
 
+// Guards against accepting duplicate keys, unknown fields or trailing data, and against errors with a wrong position.
 func TestDecodeRefuses(t *testing.T) {
 	cases := map[string]string{
 		"{\n\"a\": 1, \"a\": 2}":         `line 2, column 9: the key "a" stands twice`,
@@ -34,6 +36,7 @@
 	}
 }
 
+// Guards against a wrong position for offsets at the start and end of a line and after an empty line.
 func TestPosition(t *testing.T) {
 	doc, err := jsonc.Parse([]byte("[\n1,\n\n2]"))
 	require.NoError(t, err)
