--- a/settings/agent.go
+++ b/settings/agent.go
@@ -8,82 +8,85 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Agent is the settings of the process beside a backend server.
+// Agent holds the settings of an agent, the process that runs next to one backend server.
 type Agent struct {
 	// Role is "agent".
 	Role Role `json:"role" settings:"required"`
-	// Instance is this process's name, unique in the deployment.
+	// Instance is the name of this process, unique in the deployment.
 	Instance string `json:"instance" settings:"required,name"`
-	// AvailabilityZone is the zone this process runs in.
+	// AvailabilityZone is the availability zone that this process runs in.
 	AvailabilityZone string `json:"availability_zone" settings:"required,name"`
-	// Listen says where the process listens.
+	// Listen holds the addresses that the process listens on.
 	Listen AgentListen `json:"listen" settings:"required"`
-	// Advertise is the address, IP:port, that entry instances dial. Default: listen.links.
+	// Advertise is the address, IP:port, that entry instances connect to. Default: Listen.Links.
 	Advertise string `json:"advertise" settings:"dial"`
-	// Controls are the link addresses, IP:port, of all control instances.
+	// Controls holds the inter-process addresses, IP:port, of all control instances.
 	Controls []string `json:"controls" settings:"required,dial"`
-	// Limits bounds what the process holds.
+	// Limits holds the resource limits of the process.
 	Limits AgentLimits `json:"limits"`
-	// TLS is for the links to other processes. Without it links are plain TCP.
+	// TLS secures the connections to other processes. If it is empty, they are plain TCP.
 	TLS TLS `json:"tls"`
-	// Log says what is logged.
+	// Log configures logging.
 	Log Log `json:"log"`
-	// Timing holds the process's intervals and bounds.
+	// Timing holds the intervals and timeouts of the process.
 	Timing AgentTiming `json:"timing"`
 }
 
-// AgentListen says where an agent listens, as IP:port; port 0 takes any free one.
+// AgentListen holds the addresses, IP:port, that an agent listens on. Port 0 selects any free port.
 type AgentListen struct {
-	// HTTP is where the backend server announces itself and the platform asks.
+	// HTTP is the address for the announcements of the backend server and for health checks of the platform.
 	HTTP string `json:"http" settings:"required,listen"`
-	// Links is where entry instances connect.
+	// Links is the address for connections of entry instances.
 	Links string `json:"links" settings:"required,listen"`
 }
 
-// AgentLimits bounds what an agent holds.
+// AgentLimits holds the resource limits of an agent.
 type AgentLimits struct {
-	// MaxBody is the largest request body, in bytes. Default 4 MiB.
+	// MaxBody is the maximum size of a request body, in bytes. Default 4 MiB.
 	MaxBody Size `json:"max_body"`
-	// MaxAnswer is the largest answer, in bytes. Default 16 MiB.
+	// MaxAnswer is the maximum size of a response, in bytes. Default 16 MiB.
 	MaxAnswer Size `json:"max_answer"`
-	// MaxReservations is how many reservations of all entry instances may wait. Default 4096.
+	// MaxReservations is the maximum number of pending reservations of all entry instances together. Default 4096.
 	MaxReservations int `json:"max_reservations"`
-	// SlowRatio is how many times slower than its own past a backend server must be to get no new work. Default 3.
+	// SlowRatio is the factor by which a backend server must be slower than its own baseline to get no new work.
+	// Default 3.
 	SlowRatio float64 `json:"slow_ratio"`
-	// SlotsFloor is the share, above 0 up to 1, of its announced slots that a server is always given. Below 1 an agent
-	// learns how many attempts a server runs well at a time. Default 0.25.
+	// SlotsFloor is the fraction, above 0 and at most 1, of the announced slots of a server that is used even if the
+	// server is slow. Below 1 the agent adapts the number of concurrent attempts to what the server handles well.
+	// Default 0.25.
 	SlotsFloor float64 `json:"slots_floor"`
-	// MaxTombstones is how many attempts that are over are remembered. Default 65536.
+	// MaxTombstones is the maximum number of records of ended attempts. Default 65536.
 	MaxTombstones int `json:"max_tombstones"`
 }
 
-// AgentTiming holds an agent's intervals and bounds.
+// AgentTiming holds the intervals and timeouts of an agent.
 type AgentTiming struct {
-	// Heartbeat is the interval between messages on a link without other traffic. Default 250ms.
+	// Heartbeat is the interval between messages on a connection without other traffic. Default 250ms.
 	Heartbeat time.Duration `json:"heartbeat"`
-	// CutOff is the silence of a majority of control instances after which no order is taken. Default 2s.
+	// CutOff is the time without messages from a majority of control instances after which the agent accepts no
+	// commands. Default 2s.
 	CutOff time.Duration `json:"cut_off"`
-	// Probe is the interval between the agent's own probes of its backend server. Default 500ms.
+	// Probe is the interval between health probes of the backend server. Default 500ms.
 	Probe time.Duration `json:"probe"`
-	// Silent is how long a backend server may go without announcing itself and still get new work. Default 3s.
+	// Silent is the time since the last announcement of the backend server after which it gets no new work. Default 3s.
 	Silent time.Duration `json:"silent"`
-	// Offer is how long room is kept for a body that was asked for. Default 1s.
+	// Offer is how long capacity stays reserved for a request body that the agent has asked for. Default 1s.
 	Offer time.Duration `json:"offer"`
-	// Tombstone is how long an attempt that is over is remembered. Default 10m.
+	// Tombstone is how long the record of an ended attempt is kept. Default 10m.
 	Tombstone time.Duration `json:"tombstone"`
-	// UnlistedSettle is how long a restarted agent admits nothing at a server that keeps no list of what it runs, so that
-	// what its last process left there can end. Default 1s.
+	// UnlistedSettle is how long a restarted agent admits no attempt at a server that can't list its running attempts,
+	// so that attempts started by the previous agent process can end. Default 1s.
 	UnlistedSettle time.Duration `json:"unlisted_settle"`
-	// UnprovenHold is how long a place counts as taken after a connection was lost and nothing tells whether the work
-	// there is over. Default 30s.
+	// UnprovenHold is how long a slot counts as occupied after a connection is lost while it is unknown whether the
+	// attempt has ended. Default 30s.
 	UnprovenHold time.Duration `json:"unproven_hold"`
-	// Drain is how long attempts in flight may take after SIGTERM or a leave. Default 10m.
+	// Drain is how long attempts in flight may take after SIGTERM or a leave request. Default 10m.
 	Drain time.Duration `json:"drain"`
 }
 
 func (*Agent) expectedRole() Role { return RoleAgent }
 
-// DefaultAgent returns the settings that hold for keys a file leaves out.
+// DefaultAgent returns the default values, which apply to keys that a file omits.
 func DefaultAgent() Agent {
 	return Agent{
 		Role: RoleAgent,
@@ -120,35 +123,36 @@
 }
 
 func (a *Agent) validate(c *checker) {
-	c.portClash(listener{"listen.http", a.Listen.HTTP}, listener{"listen.links", a.Listen.Links})
-	c.advertised(a.Advertise, a.Listen.Links)
-	c.unique("address", a.Controls, controlPath)
-	c.tlsFiles("tls", a.TLS)
-	positive(c, "limits.max_body", a.Limits.MaxBody)
-	positive(c, "limits.max_answer", a.Limits.MaxAnswer)
-	positive(c, "limits.max_reservations", a.Limits.MaxReservations)
+	c.checkPortConflicts(listener{"listen.http", a.Listen.HTTP}, listener{"listen.links", a.Listen.Links})
+	c.checkAdvertised(a.Advertise, a.Listen.Links)
+	c.checkUnique("address", a.Controls, controlPath)
+	c.checkTLS("tls", a.TLS)
+	checkPositive(c, "limits.max_body", a.Limits.MaxBody)
+	checkPositive(c, "limits.max_answer", a.Limits.MaxAnswer)
+	checkPositive(c, "limits.max_reservations", a.Limits.MaxReservations)
 	if a.Limits.SlotsFloor <= 0 || a.Limits.SlotsFloor > 1 {
-		c.add(result.SettingsOutOfRange, "limits.slots_floor", "want a share above 0 up to 1, got %g", a.Limits.SlotsFloor)
+		c.report(result.SettingsOutOfRange, "limits.slots_floor", "want a share above 0 up to 1, got %g", a.Limits.SlotsFloor)
 	}
-	positive(c, "limits.max_tombstones", a.Limits.MaxTombstones)
+	checkPositive(c, "limits.max_tombstones", a.Limits.MaxTombstones)
 	if a.Limits.SlowRatio <= 1 {
-		c.add(result.SettingsOutOfRange, "limits.slow_ratio", "want more than 1, got %g", a.Limits.SlowRatio)
+		c.report(result.SettingsOutOfRange, "limits.slow_ratio", "want more than 1, got %g", a.Limits.SlowRatio)
 	}
-	positive(c, "timing.heartbeat", a.Timing.Heartbeat)
-	positive(c, "timing.probe", a.Timing.Probe)
-	positive(c, "timing.silent", a.Timing.Silent)
-	positive(c, "timing.offer", a.Timing.Offer)
-	positive(c, "timing.tombstone", a.Timing.Tombstone)
-	positive(c, "timing.drain", a.Timing.Drain)
-	positive(c, "timing.unproven_hold", a.Timing.UnprovenHold)
-	positive(c, "timing.unlisted_settle", a.Timing.UnlistedSettle)
-	c.silence("timing.cut_off", a.Timing.CutOff, a.Timing.Heartbeat)
+	checkPositive(c, "timing.heartbeat", a.Timing.Heartbeat)
+	checkPositive(c, "timing.probe", a.Timing.Probe)
+	checkPositive(c, "timing.silent", a.Timing.Silent)
+	checkPositive(c, "timing.offer", a.Timing.Offer)
+	checkPositive(c, "timing.tombstone", a.Timing.Tombstone)
+	checkPositive(c, "timing.drain", a.Timing.Drain)
+	checkPositive(c, "timing.unproven_hold", a.Timing.UnprovenHold)
+	checkPositive(c, "timing.unlisted_settle", a.Timing.UnlistedSettle)
+	c.checkSilenceTimeout("timing.cut_off", a.Timing.CutOff, a.Timing.Heartbeat)
 }
 
-// advertised checks an advertised address that comes from the listener: others can't dial 0.0.0.0. Port 0 is
-// allowed there, since the process advertises the port that it got.
-func (c *checker) advertised(advertise, links string) {
+// checkAdvertised reports an advertised address that is taken from the listener and unspecified, such as 0.0.0.0, since
+// other processes can't connect to it. Port 0 is allowed, since the process then advertises the port that it is bound
+// to.
+func (c *checker) checkAdvertised(advertise, links string) {
 	if advertise == links && isUnspecified(links) {
-		c.add(result.SettingsMissingKey, "advertise", "listen.links is %s, which nobody can dial: give an address", links)
+		c.report(result.SettingsMissingKey, "advertise", "listen.links is %s, which nobody can dial: give an address", links)
 	}
 }
--- a/settings/common.go
+++ b/settings/common.go
@@ -11,23 +11,24 @@
 	"github.com/carawaypitch/carawaypitch/settings/jsonc"
 )
 
-// Log says what a process writes to its log.
+// Log configures the log of a process.
 type Log struct {
-	// Level is the lowest level written: debug, info, warn, error or fatal. Default info.
+	// Level is the lowest level that is logged: debug, info, warn, error or fatal. Default info.
 	Level log.Level `json:"level"`
 }
 
-// Organisation is a member of the consortium.
+// Organisation is an organisation whose callers may send requests.
 type Organisation struct {
-	// Name is the organisation's name in logs, metrics and reports.
+	// Name identifies the organisation in logs, metrics and reports.
 	Name string `json:"name" settings:"required,name"`
-	// KeyDigests are the digests of its keys, see NewDigest. Several allow a key to be replaced without a gap.
+	// KeyDigests holds the digests of its keys, as NewDigest returns them. With several, the old and the new key are
+	// both accepted while a key is replaced.
 	KeyDigests []string `json:"key_digests" settings:"required,digest"`
-	// DefaultClass is the class of a request that names none. Empty: such a request is refused.
+	// DefaultClass is the class of a request that names none. If it is empty, such a request is refused.
 	DefaultClass string `json:"default_class"`
 }
 
-// Default timings that several roles share.
+// Default timings shared by several roles.
 const (
 	defaultHeartbeat = 250 * time.Millisecond
 	defaultCutOff    = 2 * time.Second
@@ -35,29 +36,32 @@
 	defaultLease     = 2 * time.Second
 )
 
-// minHeartbeats is how many heartbeats must fit into a bound on silence.
+// minHeartbeats is the smallest allowed ratio of a timeout for missing messages to the heartbeat interval.
 //
-// With fewer, one late message looks like a dead process: links would flap and leases end under work that is well.
+// With a smaller ratio, one delayed message looks like a failed process: connections flap, and leases expire while
+// their attempts still run normally.
 const minHeartbeats = 3
 
-// silence checks a bound on silence against the heartbeat.
-func (c *checker) silence(path string, bound, heartbeat time.Duration) {
-	if heartbeat > 0 && bound < minHeartbeats*heartbeat {
-		c.add(result.SettingsOutOfRange, path, "want at least %d heartbeats, which is %s, got %s",
-			minHeartbeats, minHeartbeats*heartbeat, bound)
+// checkSilenceTimeout reports a timeout for missing messages that is shorter than minHeartbeats heartbeats. A heartbeat
+// of 0 or less is not checked here.
+func (c *checker) checkSilenceTimeout(path string, timeout, heartbeat time.Duration) {
+	if heartbeat > 0 && timeout < minHeartbeats*heartbeat {
+		c.report(result.SettingsOutOfRange, path, "want at least %d heartbeats, which is %s, got %s",
+			minHeartbeats, minHeartbeats*heartbeat, timeout)
 	}
 }
 
-// organisationsFile is the form of the file that organisations_file names.
+// organisationsFile is the content of the file that the key organisations_file names.
 type organisationsFile struct {
-	// Organisations are the members of the consortium.
+	// Organisations holds the organisations whose callers may send requests.
 	Organisations []Organisation `json:"organisations" settings:"required"`
 }
 
-// organisations checks the list, or the one of the file if a file is given. It puts that list in place of both.
-func (c *checker) organisations(list *[]Organisation, file *string) {
+// resolveOrganisations checks the organisations, from file if it isn't empty and otherwise from list. Organisations
+// from a file are stored in list, and file is cleared. It is an error to give both.
+func (c *checker) resolveOrganisations(list *[]Organisation, file *string) {
 	if *file != "" && len(*list) > 0 {
-		c.add(result.SettingsOutOfRange, "organisations_file", "give organisations or organisations_file, not both")
+		c.report(result.SettingsOutOfRange, "organisations_file", "give organisations or organisations_file, not both")
 		return
 	}
 	if *file == "" {
@@ -71,20 +75,20 @@
 func (c *checker) readOrganisations(file string) []Organisation {
 	data, err := c.read(file)
 	if err != nil {
-		c.add(result.SettingsUnreadable, "organisations_file", "%s", err)
+		c.report(result.SettingsUnreadable, "organisations_file", "%s", err)
 		return nil
 	}
-	text, err := jsonc.Parse(data)
+	document, err := jsonc.Parse(data)
 	if err != nil {
-		c.mistakes = append(c.mistakes, syntax(file, err).List...)
+		c.diagnostics = append(c.diagnostics, syntaxError(file, err).List...)
 		return nil
 	}
-	var read organisationsFile
-	inner := newChecker(text, file, c.read)
-	inner.decode(reflect.ValueOf(&read).Elem())
-	inner.checkOrganisations(read.Organisations)
-	c.mistakes = append(c.mistakes, inner.mistakes...)
-	return read.Organisations
+	var contents organisationsFile
+	fileChecker := newChecker(document, file, c.read)
+	fileChecker.decode(reflect.ValueOf(&contents).Elem())
+	fileChecker.checkOrganisations(contents.Organisations)
+	c.diagnostics = append(c.diagnostics, fileChecker.diagnostics...)
+	return contents.Organisations
 }
 
 func (c *checker) checkOrganisations(list []Organisation) {
@@ -97,10 +101,10 @@
 			paths = append(paths, fmt.Sprintf("organisations[%d].key_digests[%d]", i, j))
 		}
 		if organisation.DefaultClass != "" {
-			c.form(fmt.Sprintf("organisations[%d].default_class", i), organisation.DefaultClass, tagName)
+			c.checkFormat(fmt.Sprintf("organisations[%d].default_class", i), organisation.DefaultClass, tagName)
 		}
 	}
-	c.unique("organisation", names, func(i int) string { return fmt.Sprintf("organisations[%d].name", i) })
-	// One key for two organisations would charge the work of one to the other.
-	c.unique("digest", digests, func(i int) string { return paths[i] })
+	c.checkUnique("organisation", names, func(i int) string { return fmt.Sprintf("organisations[%d].name", i) })
+	// With the same key for two organisations, the requests of one would be accounted to the other.
+	c.checkUnique("digest", digests, func(i int) string { return paths[i] })
 }
--- a/settings/control.go
+++ b/settings/control.go
@@ -10,86 +10,87 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Control is the settings of a control instance, which holds a replica of the control state.
+// Control holds the settings of a control instance, which stores a replica of the control state.
 type Control struct {
 	// Role is "control".
 	Role Role `json:"role" settings:"required"`
-	// Instance is this process's name, unique in the deployment.
+	// Instance is the name of this process, unique in the deployment.
 	Instance string `json:"instance" settings:"required,name"`
-	// AvailabilityZone is the zone this process runs in.
+	// AvailabilityZone is the availability zone that this process runs in.
 	AvailabilityZone string `json:"availability_zone" settings:"required,name"`
-	// Listen says where the process listens.
+	// Listen holds the addresses that the process listens on.
 	Listen ControlListen `json:"listen" settings:"required"`
-	// Advertise is the address, IP:port, that other processes dial. Default: listen.links.
+	// Advertise is the address, IP:port, that other processes connect to. Default: Listen.Links.
 	Advertise string `json:"advertise" settings:"dial"`
-	// Replicas are the initial members of the quorum, this instance among them.
+	// Replicas holds the initial members of the quorum, including this instance.
 	Replicas []Replica `json:"replicas" settings:"required"`
-	// Voters is how many members of the quorum should vote. Further ones are learners, and take the place of a voter that
-	// stays away. Default: the number of replicas.
+	// Voters is the intended number of voting members of the quorum. Further members are learners, one of which
+	// replaces a voter that stays unreachable. Default: the number of Replicas.
 	Voters int `json:"voters"`
-	// Bootstrap allows this instance to start a new quorum of Replicas on an empty data folder. With false an
-	// empty data folder waits as a learner to be added.
+	// Bootstrap allows this instance to form a new quorum of Replicas if its data directory is empty. If it is false,
+	// an instance with an empty data directory waits as a learner until it is added to a quorum.
 	Bootstrap bool `json:"bootstrap"`
-	// DataDir is the data folder. Nothing else may use it. Required unless ephemeral.
+	// DataDir is the data directory, which must not be shared with other processes. Required unless Ephemeral is set.
 	DataDir string `json:"data_dir" settings:"path"`
-	// Ephemeral says that this instance has no disk. It uses no data folder, serves operators and processes as a learner,
-	// and never votes: what it acknowledged would be gone after its next restart.
+	// Ephemeral marks an instance without persistent storage. It uses no data directory, serves operators and other
+	// processes as a learner, and never votes, since entries that it acknowledged would be lost at a restart.
 	Ephemeral bool `json:"ephemeral"`
-	// Operators are the people and machines that may change classes.
+	// Operators holds the people and programs that may change classes.
 	Operators []OperatorAccount `json:"operators" settings:"required"`
-	// Organisations are the members of the consortium.
+	// Organisations holds the organisations whose callers may send requests.
 	Organisations []Organisation `json:"organisations"`
-	// OrganisationsFile is a file {"organisations": [...]} in place of Organisations. Load reads it into them and
-	// leaves this empty.
+	// OrganisationsFile is the path of a file {"organisations": [...]} that replaces Organisations. Load stores its
+	// content in Organisations and clears OrganisationsFile.
 	OrganisationsFile string `json:"organisations_file" settings:"path"`
-	// InitialClasses are the classes of a new quorum. Later changes come from operators only.
+	// InitialClasses holds the classes of a new quorum. After that, only operators change classes.
 	InitialClasses []Class `json:"initial_classes"`
-	// TLS is for the links to other processes. Without it links are plain TCP.
+	// TLS secures the connections to other processes. If it is empty, they are plain TCP.
 	TLS TLS `json:"tls"`
-	// OperatorTLS is for operators. Without it operators speak plain HTTP.
+	// OperatorTLS secures the listener for operators. If it is empty, operators use plain HTTP.
 	OperatorTLS CallerTLS `json:"operator_tls"`
-	// Log says what is logged.
+	// Log configures logging.
 	Log Log `json:"log"`
-	// Timing holds the process's intervals and bounds.
+	// Timing holds the intervals and timeouts of the process.
 	Timing ControlTiming `json:"timing"`
 }
 
-// ControlListen says where a control instance listens, as IP:port; port 0 takes any free one.
+// ControlListen holds the addresses, IP:port, that a control instance listens on. Port 0 selects any free port.
 type ControlListen struct {
-	// Operators is where operators and the platform connect, by HTTP.
+	// Operators is the HTTP address for operators and for health checks of the platform.
 	Operators string `json:"operators" settings:"required,listen"`
-	// Links is where other processes connect.
+	// Links is the address for connections of other processes.
 	Links string `json:"links" settings:"required,listen"`
 }
 
 // Replica is an initial member of the quorum.
 type Replica struct {
-	// Instance is the member's name.
+	// Instance is the instance name of the member.
 	Instance string `json:"instance" settings:"required,name"`
-	// Address is the member's link address, IP:port.
+	// Address is the inter-process address of the member, IP:port.
 	Address string `json:"address" settings:"required,dial"`
 }
 
-// OperatorAccount is somebody who may change classes.
+// OperatorAccount is the account of a person or program with operator rights, such as changing classes.
 type OperatorAccount struct {
-	// Name appears in logs beside each change.
+	// Name identifies the operator in the log entry of each change.
 	Name string `json:"name" settings:"required,name"`
-	// KeyDigests are the digests of the operator's keys, see NewDigest.
+	// KeyDigests holds the digests of the keys of the operator, as NewDigest returns them.
 	KeyDigests []string `json:"key_digests" settings:"required,digest"`
 }
 
-// ControlTiming holds a control instance's intervals and bounds.
+// ControlTiming holds the intervals and timeouts of a control instance.
 type ControlTiming struct {
-	// Heartbeat is the interval between the leader's messages. Default 100ms.
+	// Heartbeat is the interval between the heartbeats of the leader. Default 100ms.
 	Heartbeat time.Duration `json:"heartbeat"`
-	// Election is the shortest election timeout; each is random between it and twice it. Default 1s.
+	// Election is the minimum election timeout. Each timeout is random between Election and twice that. Default 1s.
 	Election time.Duration `json:"election"`
-	// FirstElection is the same for the first election after a start, which a replica may try soon: it can't disturb a
-	// living leader. Default: election.
+	// FirstElection is the minimum timeout before the first election after a start. It may be shorter than Election,
+	// since that election can't displace a running leader. Default: Election.
 	FirstElection time.Duration `json:"first_election"`
-	// ServerExpire is the silence after which a backend server is removed from the directory. Default 10s.
+	// ServerExpire is the time without messages after which a backend server is removed from the directory.
+	// Default 10s.
 	ServerExpire time.Duration `json:"server_expire"`
-	// KeyRecords is how long the records of Idempotency-Keys are kept. Default 24h.
+	// KeyRecords is the retention period of Idempotency-Key records. Default 24h.
 	KeyRecords time.Duration `json:"key_records"`
 	// Drain is how long calls in flight may take after SIGTERM. Default 30s.
 	Drain time.Duration `json:"drain"`
@@ -97,7 +98,7 @@
 
 func (*Control) expectedRole() Role { return RoleControl }
 
-// DefaultControl returns the settings that hold for keys a file leaves out.
+// DefaultControl returns the default values, which apply to keys that a file omits.
 func DefaultControl() Control {
 	return Control{
 		Role: RoleControl,
@@ -127,26 +128,26 @@
 }
 
 func (s *Control) validate(c *checker) {
-	c.portClash(listener{"listen.operators", s.Listen.Operators}, listener{"listen.links", s.Listen.Links})
-	c.advertised(s.Advertise, s.Listen.Links)
+	c.checkPortConflicts(listener{"listen.operators", s.Listen.Operators}, listener{"listen.links", s.Listen.Links})
+	c.checkAdvertised(s.Advertise, s.Listen.Links)
 	s.validateReplicas(c)
 	if s.DataDir == "" && !s.Ephemeral {
-		c.add(result.SettingsMissingKey, "data_dir", "the key \"data_dir\" is missing, and the instance isn't ephemeral")
+		c.report(result.SettingsMissingKey, "data_dir", "the key \"data_dir\" is missing, and the instance isn't ephemeral")
 	}
-	c.operators(s.Operators)
-	c.organisations(&s.Organisations, &s.OrganisationsFile)
-	c.classes(s.InitialClasses)
-	c.tlsFiles("tls", s.TLS)
-	c.tlsFiles("operator_tls", s.OperatorTLS)
+	c.checkOperators(s.Operators)
+	c.resolveOrganisations(&s.Organisations, &s.OrganisationsFile)
+	c.checkClasses(s.InitialClasses)
+	c.checkTLS("tls", s.TLS)
+	c.checkTLS("operator_tls", s.OperatorTLS)
 	if s.Voters < 0 {
-		c.add(result.SettingsOutOfRange, "voters", "want at least 1, got %d", s.Voters)
+		c.report(result.SettingsOutOfRange, "voters", "want at least 1, got %d", s.Voters)
 	}
-	positive(c, "timing.heartbeat", s.Timing.Heartbeat)
-	positive(c, "timing.first_election", s.Timing.FirstElection)
-	positive(c, "timing.server_expire", s.Timing.ServerExpire)
-	positive(c, "timing.key_records", s.Timing.KeyRecords)
-	positive(c, "timing.drain", s.Timing.Drain)
-	c.silence("timing.election", s.Timing.Election, s.Timing.Heartbeat)
+	checkPositive(c, "timing.heartbeat", s.Timing.Heartbeat)
+	checkPositive(c, "timing.first_election", s.Timing.FirstElection)
+	checkPositive(c, "timing.server_expire", s.Timing.ServerExpire)
+	checkPositive(c, "timing.key_records", s.Timing.KeyRecords)
+	checkPositive(c, "timing.drain", s.Timing.Drain)
+	c.checkSilenceTimeout("timing.election", s.Timing.Election, s.Timing.Heartbeat)
 }
 
 func (s *Control) validateReplicas(c *checker) {
@@ -155,21 +156,21 @@
 		names = append(names, replica.Instance)
 		addresses = append(addresses, replica.Address)
 	}
-	c.unique("instance", names, func(i int) string { return fmt.Sprintf("replicas[%d].instance", i) })
-	c.unique("address", addresses, func(i int) string { return fmt.Sprintf("replicas[%d].address", i) })
-	at := slices.Index(names, s.Instance)
+	c.checkUnique("instance", names, func(i int) string { return fmt.Sprintf("replicas[%d].instance", i) })
+	c.checkUnique("address", addresses, func(i int) string { return fmt.Sprintf("replicas[%d].address", i) })
+	self := slices.Index(names, s.Instance)
 	switch {
 	case len(names) == 0 || s.Instance == "":
-	case at < 0 && s.Bootstrap:
-		c.add(result.SettingsMissingKey, "replicas", "with bootstrap, want this instance, %q, among them", s.Instance)
-	case at >= 0 && addresses[at] != s.Advertise && dialable(s.Advertise):
-		c.add(result.SettingsOutOfRange, fmt.Sprintf("replicas[%d].address", at),
+	case self < 0 && s.Bootstrap:
+		c.report(result.SettingsMissingKey, "replicas", "with bootstrap, want this instance, %q, among them", s.Instance)
+	case self >= 0 && addresses[self] != s.Advertise && dialable(s.Advertise):
+		c.report(result.SettingsOutOfRange, fmt.Sprintf("replicas[%d].address", self),
 			"want this instance's advertised address %s", s.Advertise)
 	}
 }
 
-// operators checks that names and digests differ.
-func (c *checker) operators(operators []OperatorAccount) {
+// checkOperators reports names and key digests that are used more than once.
+func (c *checker) checkOperators(operators []OperatorAccount) {
 	var names, digests, paths []string
 	for i, operator := range operators {
 		names = append(names, operator.Name)
@@ -178,6 +179,6 @@
 			paths = append(paths, fmt.Sprintf("operators[%d].key_digests[%d]", i, j))
 		}
 	}
-	c.unique("operator", names, func(i int) string { return fmt.Sprintf("operators[%d].name", i) })
-	c.unique("digest", digests, func(i int) string { return paths[i] })
+	c.checkUnique("operator", names, func(i int) string { return fmt.Sprintf("operators[%d].name", i) })
+	c.checkUnique("digest", digests, func(i int) string { return paths[i] })
 }
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -16,14 +16,14 @@
 	"github.com/carawaypitch/carawaypitch/settings/jsonc"
 )
 
-// The struct tags that decode reads besides json, separated by commas under the key "settings".
+// Options of the struct tag "settings", separated by commas. decode applies them in addition to the tag "json".
 const (
-	tagRequired = "required" // the file must hold the key
-	tagPath     = "path"     // a path of a file, resolved against the file that holds it
-	tagListen   = "listen"   // IP:port to listen at; port 0 takes any free one
-	tagDial     = "dial"     // IP:port of another process
-	tagName     = "name"     // a name of an instance, zone, organisation, class
-	tagDigest   = "digest"   // a key digest
+	tagRequired = "required" // the file must contain the key
+	tagPath     = "path"     // a file path, relative to the folder of the settings file
+	tagListen   = "listen"   // IP:port to listen on; port 0 selects any free port
+	tagDial     = "dial"     // IP:port to connect to
+	tagName     = "name"     // a name of an instance, zone, organisation or class
+	tagDigest   = "digest"   // a key digest, as NewDigest returns it
 )
 
 var (
@@ -32,8 +32,8 @@
 	levelType    = reflect.TypeFor[log.Level]()
 )
 
-// refusedFields are fields that somebody might expect here, and why there are none.
-var refusedFields = map[string]string{
+// rejectedFields maps field names that users may expect in a settings file to the reason why they aren't supported.
+var rejectedFields = map[string]string{
 	"weight":          "weights are never set; give a class its targets instead",
 	"weights":         "weights are never set; give a class its targets instead",
 	"server":          "backend servers are never named; they announce themselves",
@@ -42,59 +42,60 @@
 	"backend_servers": "backend servers are never named; they announce themselves",
 }
 
-// checker fills a settings value from a document and collects the mistakes.
+// checker decodes a document into a settings value, validates the value and collects the diagnostics.
 type checker struct {
-	text     *jsonc.Document
-	file     string
-	read     readFile
-	offsets  map[string]int
-	wrong    map[string]bool // paths with a mistake
-	mistakes []Diagnostic
+	document    *jsonc.Document
+	file        string
+	read        readFile
+	offsets     map[string]int
+	reported    map[string]bool // paths that have a diagnostic
+	diagnostics []Diagnostic
 }
 
-func newChecker(text *jsonc.Document, file string, read readFile) *checker {
-	return &checker{text: text, file: file, read: read, offsets: map[string]int{}, wrong: map[string]bool{}}
+func newChecker(document *jsonc.Document, file string, read readFile) *checker {
+	return &checker{document: document, file: file, read: read, offsets: map[string]int{}, reported: map[string]bool{}}
 }
 
-// add notes a mistake at a path, or at the nearest value around it that the file holds. A path has one mistake: a
-// value of the wrong type would otherwise also be reported as out of range.
-func (c *checker) add(code result.Code, path, format string, args ...any) {
-	if c.wrong[path] {
+// report adds a diagnostic for the value at path. Its position is that of the value, or of the innermost enclosing
+// value that the file contains. A path gets at most one diagnostic, since a value of the wrong type would otherwise
+// also be reported as out of range.
+func (c *checker) report(code result.Code, path, format string, args ...any) {
+	if c.reported[path] {
 		return
 	}
-	c.wrong[path] = true
-	line, column := c.text.Position(c.offset(path))
+	c.reported[path] = true
+	line, column := c.document.Position(c.offsetOf(path))
 	message := fmt.Sprintf(format, args...)
-	c.mistakes = append(c.mistakes, Diagnostic{
+	c.diagnostics = append(c.diagnostics, Diagnostic{
 		Code: code, File: c.file, Path: path, Line: line, Column: column, Message: message,
 	})
 }
 
-func (c *checker) offset(path string) int {
+func (c *checker) offsetOf(path string) int {
 	for path != "" {
 		if offset, ok := c.offsets[path]; ok {
 			return offset
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
-	return c.text.Root.StartOffset
+	return c.document.Root.StartOffset
 }
 
-// sorted returns the mistakes in the order of the file.
-func (c *checker) sorted() *Diagnostics {
-	slices.SortStableFunc(c.mistakes, func(a, b Diagnostic) int {
+// sortedDiagnostics returns the diagnostics, sorted by file, line and column.
+func (c *checker) sortedDiagnostics() *Diagnostics {
+	slices.SortStableFunc(c.diagnostics, func(a, b Diagnostic) int {
 		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Column-b.Column)
 	})
-	return &Diagnostics{List: c.mistakes}
+	return &Diagnostics{List: c.diagnostics}
 }
 
-// decode fills into from the whole document.
+// decode decodes the whole document into the struct into.
 func (c *checker) decode(into reflect.Value) {
-	c.value("", &c.text.Root, into, "")
+	c.decodeValue("", &c.document.Root, into, "")
 }
 
 func (c *checker) topLevelString(key string) string {
-	object, ok := c.text.Root.Value.(*hujson.Object)
+	object, ok := c.document.Root.Value.(*hujson.Object)
 	if !ok {
 		return ""
 	}
@@ -109,176 +110,176 @@
 	return ""
 }
 
-// value fills into from v. tag is the settings tag of the field that v belongs to.
-func (c *checker) value(path string, v *hujson.Value, into reflect.Value, tag string) {
+// decodeValue decodes v into the value into. The tag is the "settings" struct tag of the field that v belongs to.
+func (c *checker) decodeValue(path string, v *hujson.Value, into reflect.Value, tag string) {
 	c.offsets[path] = v.StartOffset
 	switch into.Kind() {
 	case reflect.Struct:
-		c.object(path, v, into)
+		c.decodeObject(path, v, into)
 	case reflect.Slice:
-		c.array(path, v, into, tag)
+		c.decodeArray(path, v, into, tag)
 	default:
-		c.literal(path, v, into, tag)
+		c.decodeLiteral(path, v, into, tag)
 	}
 }
 
-func (c *checker) object(path string, v *hujson.Value, into reflect.Value) {
+func (c *checker) decodeObject(path string, v *hujson.Value, into reflect.Value) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		c.wrongType(path, "an object", v)
+		c.reportWrongType(path, "an object", v)
 		return
 	}
-	fields := fieldsOf(into.Type())
+	fields := fieldsByKey(into.Type())
 	seen := map[string]bool{}
 	for i := range object.Members {
 		member := &object.Members[i]
 		key := keyOf(member)
-		at := join(path, key)
+		memberPath := joinPath(path, key)
 		field, known := fields[key]
 		switch {
 		case seen[key]:
-			c.offsets[at] = member.Name.StartOffset
-			c.add(result.SettingsDuplicateKey, at, "the key %q stands twice", key)
+			c.offsets[memberPath] = member.Name.StartOffset
+			c.report(result.SettingsDuplicateKey, memberPath, "the key %q stands twice", key)
 		case !known:
-			c.offsets[at] = member.Name.StartOffset
-			c.unknown(at, key)
+			c.offsets[memberPath] = member.Name.StartOffset
+			c.reportUnknownKey(memberPath, key)
 		default:
-			c.value(at, &member.Value, into.FieldByIndex(field.Index), field.Tag.Get("settings"))
+			c.decodeValue(memberPath, &member.Value, into.FieldByIndex(field.Index), field.Tag.Get("settings"))
 		}
 		seen[key] = true
 	}
-	c.missing(path, into.Type(), seen)
+	c.reportMissingKeys(path, into.Type(), seen)
 }
 
-func (c *checker) unknown(path, key string) {
-	if why, refused := refusedFields[key]; refused {
-		c.add(result.SettingsUnknownField, path, "field %q is refused: %s", key, why)
+func (c *checker) reportUnknownKey(path, key string) {
+	if reason, rejected := rejectedFields[key]; rejected {
+		c.report(result.SettingsUnknownField, path, "field %q is refused: %s", key, reason)
 		return
 	}
-	c.add(result.SettingsUnknownField, path, "unknown field %q", key)
+	c.report(result.SettingsUnknownField, path, "unknown field %q", key)
 }
 
-func (c *checker) missing(path string, t reflect.Type, seen map[string]bool) {
+func (c *checker) reportMissingKeys(path string, t reflect.Type, seen map[string]bool) {
 	for i := range t.NumField() {
 		field := t.Field(i)
 		key := field.Tag.Get("json")
 		if hasTag(field.Tag.Get("settings"), tagRequired) && !seen[key] {
-			c.add(result.SettingsMissingKey, join(path, key), "the key %q is missing", key)
+			c.report(result.SettingsMissingKey, joinPath(path, key), "the key %q is missing", key)
 		}
 	}
 }
 
-func (c *checker) array(path string, v *hujson.Value, into reflect.Value, tag string) {
+func (c *checker) decodeArray(path string, v *hujson.Value, into reflect.Value, tag string) {
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		c.wrongType(path, "a list", v)
+		c.reportWrongType(path, "a list", v)
 		return
 	}
 	items := reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements))
 	for i := range array.Elements {
-		c.value(fmt.Sprintf("%s[%d]", path, i), &array.Elements[i], items.Index(i), tag)
+		c.decodeValue(fmt.Sprintf("%s[%d]", path, i), &array.Elements[i], items.Index(i), tag)
 	}
 	if len(array.Elements) == 0 {
 		items = reflect.Zero(into.Type())
 	}
 	into.Set(items)
 	if hasTag(tag, tagRequired) && len(array.Elements) == 0 {
-		c.add(result.SettingsMissingKey, path, "want at least one item")
+		c.report(result.SettingsMissingKey, path, "want at least one item")
 	}
 }
 
-func (c *checker) literal(path string, v *hujson.Value, into reflect.Value, tag string) {
+func (c *checker) decodeLiteral(path string, v *hujson.Value, into reflect.Value, tag string) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
-		c.wrongType(path, wanted(into.Type()), v)
+		c.reportWrongType(path, expectedKind(into.Type()), v)
 		return
 	}
 	switch into.Type() {
 	case durationType:
-		withUnit(c, path, literal, into, parseDuration)
+		decodeWithUnit(c, path, literal, into, parseDuration)
 	case sizeType:
-		withUnit(c, path, literal, into, ParseSize)
+		decodeWithUnit(c, path, literal, into, ParseSize)
 	case levelType:
-		c.level(path, v, literal, into)
+		c.decodeLevel(path, v, literal, into)
 	default:
-		c.plain(path, v, literal, into, tag)
+		c.decodeScalar(path, v, literal, into, tag)
 	}
 }
 
-// withUnit reads a string with a unit. A bare number is refused: nobody can see whether 5 means seconds or
-// milliseconds, and a guess would be found out by timeouts a thousand times too long.
-func withUnit[T ~int64](c *checker, path string, l hujson.Literal, into reflect.Value, read func(string) (T, error)) {
+// decodeWithUnit decodes a string with a unit. A bare number is rejected, since it doesn't show whether 5 means seconds
+// or milliseconds, and a wrong guess makes timeouts a thousand times too long.
+func decodeWithUnit[T ~int64](c *checker, path string, l hujson.Literal, into reflect.Value, parseText func(string) (T, error)) {
 	if l.Kind() != '"' {
-		c.add(result.SettingsWrongUnit, path, "want a string with a unit, got %s", l)
+		c.report(result.SettingsWrongUnit, path, "want a string with a unit, got %s", l)
 		return
 	}
-	value, err := read(l.String())
+	value, err := parseText(l.String())
 	if err != nil {
-		c.add(result.SettingsWrongUnit, path, "%s", err)
+		c.report(result.SettingsWrongUnit, path, "%s", err)
 		return
 	}
 	into.SetInt(int64(value))
 }
 
-func (c *checker) level(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
+func (c *checker) decodeLevel(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
 	if l.Kind() != '"' {
-		c.wrongType(path, wanted(levelType), v)
+		c.reportWrongType(path, expectedKind(levelType), v)
 		return
 	}
 	level, err := log.ParseLevel(l.String())
 	if err != nil {
-		c.add(result.SettingsOutOfRange, path, "want debug, info, warn, error or fatal, got %q", l.String())
+		c.report(result.SettingsOutOfRange, path, "want debug, info, warn, error or fatal, got %q", l.String())
 		return
 	}
 	into.SetInt(int64(level))
 }
 
-func (c *checker) plain(path string, v *hujson.Value, l hujson.Literal, into reflect.Value, tag string) {
+func (c *checker) decodeScalar(path string, v *hujson.Value, l hujson.Literal, into reflect.Value, tag string) {
 	switch kind := into.Kind(); {
 	case kind == reflect.String && l.Kind() == '"':
-		c.str(path, l.String(), into, tag)
+		c.decodeString(path, l.String(), into, tag)
 	case kind == reflect.Bool && (l.Kind() == 't' || l.Kind() == 'f'):
 		into.SetBool(l.Kind() == 't')
 	case kind == reflect.Int && l.Kind() == '0':
-		c.number(path, v, l, into)
+		c.decodeInt(path, v, l, into)
 	case kind == reflect.Float64 && l.Kind() == '0':
-		c.share(path, v, l, into)
+		c.decodeFloat(path, v, l, into)
 	default:
-		c.wrongType(path, wanted(into.Type()), v)
+		c.reportWrongType(path, expectedKind(into.Type()), v)
 	}
 }
 
-func (c *checker) number(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
+func (c *checker) decodeInt(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
 	n, err := strconv.Atoi(string(l))
 	if err != nil {
-		c.wrongType(path, wanted(into.Type()), v)
+		c.reportWrongType(path, expectedKind(into.Type()), v)
 		return
 	}
 	into.SetInt(int64(n))
 }
 
-func (c *checker) share(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
+func (c *checker) decodeFloat(path string, v *hujson.Value, l hujson.Literal, into reflect.Value) {
 	f, err := strconv.ParseFloat(string(l), 64)
 	if err != nil {
-		c.wrongType(path, wanted(into.Type()), v)
+		c.reportWrongType(path, expectedKind(into.Type()), v)
 		return
 	}
 	into.SetFloat(f)
 }
 
-func (c *checker) str(path, text string, into reflect.Value, tag string) {
+func (c *checker) decodeString(path, text string, into reflect.Value, tag string) {
 	if hasTag(tag, tagPath) {
-		text = beside(c.file, text)
+		text = resolvePath(c.file, text)
 	}
 	into.SetString(text)
-	c.form(path, text, tag)
+	c.checkFormat(path, text, tag)
 }
 
-func (c *checker) wrongType(path, want string, v *hujson.Value) {
-	c.add(result.SettingsWrongType, path, "want %s, got %s", want, kindName(v.Value.Kind()))
+func (c *checker) reportWrongType(path, want string, v *hujson.Value) {
+	c.report(result.SettingsWrongType, path, "want %s, got %s", want, kindName(v.Value.Kind()))
 }
 
-func wanted(t reflect.Type) string {
+func expectedKind(t reflect.Type) string {
 	switch {
 	case t == durationType || t == sizeType:
 		return "a string with a unit"
@@ -305,7 +306,7 @@
 	return member.Name.Value.(hujson.Literal).String()
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.StructField {
+func fieldsByKey(t reflect.Type) map[string]reflect.StructField {
 	fields := map[string]reflect.StructField{}
 	for i := range t.NumField() {
 		field := t.Field(i)
@@ -318,7 +319,7 @@
 	return slices.Contains(strings.Split(tag, ","), want)
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/settings/encode.go
+++ b/settings/encode.go
@@ -6,27 +6,27 @@
 	"reflect"
 )
 
-// Marshal writes settings as a file that Load reads back to an equal value. Keys are in alphabetical order; optional
-// ones whose value is an empty text or list are left out.
+// Marshal encodes settings as a settings file that Load decodes to an equal value. Keys are in alphabetical order, and
+// optional keys whose value is an empty string or list are omitted.
 //
-// encoding/json alone would write durations as bare numbers, which Load refuses.
+// Calling encoding/json directly would encode durations as bare numbers, which Load rejects.
 func Marshal(settings any) ([]byte, error) {
-	return json.MarshalIndent(plainValue(reflect.Indirect(reflect.ValueOf(settings))), "", "  ")
+	return json.MarshalIndent(jsonValue(reflect.Indirect(reflect.ValueOf(settings))), "", "  ")
 }
 
-// plainValue turns a value into what encoding/json writes in the form of a settings file.
-func plainValue(v reflect.Value) any {
+// jsonValue converts v to a value that encoding/json encodes in the format of settings files.
+func jsonValue(v reflect.Value) any {
 	switch v.Type() {
 	case durationType, sizeType, levelType:
 		return fmt.Sprint(v.Interface())
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		return plainObject(v)
+		return jsonObject(v)
 	case reflect.Slice:
 		list := make([]any, 0, v.Len())
 		for i := range v.Len() {
-			list = append(list, plainValue(v.Index(i)))
+			list = append(list, jsonValue(v.Index(i)))
 		}
 		return list
 	default:
@@ -34,21 +34,22 @@
 	}
 }
 
-func plainObject(v reflect.Value) map[string]any {
+func jsonObject(v reflect.Value) map[string]any {
 	object := map[string]any{}
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
-		if !hasTag(field.Tag.Get("settings"), tagRequired) && omitted(v.Field(i)) {
+		if !hasTag(field.Tag.Get("settings"), tagRequired) && omitEmpty(v.Field(i)) {
 			continue
 		}
-		object[field.Tag.Get("json")] = plainValue(v.Field(i))
+		object[field.Tag.Get("json")] = jsonValue(v.Field(i))
 	}
 	return object
 }
 
-// omitted tells whether a file without the key gives the same. Every default of a text or list is the empty one;
-// other zero values differ from their defaults, such as the log level debug.
-func omitted(v reflect.Value) bool {
+// omitEmpty reports whether v can be omitted, since decoding a file without the key yields the same value. That holds
+// for empty strings and lists, whose default is empty. Other zero values differ from their defaults, such as the log
+// level debug.
+func omitEmpty(v reflect.Value) bool {
 	kind := v.Kind()
 	return (kind == reflect.String || kind == reflect.Slice) && v.Len() == 0
 }
--- a/settings/forms.go
+++ b/settings/forms.go
@@ -7,63 +7,63 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// namePattern is the form of names of instances, zones, organisations and classes. They go into logs, metrics and
-// URLs as they are.
+// namePattern matches valid names of instances, zones, organisations and classes. Names are used unescaped in logs,
+// metrics and URLs.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9]([a-zA-Z0-9._-]{0,62}[a-zA-Z0-9])?$`)
 
-// form checks the form of one string.
-func (c *checker) form(path, text, tag string) {
+// checkFormat reports a string that doesn't have the format that the options in tag require.
+func (c *checker) checkFormat(path, text, tag string) {
 	switch {
 	case hasTag(tag, tagListen):
-		c.address(path, text, true)
+		c.checkAddress(path, text, true)
 	case hasTag(tag, tagDial):
-		c.address(path, text, false)
+		c.checkAddress(path, text, false)
 	case hasTag(tag, tagDigest):
-		c.digest(path, text)
+		c.checkDigest(path, text)
 	case hasTag(tag, tagName) && !namePattern.MatchString(text):
-		c.add(result.SettingsOutOfRange, path,
+		c.report(result.SettingsOutOfRange, path,
 			"want 1 to 64 letters, digits, dots, hyphens or underscores, with a letter or digit at both ends")
 	case hasTag(tag, tagRequired) && text == "":
-		c.add(result.SettingsMissingKey, path, "want a text that isn't empty")
+		c.report(result.SettingsMissingKey, path, "want a text that isn't empty")
 	}
 }
 
-// address checks IP:port. Where a process listens, port 0 and the unspecified IP number are allowed; where it
-// dials, they aren't.
-func (c *checker) address(path, text string, listen bool) {
+// checkAddress reports an address that isn't IP:port. Port 0 and the unspecified IP address are allowed only for an
+// address to listen on.
+func (c *checker) checkAddress(path, text string, listen bool) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		c.add(result.SettingsBadAddress, path, "want IP:port, such as \"10.0.0.7:8080\", got %q", text)
+		c.report(result.SettingsBadAddress, path, "want IP:port, such as \"10.0.0.7:8080\", got %q", text)
 		return
 	}
 	if !listen && !dialable(text) {
-		c.add(result.SettingsBadAddress, path, "nobody can dial %s: want an IP number and a port", text)
+		c.report(result.SettingsBadAddress, path, "nobody can dial %s: want an IP number and a port", text)
 	}
 }
 
-func (c *checker) digest(path, text string) {
+func (c *checker) checkDigest(path, text string) {
 	if _, err := parseDigest(text); err != nil {
-		// The text isn't repeated: somebody may have written the key itself.
-		c.add(result.SettingsBadDigest, path, "%s", err)
+		// The message doesn't contain the value, which may be a key given by mistake instead of its digest.
+		c.report(result.SettingsBadDigest, path, "%s", err)
 	}
 }
 
-// listener is a place where the process listens.
+// listener is an address that the process listens on, and its path in the settings file.
 type listener struct {
 	path, address string
 }
 
-// portClash finds two listeners of one process that can't both be opened.
-func (c *checker) portClash(listeners ...listener) {
+// checkPortConflicts reports listeners of one process whose addresses can't be bound at the same time.
+func (c *checker) checkPortConflicts(listeners ...listener) {
 	for i, later := range listeners {
 		for _, earlier := range listeners[:i] {
-			if clash(earlier.address, later.address) {
-				c.add(result.SettingsPortClash, later.path, "%s is also the address of %s", later.address, earlier.path)
+			if addressesConflict(earlier.address, later.address) {
+				c.report(result.SettingsPortClash, later.path, "%s is also the address of %s", later.address, earlier.path)
 			}
 		}
 	}
 }
 
-func clash(a, b string) bool {
+func addressesConflict(a, b string) bool {
 	first, errA := netip.ParseAddrPort(a)
 	second, errB := netip.ParseAddrPort(b)
 	if errA != nil || errB != nil || first.Port() != second.Port() || first.Port() == 0 {
@@ -72,23 +72,24 @@
 	return first.Addr() == second.Addr() || first.Addr().IsUnspecified() || second.Addr().IsUnspecified()
 }
 
-// unique finds an item that equals an earlier one.
-func (c *checker) unique(what string, items []string, path func(i int) string) {
-	first := map[string]int{}
+// checkUnique reports each item that equals an earlier one. Empty items aren't compared. The kind names the items in
+// the message, and path returns the path of item i.
+func (c *checker) checkUnique(kind string, items []string, path func(i int) string) {
+	firstIndex := map[string]int{}
 	for i, item := range items {
-		earlier, found := first[item]
+		earlier, found := firstIndex[item]
 		if found && item != "" {
-			c.add(result.SettingsDuplicateName, path(i), "%s %q stands twice, first at %s", what, item, path(earlier))
+			c.report(result.SettingsDuplicateName, path(i), "%s %q stands twice, first at %s", kind, item, path(earlier))
 			continue
 		}
-		first[item] = i
+		firstIndex[item] = i
 	}
 }
 
-// positive checks numbers, sizes and durations that must not be 0.
-func positive[T ~int | ~int64](c *checker, path string, value T) {
+// checkPositive reports a number, size or duration of 0 or less.
+func checkPositive[T ~int | ~int64](c *checker, path string, value T) {
 	if value <= 0 {
-		c.add(result.SettingsOutOfRange, path, "want more than 0")
+		c.report(result.SettingsOutOfRange, path, "want more than 0")
 	}
 }
 
@@ -97,7 +98,8 @@
 	return err == nil && parsed.Addr().IsUnspecified()
 }
 
-// dialable tells whether the address names one IP number and port.
+// dialable reports whether other processes can connect to the address: its IP address is specified and its port isn't
+// 0.
 func dialable(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Port() != 0 && !parsed.Addr().IsUnspecified()
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParse checks that reading never panics, and that what is accepted is written and read back equal.
+// FuzzParse checks that parsing never panics, and that accepted settings are equal after Marshal and parsing again.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
-		entryText, agentText, filled(controlText), "{}", "[", `{"role": "entry", "listen": null}`,
+		entryText, agentText, withDigest(controlText), "{}", "[", `{"role": "entry", "listen": null}`,
 		strings.Replace(entryText, `"role"`, `"log": {"level": "debug"}, "limits": {"max_body": "1KiB"}, "role"`, 1),
 		`{"role": "operator", "controls": ["http://127.0.0.1:8090"], "key": "\ud800"}`,
 	} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		readsBackEqual[Entry](t, data)
-		readsBackEqual[Agent](t, data)
-		readsBackEqual[Control](t, data)
-		readsBackEqual[Operator](t, data)
+		checkRoundTrip[Entry](t, data)
+		checkRoundTrip[Agent](t, data)
+		checkRoundTrip[Control](t, data)
+		checkRoundTrip[Operator](t, data)
 	})
 }
 
-func readsBackEqual[T any](t *testing.T, data []byte) {
+func checkRoundTrip[T any](t *testing.T, data []byte) {
 	t.Helper()
 	const path = "/etc/s.jsonc"
 	first, err := parse[T](data, path, noFile)
--- a/settings/holder.go
+++ b/settings/holder.go
@@ -2,32 +2,32 @@
 
 import "sync/atomic"
 
-// Reloader keeps settings that can be loaded again while the process runs. Any number of goroutines may use it.
+// Reloader holds settings that can be reloaded from a file while the process runs. It is safe for concurrent use.
 type Reloader[T any] struct {
 	current atomic.Pointer[T]
 }
 
-// NewReloader loads the file. Errors are those of Load.
+// NewReloader returns a Reloader with the settings of the file at path. Its errors are those of Load.
 func NewReloader[T any](path string) (*Reloader[T], error) {
-	h := &Reloader[T]{}
-	if err := h.Reload(path); err != nil {
+	r := &Reloader[T]{}
+	if err := r.Reload(path); err != nil {
 		return nil, err
 	}
-	return h, nil
+	return r, nil
 }
 
-// Get returns the settings in force. Don't change them.
-func (h *Reloader[T]) Get() *T {
-	return h.current.Load()
+// Get returns the current settings. Callers must not modify them.
+func (r *Reloader[T]) Get() *T {
+	return r.current.Load()
 }
 
-// Reload loads the file and puts all of it in force at once. If the file has any mistake, the settings stay as
-// they are, and the error is that of Load.
-func (h *Reloader[T]) Reload(path string) error {
+// Reload loads the file at path and replaces the current settings atomically. If loading fails, the current settings
+// stay in force, and the error is that of Load.
+func (r *Reloader[T]) Reload(path string) error {
 	loaded, err := Load[T](path)
 	if err != nil {
 		return err
 	}
-	h.current.Store(loaded)
+	r.current.Store(loaded)
 	return nil
 }
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -14,17 +14,17 @@
 
 // Lengths of keys and digests, in bytes.
 const (
-	// SaltBytes is the length of a new salt, and the shortest that is accepted.
+	// SaltBytes is the length of a new salt, and the minimum length of an accepted one.
 	SaltBytes = 16
-	// maxSaltBytes bounds the work for one digest.
+	// maxSaltBytes is the maximum length of a salt. It limits the cost of computing one digest.
 	maxSaltBytes = 64
-	// MaxKeyBytes is the longest key that Find looks at.
+	// MaxKeyBytes is the maximum length of a key that Find accepts.
 	MaxKeyBytes = 256
 )
 
 const digestPrefix = "sha256:"
 
-// sum is a SHA-256 sum.
+// sum is a SHA-256 checksum.
 type sum = [sha256.Size]byte
 
 // digest is a parsed key digest.
@@ -33,8 +33,9 @@
 	sum  sum
 }
 
-// NewDigest returns "sha256:SALT:DIGEST" in hexadecimal, where DIGEST is SHA-256 over salt and key. Keys are random
-// and long, so a fast hash is enough: there are no likely keys to try.
+// NewDigest returns "sha256:SALT:DIGEST", where SALT and DIGEST are hexadecimal and DIGEST is the SHA-256 checksum of
+// the salt followed by the key. A fast hash suffices, since keys are long and random and can't be guessed by trying
+// likely values.
 func NewDigest(key string, salt []byte) string {
 	s := saltedSum(salt, key)
 	return digestPrefix + hex.EncodeToString(salt) + ":" + hex.EncodeToString(s[:])
@@ -43,22 +44,22 @@
 // NewSalt returns SaltBytes random bytes.
 func NewSalt() []byte {
 	salt := make([]byte, SaltBytes)
-	_, _ = rand.Read(salt) // never fails, see crypto/rand
+	_, _ = rand.Read(salt) // crypto/rand.Read never returns an error
 	return salt
 }
 
 func saltedSum(salt []byte, key string) sum {
-	// A buffer of fixed size stays on the stack: scan does this for every digest.
+	// A buffer of constant capacity stays on the stack. This saves an allocation for each digest that scan compares.
 	buf := make([]byte, 0, maxSaltBytes+MaxKeyBytes)
 	buf = append(buf, salt...)
 	return sha256.Sum256(append(buf, key...))
 }
 
-// parseDigest reads what NewDigest wrote. Its error never repeats the text.
+// parseDigest parses the result of NewDigest. Its error never contains the text, which may be a key given by mistake.
 func parseDigest(text string) (digest, error) {
 	rest, found := strings.CutPrefix(text, digestPrefix)
-	saltText, sumText, two := strings.Cut(rest, ":")
-	if !found || !two {
+	saltText, sumText, separated := strings.Cut(rest, ":")
+	if !found || !separated {
 		return digest{}, errors.New("want sha256:SALT:DIGEST")
 	}
 	salt, err := hex.DecodeString(saltText)
@@ -72,27 +73,27 @@
 	return digest{salt: salt, sum: sum(raw)}, nil
 }
 
-// Keyring finds whose key a bearer key is. Any number of goroutines may use it.
+// Keyring maps bearer keys to the names of their owners. It is safe for concurrent use.
 //
-// Each digest has its own salt, so a key can't be looked up: it is hashed with every salt, and all are compared,
-// each in constant time, also after a match. That takes the same time for every unknown key of one length, and at
-// 220 organisations it is too much for each request. So keys that were found are remembered by their HMAC under a
-// random key of this process. The time to look an HMAC up depends only on bits that nobody outside can know, and
-// what is remembered can't grow beyond the number of digests.
+// Each digest has its own salt, so digests can't be indexed by key. A key is hashed with every salt and compared with
+// every digest, each in constant time, even after a match, which takes the same time for all unknown keys of one
+// length. With 220 organisations this is too expensive for each request, so matched keys are cached by their HMAC under
+// a random key of this process. The time of a cache lookup depends only on bits of the HMAC, which callers can't
+// predict. The cache holds at most one entry for each digest.
 type Keyring struct {
-	entries []ringEntry
-	secret  [sha256.Size]byte
+	entries []keyringEntry
+	hmacKey [sha256.Size]byte
 
 	mu    sync.RWMutex
-	known map[sum]string
+	cache map[sum]string
 }
 
-type ringEntry struct {
+type keyringEntry struct {
 	name string
 	digest
 }
 
-// NewKeyring returns the keyring of the organisations. Digests that can't be read are an error.
+// NewKeyring returns the keyring of the organisations. It returns an error if a digest can't be parsed.
 func NewKeyring(organisations []Organisation) (*Keyring, error) {
 	k := newKeyring()
 	for _, organisation := range organisations {
@@ -103,7 +104,7 @@
 	return k, nil
 }
 
-// NewOperatorKeyring is NewKeyring for operators.
+// NewOperatorKeyring returns the keyring of the operators. It returns an error if a digest can't be parsed.
 func NewOperatorKeyring(operators []OperatorAccount) (*Keyring, error) {
 	k := newKeyring()
 	for _, operator := range operators {
@@ -115,8 +116,8 @@
 }
 
 func newKeyring() *Keyring {
-	k := &Keyring{known: map[sum]string{}}
-	_, _ = rand.Read(k.secret[:]) // never fails, see crypto/rand
+	k := &Keyring{cache: map[sum]string{}}
+	_, _ = rand.Read(k.hmacKey[:]) // crypto/rand.Read never returns an error
 	return k
 }
 
@@ -126,20 +127,20 @@
 		if err != nil {
 			return errors.Wrapf(err, "key digest of %s", name)
 		}
-		k.entries = append(k.entries, ringEntry{name: name, digest: parsed})
+		k.entries = append(k.entries, keyringEntry{name: name, digest: parsed})
 	}
 	return nil
 }
 
-// Find returns the name of the organisation or operator whose key it is. A key longer than MaxKeyBytes, and the
-// empty key, are nobody's.
+// Find returns the name of the organisation or operator that owns the key, and whether there is one. It finds no owner
+// for an empty key or one longer than MaxKeyBytes.
 func (k *Keyring) Find(key string) (name string, ok bool) {
 	if key == "" || len(key) > MaxKeyBytes {
 		return "", false
 	}
-	mark := k.mark(key)
+	fingerprint := k.fingerprint(key)
 	k.mu.RLock()
-	name, ok = k.known[mark]
+	name, ok = k.cache[fingerprint]
 	k.mu.RUnlock()
 	if ok {
 		return name, true
@@ -147,19 +148,20 @@
 	name, ok = k.scan(key)
 	if ok {
 		k.mu.Lock()
-		k.known[mark] = name
+		k.cache[fingerprint] = name
 		k.mu.Unlock()
 	}
 	return name, ok
 }
 
-func (k *Keyring) mark(key string) sum {
-	h := hmac.New(sha256.New, k.secret[:])
+func (k *Keyring) fingerprint(key string) sum {
+	h := hmac.New(sha256.New, k.hmacKey[:])
 	h.Write([]byte(key))
 	return sum(h.Sum(nil))
 }
 
-// scan compares the key with every digest, without stopping at a match.
+// scan compares the key with every digest and doesn't stop at a match, so that its duration doesn't depend on the
+// owner.
 func (k *Keyring) scan(key string) (string, bool) {
 	found := -1
 	for i := range k.entries {
--- a/settings/keys_test.go
+++ b/settings/keys_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sizedRing returns a keyring of n organisations, "org-0" with the key "key-0" and so on.
-func sizedRing(tb testing.TB, n int) *Keyring {
+// newTestKeyring returns a keyring of n organisations: "org-0" with the key "key-0", and so on.
+func newTestKeyring(tb testing.TB, n int) *Keyring {
 	tb.Helper()
 	organisations := make([]Organisation, n)
 	for i := range organisations {
@@ -25,24 +25,27 @@
 	return ring
 }
 
+// Guards against matching a wrong or similar key, and against a result that differs once the key is cached. Unknown
+// keys must not be cached, since the cache would then grow without limit.
 func TestFind(t *testing.T) {
-	ring := sizedRing(t, 3)
+	ring := newTestKeyring(t, 3)
 	cases := map[string]string{
 		"key-0": "org-0", "key-2": "org-2", "key-3": "", "": "", "key-": "", "key-00": "", "KEY-0": "",
 		strings.Repeat("k", MaxKeyBytes+1): "",
 	}
-	for range 2 { // the second time from what is remembered
+	for range 2 { // the second pass uses the cache
 		for key, want := range cases {
 			name, ok := ring.Find(key)
 			require.Equal(t, want, name, key)
 			require.Equal(t, want != "", ok, key)
 		}
 	}
-	require.Len(t, ring.known, 2)
+	require.Len(t, ring.cache, 2)
 }
 
-func TestFindFromManyGoroutines(t *testing.T) {
-	ring := sizedRing(t, 5)
+// Guards against a wrong owner when goroutines look keys up while others add them to the cache.
+func TestConcurrentFind(t *testing.T) {
+	ring := newTestKeyring(t, 5)
 	var group sync.WaitGroup
 	for i := range 20 {
 		group.Go(func() {
@@ -55,7 +58,8 @@
 	group.Wait()
 }
 
-func TestKeyReplacedWithoutAGap(t *testing.T) {
+// Guards against rejected requests while a key is replaced: the old and the new key must both be accepted.
+func TestEveryDigestOfAnOperatorIsAccepted(t *testing.T) {
 	ring, err := NewOperatorKeyring([]OperatorAccount{{Name: "ops", KeyDigests: []string{alphaDigest, betaDigest}}})
 	require.NoError(t, err)
 	for _, key := range []string{"alpha", "beta"} {
@@ -65,6 +69,7 @@
 	}
 }
 
+// Guards against accepting a malformed digest, such as one with a short salt.
 func TestBadDigests(t *testing.T) {
 	salt, sum, _ := strings.Cut(strings.TrimPrefix(alphaDigest, digestPrefix), ":")
 	for _, text := range []string{
@@ -80,14 +85,14 @@
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{5, 220} {
-		ring := sizedRing(b, n)
+		ring := newTestKeyring(b, n)
 		known := fmt.Sprintf("key-%d", n-1)
 		b.Run(fmt.Sprintf("known/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				ring.Find(known)
 			}
 		})
-		b.Run(fmt.Sprintf("stranger/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("unknown/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				ring.Find("nobody")
 			}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,11 +1,11 @@
 // Package settings reads and checks the settings files of the processes.
 //
-// A file is JSON with comments. Its key "role" says which type of this package it fills: Entry, Agent, Control or
-// Operator. Reading is strict, and reports every mistake of a file at once, each with its result code, path, line
-// and column: a process that starts with half of its settings misread fails later, and far from the cause.
+// A file is JSON with comments. Its key "role" selects the type of this package that it is decoded into: Entry, Agent,
+// Control, Operator or Engine. Decoding is strict, since a process that starts with misread settings fails later, far
+// from the cause. All errors of a file are reported together, each with its result code, path, line and column.
 //
-// Durations are strings with a unit ("250ms", "2s"), sizes too ("4MiB"). Addresses are IP:port; names of hosts
-// aren't looked up. A relative path is relative to the folder of the file that holds it.
+// Durations are strings with a unit ("250ms", "2s"), and so are sizes ("4MiB"). Addresses are IP:port; host names
+// aren't resolved. A relative path is resolved against the folder of the file that contains it.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/carawaypitch/carawaypitch/settings/jsonc"
 )
 
-// Role says what a settings file is for.
+// Role is the role of the process that a settings file configures.
 type Role string
 
 // The roles.
@@ -32,115 +32,118 @@
 	RoleEngine   Role = "engine"
 )
 
-// document is what each settings type does. Its methods have pointer receivers.
-type document interface {
-	// expectedRole is the role that the file must name.
+// roleSettings is implemented by a pointer to each settings type.
+type roleSettings interface {
+	// expectedRole returns the role that the file must have.
 	expectedRole() Role
-	// setDefaults sets what holds for keys that the file leaves out.
+	// setDefaults sets all fields to the values for keys that the file omits.
 	setDefaults()
-	// derive sets what follows from other keys.
+	// derive sets omitted fields whose defaults depend on other fields.
 	derive()
-	// validate adds the mistakes that a single value doesn't show.
+	// validate reports invalid values that decoding doesn't detect, such as values that contradict each other.
 	validate(c *checker)
 }
 
-// readFile reads a file that settings name. Tests and fuzzing give their own.
+// readFile reads a file that a settings file refers to. Tests and fuzz targets substitute it.
 type readFile func(path string) ([]byte, error)
 
-// Load reads a settings file into T, which is Entry, Agent, Control, Operator or Engine. The error is a *Mistakes.
+// Load reads and validates the settings file at path. T is Entry, Agent, Control, Operator or Engine; for these the
+// error is a *Diagnostics.
 func Load[T any](path string) (*T, error) {
-	path = absolute(path)
-	data, err := readRegular(path)
+	path = absolutePath(path)
+	data, err := readRegularFile(path)
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, unreadableError(path, err)
 	}
-	return parse[T](data, path, readRegular)
+	return parse[T](data, path, readRegularFile)
 }
 
-// Check reads a settings file of any role and returns that role. The error is a *Mistakes.
+// Check reads and validates a settings file of any role and returns its role, which is empty if it can't be
+// determined. The error is a *Diagnostics.
 func Check(path string) (Role, error) {
-	path = absolute(path)
-	data, err := readRegular(path)
+	path = absolutePath(path)
+	data, err := readRegularFile(path)
 	if err != nil {
-		return "", unreadable(path, err)
+		return "", unreadableError(path, err)
 	}
 	role, err := peekRole(data, path)
 	if err != nil {
 		return role, err
 	}
-	return role, checkAs(role, data, path)
+	return role, checkWithRole(role, data, path)
 }
 
-func checkAs(role Role, data []byte, path string) error {
+func checkWithRole(role Role, data []byte, path string) error {
 	var err error
 	switch role {
 	case RoleEntry:
-		_, err = parse[Entry](data, path, readRegular)
+		_, err = parse[Entry](data, path, readRegularFile)
 	case RoleAgent:
-		_, err = parse[Agent](data, path, readRegular)
+		_, err = parse[Agent](data, path, readRegularFile)
 	case RoleControl:
-		_, err = parse[Control](data, path, readRegular)
+		_, err = parse[Control](data, path, readRegularFile)
 	case RoleOperator:
-		_, err = parse[Operator](data, path, readRegular)
+		_, err = parse[Operator](data, path, readRegularFile)
 	case RoleEngine:
-		_, err = parse[Engine](data, path, readRegular)
+		_, err = parse[Engine](data, path, readRegularFile)
 	}
 	return err
 }
 
-// parse reads data, which came from the file at path.
+// parse decodes and validates data, the content of the file at path. Files that it refers to are read by read.
 func parse[T any](data []byte, path string, read readFile) (*T, error) {
 	settings := new(T)
-	doc, ok := any(settings).(document)
+	target, ok := any(settings).(roleSettings)
 	if !ok {
 		return nil, errors.Errorf("settings: %T is not a settings type", *settings)
 	}
-	text, err := jsonc.Parse(data)
+	document, err := jsonc.Parse(data)
 	if err != nil {
-		return nil, syntax(path, err)
+		return nil, syntaxError(path, err)
 	}
-	c := newChecker(text, path, read)
-	doc.setDefaults()
+	c := newChecker(document, path, read)
+	target.setDefaults()
 	c.decode(reflect.ValueOf(settings).Elem())
-	doc.derive()
-	c.role(doc.expectedRole(), reflect.ValueOf(settings).Elem().FieldByName("Role"))
-	doc.validate(c)
-	if len(c.mistakes) > 0 {
-		return nil, c.sorted()
+	target.derive()
+	c.checkRole(target.expectedRole(), reflect.ValueOf(settings).Elem().FieldByName("Role"))
+	target.validate(c)
+	if len(c.diagnostics) > 0 {
+		return nil, c.sortedDiagnostics()
 	}
 	return settings, nil
 }
 
-func (c *checker) role(want Role, got reflect.Value) {
+func (c *checker) checkRole(want Role, got reflect.Value) {
 	if got.String() != "" && got.String() != string(want) {
-		c.add(result.SettingsOutOfRange, "role", "want %q, got %q", want, got.String())
+		c.report(result.SettingsOutOfRange, "role", "want %q, got %q", want, got.String())
 	}
 }
 
-// peekRole reads the key "role" alone.
+// peekRole returns the value of the key "role" without decoding the other keys.
 func peekRole(data []byte, path string) (Role, error) {
-	text, err := jsonc.Parse(data)
+	document, err := jsonc.Parse(data)
 	if err != nil {
-		return "", syntax(path, err)
+		return "", syntaxError(path, err)
 	}
-	c := newChecker(text, path, nil)
+	c := newChecker(document, path, nil)
 	role := Role(c.topLevelString("role"))
 	switch role {
 	case RoleEntry, RoleAgent, RoleControl, RoleOperator, RoleEngine:
 		return role, nil
 	case "":
-		c.add(result.SettingsMissingKey, "role", "want one of entry, agent, control, operator, engine")
+		c.report(result.SettingsMissingKey, "role", "want one of entry, agent, control, operator, engine")
 	default:
-		c.add(result.SettingsOutOfRange, "role", "want one of entry, agent, control, operator, engine, got %q", string(role))
+		c.report(result.SettingsOutOfRange, "role", "want one of entry, agent, control, operator, engine, got %q", string(role))
 	}
-	return "", c.sorted()
+	return "", c.sortedDiagnostics()
 }
 
-// readRegular reads a regular file of at most jsonc.MaxBytes.
+// readRegularFile reads a regular file, up to one byte more than jsonc.MaxBytes, so that jsonc.Parse rejects a larger
+// one.
 //
-// Opening a named pipe waits until another process writes to it, and a device may never end. A process given such
-// a path by mistake would hang at its start without a word.
-func readRegular(path string) ([]byte, error) {
+// Other files are refused: opening a named pipe blocks until another process writes to it, and reading a device may
+// never end. With such a path given by mistake, the process would hang at start without a message.
+func readRegularFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -156,16 +159,16 @@
 	return io.ReadAll(io.LimitReader(file, jsonc.MaxBytes+1))
 }
 
-// absolute returns the path from the root. It returns it as it is if the working folder is gone.
-func absolute(path string) string {
-	if whole, err := filepath.Abs(path); err == nil {
-		return whole
+// absolutePath returns the absolute form of path, or path unchanged if the working directory no longer exists.
+func absolutePath(path string) string {
+	if abs, err := filepath.Abs(path); err == nil {
+		return abs
 	}
 	return path
 }
 
-// beside resolves a path that stands in the file at base.
-func beside(base, path string) string {
+// resolvePath resolves path against the folder of the file at base. An empty path stays empty.
+func resolvePath(base, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// Digests of the keys "alpha" and "beta".
+// Digests of the keys "alpha" and "beta" with fixed salts.
 var (
 	alphaDigest = NewDigest("alpha", []byte("0123456789abcdef"))
 	betaDigest  = NewDigest("beta", []byte("fedcba9876543210"))
@@ -50,50 +50,52 @@
 
 func noFile(string) ([]byte, error) { return nil, errors.New("no file") }
 
-func filled(text string) string { return strings.ReplaceAll(text, "DIGEST", alphaDigest) }
+func withDigest(text string) string { return strings.ReplaceAll(text, "DIGEST", alphaDigest) }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// mistakesOf reads text as T and returns the mistakes, which must be in the order of the file.
-func mistakesOf[T any](t *testing.T, text string) *Diagnostics {
+// diagnosticsOf parses text as T, which must fail, and returns the diagnostics.
+func diagnosticsOf[T any](t *testing.T, text string) *Diagnostics {
 	t.Helper()
 	_, err := parse[T]([]byte(text), "/etc/s.jsonc", noFile)
-	var mistakes *Diagnostics
-	require.ErrorAs(t, err, &mistakes)
-	return mistakes
+	var diagnostics *Diagnostics
+	require.ErrorAs(t, err, &diagnostics)
+	return diagnostics
 }
 
+// Guards against missing defaults, derived values and resolved paths in the settings of a role.
 func TestLoadEachRole(t *testing.T) {
-	entry, err := Load[Entry](write(t, "e", entryText))
+	entry, err := Load[Entry](writeFile(t, "e", entryText))
 	require.NoError(t, err)
 	want := DefaultEntry()
 	want.Instance, want.AvailabilityZone = "entry-1", "zg-1"
 	want.Listen.Callers, want.Controls = "127.0.0.1:8080", []string{"127.0.0.1:9001"}
 	require.Equal(t, &want, entry)
 
-	agent, err := Load[Agent](write(t, "a", agentText))
+	agent, err := Load[Agent](writeFile(t, "a", agentText))
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:9002", agent.Advertise)
 
-	path := write(t, "c", filled(controlText))
+	path := writeFile(t, "c", withDigest(controlText))
 	control, err := Load[Control](path)
 	require.NoError(t, err)
 	require.Equal(t, filepath.Join(filepath.Dir(path), "data"), control.DataDir)
 	require.Equal(t, log.InfoLevel, control.Log.Level)
 	require.Equal(t, 20000, control.InitialClasses[0].DeadlineMS)
 
-	operator, err := Load[Operator](write(t, "o", `{"role": "operator", "controls": ["http://127.0.0.1:8090"], "key": "k"}`))
+	operator, err := Load[Operator](writeFile(t, "o", `{"role": "operator", "controls": ["http://127.0.0.1:8090"], "key": "k"}`))
 	require.NoError(t, err)
 	require.Equal(t, "k", operator.Key)
 	_, err = Load[int](path)
 	require.Error(t, err)
 }
 
+// Guards against validating a file as the settings of another role, and against a missing error for an unreadable file.
 func TestCheckPicksTheTypeByRole(t *testing.T) {
 	cases := []struct {
 		text string
@@ -102,7 +104,7 @@
 	}{
 		{entryText, RoleEntry, ""},
 		{agentText, RoleAgent, ""},
-		{filled(controlText), RoleControl, ""},
+		{withDigest(controlText), RoleControl, ""},
 		{`{"role": "operator"}`, RoleOperator, `the key "key" is missing`},
 		{`{"role": "balancer"}`, "", `got "balancer"`},
 		{`{"role": 1}`, "", "want one of"},
@@ -110,7 +112,7 @@
 		{`{`, "", "settings_syntax"},
 	}
 	for _, c := range cases {
-		role, err := Check(write(t, "s", c.text))
+		role, err := Check(writeFile(t, "s", c.text))
 		require.Equal(t, c.role, role)
 		if c.want == "" {
 			require.NoError(t, err)
@@ -124,10 +126,9 @@
 	require.Equal(t, result.SettingsUnreadable, result.CodeOf(err))
 }
 
-// Symptom: a file is mended mistake by mistake, with a start of the process for each.
-// Sequence: the file has several; the reader stops at the first.
-// Cause: reading and checking in one pass that ends at an error.
-func TestAllMistakesAreReportedWithTheirPlaces(t *testing.T) {
+// Guards against reporting only the first of several errors in a file, which would cost the operator one start of the
+// process for each error. It happens if decoding or validation stops at an error.
+func TestAllDiagnosticsAreReportedWithPositions(t *testing.T) {
 	text := `{
   "role": "entry",
   "instance": "entry 1",
@@ -155,7 +156,7 @@
 		{result.SettingsOutOfRange, "timing.drain", 8, 41},
 		{result.SettingsOutOfRange, "log.level", 9, 20},
 	}
-	got := mistakesOf[Entry](t, text).List
+	got := diagnosticsOf[Entry](t, text).List
 	require.Len(t, got, len(want), got)
 	for i, w := range want {
 		require.Equal(t, w.path, got[i].Path)
@@ -166,11 +167,12 @@
 		`give a class its targets instead (1601 settings_unknown_field)`, got[5].String())
 }
 
-func TestSingleMistakes(t *testing.T) {
+// Guards against an invalid value that is accepted, has a wrong code or path, or is reported more than once.
+func TestSingleDiagnostics(t *testing.T) {
 	cases := []struct {
-		old, put string
-		code     result.Code
-		path     string
+		old, replacement string
+		code             result.Code
+		path             string
 	}{
 		{`"role": "control"`, `"role": "entry"`, result.SettingsOutOfRange, "role"},
 		{`"role": "control",`, ``, result.SettingsMissingKey, "role"},
@@ -201,64 +203,65 @@
 	}
 	for _, c := range cases {
 		require.Contains(t, controlText, c.old)
-		text := filled(strings.Replace(controlText, c.old, c.put, 1))
-		got := mistakesOf[Control](t, text)
-		require.Len(t, got.List, 1, "%s\n%s", c.put, got)
-		require.True(t, got.Has(c.code, c.path), "%s\n%s", c.put, got)
+		text := withDigest(strings.Replace(controlText, c.old, c.replacement, 1))
+		got := diagnosticsOf[Control](t, text)
+		require.Len(t, got.List, 1, "%s\n%s", c.replacement, got)
+		require.True(t, got.Has(c.code, c.path), "%s\n%s", c.replacement, got)
 	}
 }
 
-// Symptom: the process ends at its start with "stack overflow".
-// Sequence: its settings file is a megabyte of opening brackets.
-// Cause: a parser that descends one call for each level.
-func TestSyntax(t *testing.T) {
-	const most = 20_000
-	deep := strings.Repeat("[", most)
+// Guards against a stack overflow at the start of the process. A recursive parser overflows the stack on a settings
+// file of a megabyte of opening brackets.
+func TestSyntaxErrorsAndNestingLimits(t *testing.T) {
+	const maxDepth = 20_000
+	deep := strings.Repeat("[", maxDepth)
 	large := strings.Repeat(" ", 1<<20)
 	for _, text := range []string{
 		"", "{", entryText + "{}", entryText + "x", deep, deep + "[", large + entryText, strings.Repeat("[", 1<<20),
-		strings.Repeat(`{"a":`, most+1), deep + strings.Repeat("]", most) + "x",
+		strings.Repeat(`{"a":`, maxDepth+1), deep + strings.Repeat("]", maxDepth) + "x",
 	} {
-		require.Equal(t, result.SettingsSyntax, mistakesOf[Entry](t, text).List[0].Code)
+		require.Equal(t, result.SettingsSyntax, diagnosticsOf[Entry](t, text).List[0].Code)
 	}
 }
 
-// Symptom: the log of a failed start shows a caller's key.
-// Sequence: somebody writes the key in place of its digest; the mistake repeats the value.
-// Cause: a message that quotes what it refuses.
-func TestMistakesDoNotRepeatKeys(t *testing.T) {
+// Guards against a key in the log of a failed start. A settings file may contain a key instead of its digest, and a
+// diagnostic that quotes the rejected value would reveal it.
+func TestDiagnosticsDoNotContainKeys(t *testing.T) {
 	text := strings.Replace(controlText, "DIGEST", "s3cret", 1)
-	require.NotContains(t, mistakesOf[Control](t, text).Error(), "s3cret")
+	require.NotContains(t, diagnosticsOf[Control](t, text).Error(), "s3cret")
 }
 
+// Guards against organisations of a separate file that are ignored, not validated, or reported at a position in the
+// wrong file.
 func TestOrganisationsFile(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	organisation := fmt.Sprintf(`{"name": "kom", "key_digests": [%q], "default_class": "summary"}`, alphaDigest)
-	put := func(name, text string) {
-		require.NoError(t, os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600))
+	writeNamed := func(name, text string) {
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
-	main := strings.Replace(entryText, `"role"`, `"organisations_file": "orgs", "role"`, 1)
-	put("main", main)
-	put("orgs", `{"organisations": [`+organisation+`]}`)
-	entry, err := Load[Entry](filepath.Join(folder, "main"))
+	mainText := strings.Replace(entryText, `"role"`, `"organisations_file": "orgs", "role"`, 1)
+	writeNamed("main", mainText)
+	writeNamed("orgs", `{"organisations": [`+organisation+`]}`)
+	entry, err := Load[Entry](filepath.Join(dir, "main"))
 	require.NoError(t, err)
 	require.Equal(t, "kom", entry.Organisations[0].Name)
 	require.Empty(t, entry.OrganisationsFile)
 
-	put("orgs", "{\"organisations\": [\n"+organisation+",\n"+organisation+"]}")
-	_, err = Load[Entry](filepath.Join(folder, "main"))
-	var mistakes *Diagnostics
-	require.ErrorAs(t, err, &mistakes)
-	require.True(t, mistakes.Has(result.SettingsDuplicateName, "organisations[1].name"))
-	require.True(t, mistakes.Has(result.SettingsDuplicateName, "organisations[1].key_digests[0]"))
-	require.Equal(t, filepath.Join(folder, "orgs"), mistakes.List[0].File)
-	require.Equal(t, 3, mistakes.List[0].Line)
+	writeNamed("orgs", "{\"organisations\": [\n"+organisation+",\n"+organisation+"]}")
+	_, err = Load[Entry](filepath.Join(dir, "main"))
+	var diagnostics *Diagnostics
+	require.ErrorAs(t, err, &diagnostics)
+	require.True(t, diagnostics.Has(result.SettingsDuplicateName, "organisations[1].name"))
+	require.True(t, diagnostics.Has(result.SettingsDuplicateName, "organisations[1].key_digests[0]"))
+	require.Equal(t, filepath.Join(dir, "orgs"), diagnostics.List[0].File)
+	require.Equal(t, 3, diagnostics.List[0].Line)
 
-	put("main", strings.Replace(main, `"role"`, `"organisations": [`+organisation+`], "role"`, 1))
-	_, err = Load[Entry](filepath.Join(folder, "main"))
+	writeNamed("main", strings.Replace(mainText, `"role"`, `"organisations": [`+organisation+`], "role"`, 1))
+	_, err = Load[Entry](filepath.Join(dir, "main"))
 	require.ErrorContains(t, err, "not both")
 }
 
+// Guards against accepting a number without a unit, a sign, or a size that overflows.
 func TestUnits(t *testing.T) {
 	sizes := map[string]Size{"0B": 0, "1B": 1, "4MiB": 4 * MiB, "3GiB": 3 * GiB, "1536KiB": 1536 * KiB}
 	for text, want := range sizes {
@@ -280,20 +283,19 @@
 	require.Equal(t, 90*time.Second, d)
 }
 
-// Symptom: after a reload half of the settings are new, or none are left.
-// Sequence: the file is edited with a mistake; the process is told to read it again.
-// Cause: filling the settings in place.
-func TestReloadKeepsTheOldOnAMistake(t *testing.T) {
-	path := write(t, "s", entryText)
-	holder, err := NewReloader[Entry](path)
+// Guards against partly replaced or empty settings after a reload of an invalid file, which happens if a reload decodes
+// into the current settings.
+func TestReloadKeepsOldSettingsOnError(t *testing.T) {
+	path := writeFile(t, "s", entryText)
+	reloader, err := NewReloader[Entry](path)
 	require.NoError(t, err)
-	old := holder.Get()
+	old := reloader.Get()
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(entryText, "8080", "99999", 1)), 0o600))
-	require.Error(t, holder.Reload(path))
-	require.Same(t, old, holder.Get())
+	require.Error(t, reloader.Reload(path))
+	require.Same(t, old, reloader.Get())
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(entryText, "8080", "8088", 1)), 0o600))
-	require.NoError(t, holder.Reload(path))
-	require.Equal(t, "127.0.0.1:8088", holder.Get().Listen.Callers)
+	require.NoError(t, reloader.Reload(path))
+	require.Equal(t, "127.0.0.1:8088", reloader.Get().Listen.Callers)
 	require.Equal(t, "127.0.0.1:8080", old.Listen.Callers)
 	_, err = NewReloader[Agent](path)
 	require.Error(t, err)
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -10,43 +10,48 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// TLS secures the links between processes: TLS 1.3 with certificates on both sides. All three files or none. The
-// certificates need the extended key usages of server and client.
+// TLS configures the connections between processes: TLS 1.3 with certificates on both sides. Certificate, Key and
+// Authority must be given together, or none of them. The certificates need the extended key usages for server and
+// client authentication.
 type TLS struct {
-	// Certificate is the file of this process's certificate, PEM, with any intermediate ones after it.
+	// Certificate is the path of the PEM file with the certificate of this process, followed by any intermediate
+	// certificates.
 	Certificate string `json:"certificate" settings:"path"`
-	// Key is the file of the certificate's private key, PEM.
+	// Key is the path of the PEM file with the private key of the certificate.
 	Key string `json:"key" settings:"path"`
-	// Authority is the file of the certificates, PEM, that sign those of all processes.
+	// Authority is the path of the PEM file with the certificates of the certificate authorities that sign the
+	// certificates of all processes.
 	Authority string `json:"authority" settings:"path"`
-	// Names are DNS names, one of which a peer's certificate must carry. Empty: any certificate of the authority
-	// will do, which is right only if it signs nothing else. Peers are dialled by IP number, so the certificates
-	// needn't hold the address.
+	// Names holds DNS names, one of which the certificate of a peer must contain. If it is empty, any certificate
+	// signed by the authority is accepted, which is safe only if the authority signs no other certificates.
+	// Certificates needn't contain the IP address that peers connect to.
 	Names []string `json:"names"`
 }
 
-// CallerTLS secures an HTTP listener: TLS 1.3, with the server's certificate only. Both files or none.
+// CallerTLS configures an HTTP listener: TLS 1.3 with a certificate of the server only. Certificate and Key must be
+// given together, or neither of them.
 type CallerTLS struct {
-	// Certificate is the file of the certificate, PEM, with any intermediate ones after it.
+	// Certificate is the path of the PEM file with the certificate, followed by any intermediate certificates.
 	Certificate string `json:"certificate" settings:"path"`
-	// Key is the file of the certificate's private key, PEM.
+	// Key is the path of the PEM file with the private key of the certificate.
 	Key string `json:"key" settings:"path"`
 }
 
-// Enabled tells whether TLS is wanted.
+// Enabled reports whether any field of t is set.
 func (t TLS) Enabled() bool {
 	return t.Certificate != "" || t.Key != "" || t.Authority != "" || len(t.Names) > 0
 }
 
-// Enabled tells whether TLS is wanted.
+// Enabled reports whether any field of t is set.
 func (t CallerTLS) Enabled() bool {
 	return t.Certificate != "" || t.Key != ""
 }
 
-// ServerConfig returns the configuration for accepting links, nil if TLS isn't given. A peer without a certificate
-// of the authority and one of the names fails the handshake. Errors have code result.SettingsTLS.
+// ServerConfig returns the configuration for accepting connections, or nil if TLS isn't enabled. The handshake fails
+// for a peer whose certificate isn't signed by the authority or contains none of the names. Errors have the code
+// result.SettingsTLS.
 func (t TLS) ServerConfig() (*tls.Config, error) {
-	return t.serverConfig(readRegular)
+	return t.serverConfig(readRegularFile)
 }
 
 func (t TLS) serverConfig(read readFile) (*tls.Config, error) {
@@ -59,14 +64,15 @@
 	return config, nil
 }
 
-// ClientConfig returns the configuration for dialling links, nil if TLS isn't given. The same checks hold.
+// ClientConfig returns the configuration for opening connections, or nil if TLS isn't enabled. It checks the peer and
+// returns errors as ServerConfig does.
 func (t TLS) ClientConfig() (*tls.Config, error) {
-	config, roots, err := t.load(readRegular)
+	config, roots, err := t.load(readRegularFile)
 	if config == nil || err != nil {
 		return nil, err
 	}
-	// The standard check wants the dialled address in the certificate. VerifyConnection below does all of the
-	// check but that, with the names in place of the address; it also runs for resumed sessions.
+	// The standard verification requires the address of the server in the certificate. VerifyConnection replaces it: it
+	// checks the names instead of the address, makes all other checks, and also runs for resumed sessions.
 	config.InsecureSkipVerify = true
 	config.VerifyConnection = t.verifier(roots, x509.ExtKeyUsageServerAuth)
 	return config, nil
@@ -79,7 +85,7 @@
 	if t.Certificate == "" || t.Key == "" || t.Authority == "" {
 		return nil, nil, result.New(result.SettingsTLS, "want certificate, key and authority, or none of them")
 	}
-	config, err := serverPair(read, t.Certificate, t.Key)
+	config, err := newServerConfig(read, t.Certificate, t.Key)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -87,7 +93,7 @@
 	return config, roots, err
 }
 
-func serverPair(read readFile, certificate, key string) (*tls.Config, error) {
+func newServerConfig(read readFile, certificate, key string) (*tls.Config, error) {
 	certificatePEM, err := read(certificate)
 	if err != nil {
 		return nil, result.Wrap(err, result.SettingsTLS, "certificate")
@@ -115,7 +121,7 @@
 	return roots, nil
 }
 
-// verifier checks the peer's certificate against the authority and the names.
+// verifier returns a function that verifies the certificate of the peer against the authority and the names.
 func (t TLS) verifier(roots *x509.CertPool, usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	names := slices.Clone(t.Names)
 	return func(state tls.ConnectionState) error {
@@ -149,10 +155,10 @@
 	return errors.Errorf("the peer's certificate carries none of the names %q", names)
 }
 
-// ServerConfig returns the configuration of the listener, nil if TLS isn't given. Errors have code
+// ServerConfig returns the configuration of the listener, or nil if TLS isn't enabled. Errors have the code
 // result.SettingsTLS.
 func (t CallerTLS) ServerConfig() (*tls.Config, error) {
-	return t.serverConfig(readRegular)
+	return t.serverConfig(readRegularFile)
 }
 
 func (t CallerTLS) serverConfig(read readFile) (*tls.Config, error) {
@@ -162,17 +168,17 @@
 	if t.Certificate == "" || t.Key == "" {
 		return nil, result.New(result.SettingsTLS, "want certificate and key, or none of them")
 	}
-	return serverPair(read, t.Certificate, t.Key)
+	return newServerConfig(read, t.Certificate, t.Key)
 }
 
-// serverTLS is TLS or CallerTLS.
-type serverTLS interface {
+// serverConfigurer is implemented by TLS and CallerTLS.
+type serverConfigurer interface {
 	serverConfig(read readFile) (*tls.Config, error)
 }
 
-// tlsFiles checks the TLS settings at a path by making their configuration.
-func (c *checker) tlsFiles(path string, given serverTLS) {
-	if _, err := given.serverConfig(c.read); err != nil {
-		c.add(result.SettingsTLS, path, "%s", err)
+// checkTLS reports TLS settings from which no server configuration can be built, for example because a file is missing.
+func (c *checker) checkTLS(path string, config serverConfigurer) {
+	if _, err := config.serverConfig(c.read); err != nil {
+		c.report(result.SettingsTLS, path, "%s", err)
 	}
 }
--- a/settings/tls_test.go
+++ b/settings/tls_test.go
@@ -19,16 +19,16 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests. Its files are in dir.
 type authority struct {
-	folder      string
+	dir         string
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
-	a := &authority{folder: t.TempDir()}
+	a := &authority{dir: t.TempDir()}
 	a.key = newKey(t)
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour),
@@ -51,12 +51,13 @@
 
 func (a *authority) write(t *testing.T, name, kind string, der []byte) string {
 	t.Helper()
-	path := filepath.Join(a.folder, name)
+	path := filepath.Join(a.dir, name)
 	require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 	return path
 }
 
-// issue returns the settings of a process whose certificate carries name, and that accepts the names of accepted.
+// issue returns the TLS settings of a process whose certificate contains name and that accepts peers with one of the
+// names in accepted.
 func (a *authority) issue(t *testing.T, name string, accepted ...string) TLS {
 	t.Helper()
 	key := newKey(t)
@@ -71,12 +72,13 @@
 	return TLS{
 		Certificate: a.write(t, name+".crt", "CERTIFICATE", der),
 		Key:         a.write(t, name+".key", "PRIVATE KEY", keyDER),
-		Authority:   filepath.Join(a.folder, "authority"),
+		Authority:   filepath.Join(a.dir, "authority"),
 		Names:       accepted,
 	}
 }
 
-// handshake returns the errors of both sides; a byte is read so that the client hears of a refusal.
+// handshake connects a client to a server and returns the errors of both sides. The client reads one byte, since it
+// learns of a rejected certificate only after its own handshake is complete.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,8 +92,8 @@
 			return
 		}
 		defer func() { _ = conn.Close() }()
-		secured := tls.Server(conn, server)
-		_, err = secured.Write([]byte{1})
+		tlsConn := tls.Server(conn, server)
+		_, err = tlsConn.Write([]byte{1})
 		done <- err
 	}()
 	conn, err := net.Dial("tcp", listener.Addr().String())
@@ -102,24 +104,23 @@
 	return <-done, clientErr
 }
 
-// Symptom: a process that isn't part of the deployment takes work, or gives it.
-// Sequence: it connects to, or listens at, an address of the deployment, with no certificate, one of its own
-// authority, or one of the right authority with another name.
-// Cause: a check of one side, or of the authority only.
-func TestStrangersAreRefused(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+// Guards against a connection with a process outside the deployment. Such a process has no certificate, one of another
+// authority, or one of the right authority with another name. It is accepted if only one side of a connection verifies
+// its peer, or if only the authority is verified.
+func TestUntrustedPeersAreRefused(t *testing.T) {
+	trusted, other := newAuthority(t), newAuthority(t)
 	const link = "link.internal"
-	member := ours.issue(t, link, link)
+	member := trusted.issue(t, link, link)
 	cases := map[string]struct {
-		server, client       TLS
-		serverSays, peerSays string
+		server, client               TLS
+		wantServerErr, wantClientErr string
 	}{
-		"member":              {server: member, client: ours.issue(t, link, link)},
-		"client: other name":  {server: member, client: ours.issue(t, "web.internal", link), serverSays: "none of the names"},
-		"client: other root":  {server: member, client: withRoot(theirs.issue(t, link, link), ours), serverSays: "unknown authority"},
-		"server: other name":  {server: ours.issue(t, "web.internal", link), client: member, peerSays: "none of the names"},
-		"server: other root":  {server: withRoot(theirs.issue(t, link, link), ours), client: member, peerSays: "unknown authority"},
-		"no names, same root": {server: ours.issue(t, "a.internal"), client: ours.issue(t, "b.internal")},
+		"member":              {server: member, client: trusted.issue(t, link, link)},
+		"client: other name":  {server: member, client: trusted.issue(t, "web.internal", link), wantServerErr: "none of the names"},
+		"client: other root":  {server: member, client: withAuthority(other.issue(t, link, link), trusted), wantServerErr: "unknown authority"},
+		"server: other name":  {server: trusted.issue(t, "web.internal", link), client: member, wantClientErr: "none of the names"},
+		"server: other root":  {server: withAuthority(other.issue(t, link, link), trusted), client: member, wantClientErr: "unknown authority"},
+		"no names, same root": {server: trusted.issue(t, "a.internal"), client: trusted.issue(t, "b.internal")},
 	}
 	for name, c := range cases {
 		server, err := c.server.ServerConfig()
@@ -127,51 +128,53 @@
 		client, err := c.client.ClientConfig()
 		require.NoError(t, err)
 		serverErr, clientErr := handshake(t, server, client)
-		if c.serverSays == "" && c.peerSays == "" {
+		if c.wantServerErr == "" && c.wantClientErr == "" {
 			require.NoError(t, serverErr, name)
 			require.NoError(t, clientErr, name)
 			continue
 		}
 		require.Error(t, serverErr, name)
 		require.Error(t, clientErr, name)
-		require.ErrorContains(t, pick(c.serverSays != "", serverErr, clientErr), c.serverSays+c.peerSays, name)
+		require.ErrorContains(t, choose(c.wantServerErr != "", serverErr, clientErr), c.wantServerErr+c.wantClientErr, name)
 	}
 
 	server, err := member.ServerConfig()
 	require.NoError(t, err)
-	bare := &tls.Config{MinVersion: tls.VersionTLS13, InsecureSkipVerify: true}
-	serverErr, clientErr := handshake(t, server, bare)
+	withoutCertificate := &tls.Config{MinVersion: tls.VersionTLS13, InsecureSkipVerify: true}
+	serverErr, clientErr := handshake(t, server, withoutCertificate)
 	require.Error(t, serverErr)
 	require.Error(t, clientErr)
-	old := &tls.Config{MaxVersion: tls.VersionTLS12, InsecureSkipVerify: true}
-	serverErr, _ = handshake(t, server, old)
+	tls12 := &tls.Config{MaxVersion: tls.VersionTLS12, InsecureSkipVerify: true}
+	serverErr, _ = handshake(t, server, tls12)
 	require.Error(t, serverErr)
 }
 
-func pick(first bool, a, b error) error {
+func choose(first bool, a, b error) error {
 	if first {
 		return a
 	}
 	return b
 }
 
-// withRoot makes a stranger trust our authority, so that only its own certificate is wrong.
-func withRoot(t TLS, a *authority) TLS {
-	t.Authority = filepath.Join(a.folder, "authority")
+// withAuthority returns t with a as the trusted authority. The process then accepts peers with certificates of a, and
+// only its own certificate is untrusted.
+func withAuthority(t TLS, a *authority) TLS {
+	t.Authority = filepath.Join(a.dir, "authority")
 	return t
 }
 
+// Guards against starting with incomplete or unreadable TLS files, and against an error for settings without TLS.
 func TestTLSFiles(t *testing.T) {
 	a := newAuthority(t)
-	whole := a.issue(t, "x.internal")
+	valid := a.issue(t, "x.internal")
 	garbage := a.write(t, "garbage", "NOTHING", nil)
 	cases := map[string]TLS{
-		"no key":       {Certificate: whole.Certificate, Authority: whole.Authority},
+		"no key":       {Certificate: valid.Certificate, Authority: valid.Authority},
 		"names only":   {Names: []string{"x.internal"}},
-		"missing":      {Certificate: whole.Certificate, Key: "none", Authority: whole.Authority},
-		"no pair":      {Certificate: whole.Certificate, Key: a.issue(t, "y.internal").Key, Authority: whole.Authority},
-		"no authority": {Certificate: whole.Certificate, Key: whole.Key, Authority: garbage},
-		"a folder":     {Certificate: whole.Certificate, Key: whole.Key, Authority: a.folder},
+		"missing":      {Certificate: valid.Certificate, Key: "none", Authority: valid.Authority},
+		"no pair":      {Certificate: valid.Certificate, Key: a.issue(t, "y.internal").Key, Authority: valid.Authority},
+		"no authority": {Certificate: valid.Certificate, Key: valid.Key, Authority: garbage},
+		"a folder":     {Certificate: valid.Certificate, Key: valid.Key, Authority: a.dir},
 	}
 	for name, c := range cases {
 		_, err := c.ServerConfig()
@@ -182,9 +185,9 @@
 	config, err := TLS{}.ServerConfig()
 	require.NoError(t, err)
 	require.Nil(t, config)
-	config, err = CallerTLS{Certificate: whole.Certificate, Key: whole.Key}.ServerConfig()
+	config, err = CallerTLS{Certificate: valid.Certificate, Key: valid.Key}.ServerConfig()
 	require.NoError(t, err)
 	require.Equal(t, tls.NoClientCert, config.ClientAuth)
-	_, err = CallerTLS{Key: whole.Key}.ServerConfig()
+	_, err = CallerTLS{Key: valid.Key}.ServerConfig()
 	require.Equal(t, result.SettingsTLS, result.CodeOf(err))
 }
--- a/settings/units.go
+++ b/settings/units.go
@@ -20,13 +20,13 @@
 	GiB       = 1024 * MiB
 )
 
-// sizeUnits are the units in the order in which String tries them.
+// sizeUnits holds the units in the order in which String tries them.
 var sizeUnits = []struct {
 	name string
 	size Size
 }{{"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}, {"B", Byte}}
 
-// String returns the size with the largest unit that it is a whole number of, such as "4MiB".
+// String returns the size as a whole number of the largest unit that divides it, such as "4MiB".
 func (s Size) String() string {
 	for _, unit := range sizeUnits {
 		if s != 0 && s%unit.size == 0 {
@@ -36,7 +36,8 @@
 	return "0B"
 }
 
-// ParseSize reads a whole number with one of the units B, KiB, MiB and GiB, such as "4MiB".
+// ParseSize parses a whole number followed by one of the units B, KiB, MiB and GiB, such as "4MiB". It returns an error
+// for any other text and for a size that overflows Size.
 func ParseSize(text string) (Size, error) {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(text, unit.name)
@@ -52,7 +53,7 @@
 	return 0, errors.Errorf("want a size with a unit B, KiB, MiB or GiB, such as \"4MiB\", got %q", text)
 }
 
-// parseDuration reads a duration with a unit, such as "250ms". It takes no negative one, and no bare "0".
+// parseDuration parses a duration with a unit, such as "250ms". It rejects signs and a bare "0".
 func parseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || text == "0" || d < 0 || strings.HasPrefix(text, "+") || strings.HasPrefix(text, "-") {
