--- a/agent/attempts_test.go
+++ b/agent/attempts_test.go
@@ -167,7 +167,7 @@
 		client := &scriptedEngine{
 			run: func(context.Context) (engine.Outcome, error) {
 				<-finishCall
-				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown}
+				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrOutcomeUnknown}
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelUnknownID, nil },
 		}
@@ -202,7 +202,7 @@
 		client := &scriptedEngine{
 			run: func(ctx context.Context) (engine.Outcome, error) {
 				<-ctx.Done()
-				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown}
+				return engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrOutcomeUnknown}
 			},
 			cancel: func() (engine.CancelResult, error) { return engine.CancelConfirmed, nil },
 		}
--- a/agent/http_leave.go
+++ b/agent/http_leave.go
@@ -17,7 +17,7 @@
 
 // postLeave serves POST /v1/leave.
 func (a *Agent) postLeave(c echo.Context) error {
-	var in engine.Leave
+	var in engine.LeaveRequest
 	if err := readJSON(c, &in); err != nil {
 		return err
 	}
--- a/agent/leave_test.go
+++ b/agent/leave_test.go
@@ -22,7 +22,7 @@
 
 func (env *testEnv) askToLeave() {
 	env.t.Helper()
-	status, body := env.call("POST", "/v1/leave", engine.Leave{Server: "server-1"})
+	status, body := env.call("POST", "/v1/leave", engine.LeaveRequest{Server: "server-1"})
 	assert.Equal(env.t, 200, status)
 	assert.Contains(env.t, body, "draining")
 }
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -160,7 +160,7 @@
 	}{
 		"done":                {answers: []engine.OrderResult{{State: engine.OrderDone}}, calls: 1},
 		"running":             {answers: []engine.OrderResult{{State: engine.OrderRunning}, {State: engine.OrderDone}}, calls: 2},
-		"call result unknown": {errs: []error{engine.ErrUnknown}, answers: []engine.OrderResult{{}, {State: engine.OrderDone}}, calls: 2},
+		"call result unknown": {errs: []error{engine.ErrOutcomeUnknown}, answers: []engine.OrderResult{{}, {State: engine.OrderDone}}, calls: 2},
 		"stale":               {answers: []engine.OrderResult{{State: engine.OrderStale, Fence: 9}}, code: result.FenceTooOld, calls: 1},
 		"busy":                {answers: []engine.OrderResult{{State: engine.OrderBusy}}, code: result.ServerBusy, calls: 1},
 		"refused":             {answers: []engine.OrderResult{{State: engine.OrderRefused}}, code: result.OrderRefused, calls: 1},
--- a/agent/server_crash.go
+++ b/agent/server_crash.go
@@ -57,8 +57,8 @@
 func reach(ctx context.Context, client engine.Client) error {
 	ctx, stop := context.WithTimeout(ctx, engineCallTimeout)
 	defer stop()
-	if reacher, ok := client.(engine.Reacher); ok {
-		return reacher.Reach(ctx)
+	if reacher, ok := client.(engine.Prober); ok {
+		return reacher.Probe(ctx)
 	}
 	_, err := client.Load(ctx)
 	return err
--- a/agent/server_crash_test.go
+++ b/agent/server_crash_test.go
@@ -29,7 +29,7 @@
 
 func TestOnlyRefusedConnectionProvesProcessEnded(t *testing.T) {
 	refused := errors.Wrap(syscall.ECONNREFUSED, "dial")
-	unknown := errors.Wrap(engine.ErrUnknown, "reset")
+	unknown := errors.Wrap(engine.ErrOutcomeUnknown, "reset")
 	for name, test := range map[string]struct {
 		errs  []error
 		ended bool
--- a/engine/announce.go
+++ b/engine/announce.go
@@ -39,9 +39,9 @@
 	Capabilities Capabilities `json:"capabilities"`
 }
 
-// Leave is what a backend server posts to its agent to leave gracefully, at
+// LeaveRequest is what a backend server posts to its agent to leave gracefully, at
 // /v1/leave.
-type Leave struct {
+type LeaveRequest struct {
 	Server string `json:"server"`
 }
 
--- a/engine/client.go
+++ b/engine/client.go
@@ -100,7 +100,7 @@
 
 // Sink receives what an attempt produces, in order and from one goroutine. An
 // error from it ends the attempt's connection, and the attempt ends with
-// [ErrUnknown]: the engine may go on.
+// [ErrOutcomeUnknown]: the engine may go on.
 type Sink interface {
 	// Chunk receives one payload of a stream; "[DONE]" is not handed over.
 	Chunk(Chunk) error
@@ -111,10 +111,10 @@
 // End says how an attempt ended.
 type End uint8
 
-// The ends of an attempt. All but EndUnproved are the engine's own word.
+// The ends of an attempt. All but EndUnknown are the engine's own word.
 const (
-	// EndUnproved is the zero value: nothing proves that the attempt ended.
-	EndUnproved End = iota
+	// EndUnknown is the zero value: nothing proves that the attempt ended.
+	EndUnknown End = iota
 	// EndCompleted: the whole answer has arrived.
 	EndCompleted
 	// EndFailed: the engine ended the attempt with an error event, or a
@@ -140,7 +140,7 @@
 }
 
 // Outcome is what is known of an attempt when its call returns. With an error
-// it holds what had arrived until then, and End is EndUnproved.
+// it holds what had arrived until then, and End is EndUnknown.
 type Outcome struct {
 	End End
 	// NotStarted is set with EndFailed if the engine said in so many words
@@ -191,11 +191,11 @@
 // from any goroutine; none repeats a call on its own.
 //
 // Besides the errors named at each method, all return errors that match
-// [ErrNeverSent] or [ErrUnknown], and [ErrUnsupported] from a backend server
+// [ErrNeverSent] or [ErrOutcomeUnknown], and [ErrUnsupported] from a backend server
 // without that call.
 type Client interface {
 	// Run runs an attempt until its end. A nil error means that the engine
-	// ended it: see Outcome.End. It fails with ErrNeverSent, ErrUnknown or
+	// ended it: see Outcome.End. It fails with ErrNeverSent, ErrOutcomeUnknown or
 	// ErrDuplicate. Ending ctx drops the connection, which cancels the
 	// attempt on some engines and doesn't on others.
 	Run(ctx context.Context, request Request, sink Sink) (Outcome, error)
@@ -224,9 +224,9 @@
 	Order(ctx context.Context, order Order) (OrderResult, error)
 }
 
-// Reacher is a [Client] that can tell, with a connection alone, whether a
+// Prober is a [Client] that can tell, with a connection alone, whether a
 // process listens at its server's address. The error wraps
 // syscall.ECONNREFUSED if none does.
-type Reacher interface {
-	Reach(ctx context.Context) error
+type Prober interface {
+	Probe(ctx context.Context) error
 }
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -81,18 +81,18 @@
 		ran     int
 		answers int
 	}{
-		"service lost before":   {service: true, faults: standin.Faults{LoseBefore: 1}, class: engine.ErrUnknown},
-		"service lost after":    {service: true, faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrUnknown, ran: 1},
-		"service cut":           {service: true, faults: half, class: engine.ErrUnknown, cause: engine.ErrIncomplete, status: 200, ran: 1},
+		"service lost before":   {service: true, faults: standin.Faults{LoseBefore: 1}, class: engine.ErrOutcomeUnknown},
+		"service lost after":    {service: true, faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, ran: 1},
+		"service cut":           {service: true, faults: half, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, ran: 1},
 		"service 500 before":    {service: true, faults: standin.Faults{FailBefore: 1}, end: engine.EndCompleted, status: 500, answers: 1},
 		"service 500 after":     {service: true, faults: standin.Faults{FailAfter: 1}, end: engine.EndCompleted, status: 500, ran: 1, answers: 1},
 		"service refused":       {service: true, faults: standin.Faults{RefuseMs: 1000}, class: engine.ErrNeverSent},
-		"model lost before":     {faults: standin.Faults{LoseBefore: 1}, class: engine.ErrUnknown},
-		"model lost after":      {faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrUnknown, ran: 1},
-		"model cut":             {faults: half, class: engine.ErrUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 4, ran: 1},
+		"model lost before":     {faults: standin.Faults{LoseBefore: 1}, class: engine.ErrOutcomeUnknown},
+		"model lost after":      {faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, ran: 1},
+		"model cut":             {faults: half, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 4, ran: 1},
 		"model 500 before":      {faults: standin.Faults{FailBefore: 1}, end: engine.EndFailed, status: 500, answers: 1},
 		"model error event":     {faults: standin.Faults{FailAfter: 1}, end: engine.EndFailed, status: 200, tokens: 8, ran: 1},
-		"model dies":            {faults: standin.Faults{DieAfterTokens: 3}, class: engine.ErrUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 3, ran: 1},
+		"model dies":            {faults: standin.Faults{DieAfterTokens: 3}, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 3, ran: 1},
 		"model refused":         {faults: standin.Faults{RefuseMs: 1000}, class: engine.ErrNeverSent},
 		"model frozen and slow": {faults: standin.Faults{FreezeMs: 5000, Slow: 4}, end: engine.EndCompleted, status: 200, tokens: 8, ran: 1},
 	}
@@ -164,7 +164,7 @@
 			if index == 0 {
 				outcome, err := client.Run(t.Context(), chat("r.1"), new(recorder))
 				assert.ErrorIs(t, err, engine.ErrDuplicate)
-				assert.Equal(t, engine.EndUnproved, outcome.End)
+				assert.Equal(t, engine.EndUnknown, outcome.End)
 			}
 			return nil
 		}
@@ -215,7 +215,7 @@
 			case 1:
 				require.NoError(t, server.SetFaults(standin.Faults{IgnoreCancel: true}))
 				_, err := client.Cancel(t.Context(), "r/a b%.1")
-				assert.ErrorIs(t, err, engine.ErrUnknown)
+				assert.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 			case 3:
 				require.NoError(t, server.SetFaults(standin.Faults{}))
 				result, err := client.Cancel(t.Context(), "r/a b%.1")
@@ -275,7 +275,7 @@
 				options.Capabilities.OnDisconnect = behaviour
 				server, client := newFixture(t).start(options)
 				outcome, err := client.Run(t.Context(), chat("r.1"), stopAt(2))
-				require.ErrorIs(t, err, engine.ErrUnknown)
+				require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 				require.ErrorIs(t, err, errStop)
 				assert.Equal(t, 3, outcome.Tokens)
 				time.Sleep(10 * time.Second)
@@ -316,7 +316,7 @@
 				f := newFixture(t)
 				server, client := f.start(standin.ModelDefaults())
 				_, err := client.Run(t.Context(), chat("r.1"), stopAt(2))
-				require.ErrorIs(t, err, engine.ErrUnknown)
+				require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 				kv, err := client.ExportKV(t.Context(), "r.1")
 				require.NoError(t, err)
 				id := engine.AttemptID("r.1")
@@ -402,7 +402,7 @@
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		_, err := client.Run(ctx, issue("r.1"), new(recorder))
-		require.ErrorIs(t, err, engine.ErrUnknown)
+		require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Empty(t, server.Runs())
 		time.Sleep(time.Minute)
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -12,7 +12,7 @@
 //   - a nil error from [Client.Run] or [Client.Resume] proves that the engine
 //     itself ended the attempt; [Outcome.End] says how;
 //   - [ErrNeverSent] proves that the engine never saw the call;
-//   - [ErrUnknown] proves nothing: the attempt may have run, and may still run;
+//   - [ErrOutcomeUnknown] proves nothing: the attempt may have run, and may still run;
 //   - [ErrDuplicate] says that the engine runs an attempt of this identity
 //     already, so it is not over.
 package engine
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -12,9 +12,9 @@
 	// ErrUnreachable: no connection could be made though the call had time
 	// for it. It comes together with ErrNeverSent.
 	ErrUnreachable = errors.New("unreachable")
-	// ErrUnknown: the call failed after a connection was given to it. The
+	// ErrOutcomeUnknown: the call failed after a connection was given to it. The
 	// engine may have seen it, may have run it and may be running it still.
-	ErrUnknown = errors.New("outcome unknown")
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrDuplicate: the engine refused the call because an attempt of the
 	// same identity runs there already.
 	ErrDuplicate = errors.New("duplicate attempt")
@@ -25,10 +25,10 @@
 	// ErrRefused: the engine refused the call, other than a run.
 	ErrRefused = errors.New("refused")
 	// ErrTooLarge: what the engine sent exceeds a limit of the adapter. It
-	// comes together with ErrUnknown.
+	// comes together with ErrOutcomeUnknown.
 	ErrTooLarge = errors.New("over the size limit")
 	// ErrIncomplete: what the engine sent stopped before its end, such as a
-	// stream without "[DONE]". It comes together with ErrUnknown.
+	// stream without "[DONE]". It comes together with ErrOutcomeUnknown.
 	ErrIncomplete = errors.New("ended before its end")
 	// ErrReplaced: another backend server has the address and refused the
 	// request that was meant for its predecessor. It comes together with
@@ -46,7 +46,7 @@
 	Call string
 	// ID is the attempt, empty for calls without one.
 	ID AttemptID
-	// Class is ErrNeverSent, ErrUnknown, ErrDuplicate, ErrUnknownStream,
+	// Class is ErrNeverSent, ErrOutcomeUnknown, ErrDuplicate, ErrUnknownStream,
 	// ErrRefused or ErrUnsupported.
 	Class error
 	// Err is the cause; nil if the class says it all.
--- a/engine/http.go
+++ b/engine/http.go
@@ -62,7 +62,7 @@
 
 // HTTP is the [Client] of the protocol that package standin speaks.
 type HTTP struct {
-	Observed
+	ObserverHolder
 
 	base      *url.URL
 	options   HTTPOptions
--- a/engine/http_call.go
+++ b/engine/http_call.go
@@ -42,7 +42,7 @@
 	if errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) {
 		cause = errors.Join(ErrIncomplete, cause)
 	}
-	return c.fail(ErrUnknown, cause)
+	return c.fail(ErrOutcomeUnknown, cause)
 }
 
 // singleBody gives a request body that can be sent once only. net/http sends a
@@ -138,11 +138,11 @@
 		return nil, c.unread(err)
 	}
 	if int64(len(body)) > limit {
-		return nil, c.fail(ErrUnknown, ErrTooLarge)
+		return nil, c.fail(ErrOutcomeUnknown, ErrTooLarge)
 	}
 	endless := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 	if endless && !showsEnd(body) {
-		return nil, c.fail(ErrUnknown, ErrIncomplete)
+		return nil, c.fail(ErrOutcomeUnknown, ErrIncomplete)
 	}
 	return body, nil
 }
@@ -181,7 +181,7 @@
 		return err
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
-		return c.fail(ErrUnknown, errors.Wrap(err, "engine answer"))
+		return c.fail(ErrOutcomeUnknown, errors.Wrap(err, "engine answer"))
 	}
 	return nil
 }
@@ -202,7 +202,7 @@
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
 		return c.fail(ErrRefused, cause)
 	default:
-		return c.fail(ErrUnknown, cause)
+		return c.fail(ErrOutcomeUnknown, cause)
 	}
 }
 
--- a/engine/http_report.go
+++ b/engine/http_report.go
@@ -28,7 +28,7 @@
 	}
 	ended := answer.State == CancelStateCancelled || answer.State == CancelStateFinished
 	if answer.ID != id || !ended {
-		return CancelNone, c.fail(ErrUnknown, errors.Errorf("engine says %s is %q", answer.ID, answer.State))
+		return CancelNone, c.fail(ErrOutcomeUnknown, errors.Errorf("engine says %s is %q", answer.ID, answer.State))
 	}
 	return CancelConfirmed, nil
 }
--- a/engine/http_run.go
+++ b/engine/http_run.go
@@ -149,7 +149,7 @@
 		Body:        body,
 	}
 	if err := sink.Answer(answer); err != nil {
-		return c.fail(ErrUnknown, errors.Wrap(err, "sink"))
+		return c.fail(ErrOutcomeUnknown, errors.Wrap(err, "sink"))
 	}
 	return nil
 }
--- a/engine/http_stream.go
+++ b/engine/http_stream.go
@@ -51,7 +51,7 @@
 // read reads a stream until the engine ends it.
 func (s *streamReader) read(source io.Reader, limit int) error {
 	events := newEventReader(source, limit)
-	for s.outcome.End == EndUnproved {
+	for s.outcome.End == EndUnknown {
 		data, err := events.next()
 		if err != nil {
 			return s.call.unread(err)
@@ -69,7 +69,7 @@
 	}
 	var parsed payload
 	if err := json.Unmarshal(data, &parsed); err != nil {
-		return s.call.fail(ErrUnknown, errors.Wrap(err, "stream payload"))
+		return s.call.fail(ErrOutcomeUnknown, errors.Wrap(err, "stream payload"))
 	}
 	if parsed.Error != nil {
 		s.engineError(*parsed.Error)
@@ -84,7 +84,7 @@
 	}
 	s.outcome.Tokens += chunk.Tokens
 	if err := s.sink.Chunk(chunk); err != nil {
-		return s.call.fail(ErrUnknown, errors.Wrap(err, "sink"))
+		return s.call.fail(ErrOutcomeUnknown, errors.Wrap(err, "sink"))
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 func (s *streamReader) done() error {
 	if s.usage != nil && s.usage.CompletionTokens != s.outcome.Tokens {
 		cause := errors.Errorf("%d tokens arrived of %d", s.outcome.Tokens, s.usage.CompletionTokens)
-		return s.call.fail(ErrUnknown, errors.Join(ErrIncomplete, cause))
+		return s.call.fail(ErrOutcomeUnknown, errors.Join(ErrIncomplete, cause))
 	}
 	s.outcome.End = EndCompleted
 	return nil
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -86,7 +86,7 @@
 				_, err = client.Run(t.Context(), request, new(nullSink))
 				require.NoError(t, err)
 				_, err = client.Run(t.Context(), request, new(nullSink))
-				require.ErrorIs(t, err, ErrUnknown)
+				require.ErrorIs(t, err, ErrOutcomeUnknown)
 				assert.EqualValues(t, 2, server.seen.Load())
 			})
 		}
@@ -118,7 +118,7 @@
 			require.NoError(t, err)
 			_, err = client.Run(c.ctx, Request{ID: "r.1", Kind: KindService, Path: c.path}, new(nullSink))
 			assert.ErrorIs(t, err, ErrNeverSent)
-			assert.NotErrorIs(t, err, ErrUnknown)
+			assert.NotErrorIs(t, err, ErrOutcomeUnknown)
 		})
 	}
 }
@@ -184,8 +184,8 @@
 				assert.Equal(t, EndCompleted, outcome.End)
 				return
 			}
-			require.ErrorIs(t, err, ErrUnknown)
-			assert.Equal(t, EndUnproved, outcome.End)
+			require.ErrorIs(t, err, ErrOutcomeUnknown)
+			assert.Equal(t, EndUnknown, outcome.End)
 			assert.Zero(t, sink.answers)
 			if c.cause != nil {
 				assert.ErrorIs(t, err, c.cause)
@@ -204,10 +204,10 @@
 		class  error
 	}{
 		"bare 404":       {status: 404, body: "404 page not found", class: ErrUnsupported},
-		"empty 200":      {status: 200, body: "{}", class: ErrUnknown},
-		"other stream":   {status: 200, body: `{"id":"r.2","state":"cancelled"}`, class: ErrUnknown},
-		"still running":  {status: 200, body: `{"id":"r.1","state":"running"}`, class: ErrUnknown},
-		"server error":   {status: 500, body: "", class: ErrUnknown},
+		"empty 200":      {status: 200, body: "{}", class: ErrOutcomeUnknown},
+		"other stream":   {status: 200, body: `{"id":"r.2","state":"cancelled"}`, class: ErrOutcomeUnknown},
+		"still running":  {status: 200, body: `{"id":"r.1","state":"running"}`, class: ErrOutcomeUnknown},
+		"server error":   {status: 500, body: "", class: ErrOutcomeUnknown},
 		"no permission":  {status: 403, body: "", class: ErrRefused},
 		"unknown stream": {status: 404, body: `{"error":{"type":"unknown_stream"}}`},
 	}
@@ -248,9 +248,9 @@
 }
 
 func TestPrefixBlocks(t *testing.T) {
-	long := PrefixBlocks("m", strings.Repeat("abcdefgh", 16), 16)
+	long := PrefixBlockHashes("m", strings.Repeat("abcdefgh", 16), 16)
 	assert.Len(t, long, 2)
-	assert.Equal(t, long[:1], PrefixBlocks("m", strings.Repeat("abcdefgh", 15), 16))
-	assert.NotEqual(t, long[0], PrefixBlocks("other", strings.Repeat("abcdefgh", 16), 16)[0])
-	assert.NotEqual(t, long[1], PrefixBlocks("m", "X"+strings.Repeat("abcdefgh", 16), 16)[1])
+	assert.Equal(t, long[:1], PrefixBlockHashes("m", strings.Repeat("abcdefgh", 15), 16))
+	assert.NotEqual(t, long[0], PrefixBlockHashes("other", strings.Repeat("abcdefgh", 16), 16)[0])
+	assert.NotEqual(t, long[1], PrefixBlockHashes("m", "X"+strings.Repeat("abcdefgh", 16), 16)[1])
 }
--- a/engine/observe.go
+++ b/engine/observe.go
@@ -18,14 +18,14 @@
 	Observe(Observer)
 }
 
-// Observed holds the observer of an adapter. The zero value tells nobody.
-type Observed struct{ observer atomic.Pointer[Observer] }
+// ObserverHolder holds the observer of an adapter. The zero value tells nobody.
+type ObserverHolder struct{ observer atomic.Pointer[Observer] }
 
 // Observe implements [Observable].
-func (o *Observed) Observe(observer Observer) { o.observer.Store(&observer) }
+func (o *ObserverHolder) Observe(observer Observer) { o.observer.Store(&observer) }
 
-// Tell passes an observation on.
-func (o *Observed) Tell(observation backpressure.Observation) {
+// Notify passes an observation on.
+func (o *ObserverHolder) Notify(observation backpressure.Observation) {
 	if observer := o.observer.Load(); observer != nil {
 		(*observer)(observation)
 	}
@@ -35,7 +35,7 @@
 func (h *HTTP) observe(c call, asked time.Time, response *http.Response) {
 	now := time.Now()
 	advice, malformed := backpressureNames.Read(response.StatusCode, response.Header, now)
-	h.Tell(backpressure.Observation{
+	h.Notify(backpressure.Observation{
 		Advice:     advice,
 		Malformed:  malformed,
 		Route:      c.route(),
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -17,10 +17,10 @@
 	return max(1, (size+BytesPerToken-1)/BytesPerToken)
 }
 
-// PrefixBlocks gives the hashes of the whole blocks of blockTokens tokens at
+// PrefixBlockHashes gives the hashes of the whole blocks of blockTokens tokens at
 // the start of a prompt of a model. Each hash covers the model and all of the
 // prompt up to the end of its block, so that equal hashes mean equal prefixes.
-func PrefixBlocks(model, prompt string, blockTokens int) []uint64 {
+func PrefixBlockHashes(model, prompt string, blockTokens int) []uint64 {
 	size := blockTokens * BytesPerToken
 	if size <= 0 {
 		return nil
--- a/engine/report.go
+++ b/engine/report.go
@@ -83,7 +83,7 @@
 	Kind CacheEventKind `json:"kind"`
 	// ID is the attempt whose prompt was stored; empty else.
 	ID AttemptID `json:"id,omitempty"`
-	// Blocks are the hashes as [PrefixBlocks] gives them, in prompt order.
+	// Blocks are the hashes as [PrefixBlockHashes] gives them, in prompt order.
 	Blocks []uint64 `json:"blocks,omitempty"`
 }
 
--- a/engine/standin/announcer.go
+++ b/engine/standin/announcer.go
@@ -82,7 +82,7 @@
 // left makes one try. It posts the leave each time, since an agent that
 // restarted in between has forgotten it.
 func (a *Announcer) left(ctx context.Context, server string) bool {
-	if _, err := a.post(ctx, "/v1/leave", engine.Leave{Server: server}); err != nil {
+	if _, err := a.post(ctx, "/v1/leave", engine.LeaveRequest{Server: server}); err != nil {
 		return false
 	}
 	answer, err := a.call(ctx, http.MethodGet, "/v1/leave/"+url.PathEscape(server), nil)
--- a/engine/standin/batch_calls.go
+++ b/engine/standin/batch_calls.go
@@ -39,7 +39,7 @@
 		Chat:         prompt.Chat,
 		IncludeUsage: wantsUsage(body),
 		Hash:         hash,
-		Blocks:       engine.PrefixBlocks(prompt.Model, prompt.Text, b.options.BlockTokens),
+		Blocks:       engine.PrefixBlockHashes(prompt.Model, prompt.Text, b.options.BlockTokens),
 		PromptTokens: engine.EstimateTokens(len(prompt.Text)),
 		Total:        total,
 		Finish:       finish,
--- a/engine/standin/batch_test.go
+++ b/engine/standin/batch_test.go
@@ -145,7 +145,7 @@
 		require.Len(t, events, 3)
 		prompt, err := engine.ParsePrompt(first.Body)
 		require.NoError(t, err)
-		blocks := engine.PrefixBlocks("sample", prompt.Text, options.BlockTokens)
+		blocks := engine.PrefixBlockHashes("sample", prompt.Text, options.BlockTokens)
 		assert.Equal(t, engine.CacheEvent{Seq: 1, Kind: engine.CacheStored, ID: "a.1", Blocks: blocks}, events[0])
 		assert.Equal(t, engine.CacheEvicted, events[1].Kind)
 		assert.Equal(t, blocks[:2], events[1].Blocks)
@@ -220,7 +220,7 @@
 			return nil
 		}}
 		_, err := client.Run(t.Context(), completionRequest("a.1", 100, 20), sink)
-		require.ErrorIs(t, err, engine.ErrUnknown)
+		require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 		synctest.Wait()
 		_, err = client.Streams(t.Context())
 		require.ErrorIs(t, err, engine.ErrNeverSent)
--- a/engine/standin/server_test.go
+++ b/engine/standin/server_test.go
@@ -205,7 +205,7 @@
 					ctx, stop := context.WithCancel(t.Context())
 					go func() {
 						_, err := client.Run(ctx, serviceRequest(engine.AttemptID(key+".1"), key), nullSink{})
-						assert.ErrorIs(t, err, engine.ErrUnknown)
+						assert.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 					}()
 					synctest.Wait()
 					return stop
--- a/entry/http_completions.go
+++ b/entry/http_completions.go
@@ -48,5 +48,5 @@
 // prefixDigests returns the digests of the prompt's leading blocks.
 func prefixDigests(prompt engine.Prompt) []uint64 {
 	longest := min(len(prompt.Text), maxPrefixBlocks*prefixBlockTokens*engine.BytesPerToken)
-	return engine.PrefixBlocks(prompt.Model, prompt.Text[:longest], prefixBlockTokens)
+	return engine.PrefixBlockHashes(prompt.Model, prompt.Text[:longest], prefixBlockTokens)
 }
--- a/gate/harness_test.go
+++ b/gate/harness_test.go
@@ -182,7 +182,7 @@
 
 // loseConnection ends a run with a broken connection.
 func (b *harness) loseConnection(attempt *wire.AttemptID) []Action {
-	return b.endRun(attempt, engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrUnknown})
+	return b.endRun(attempt, engine.Outcome{}, &engine.CallError{Call: "run", Class: engine.ErrOutcomeUnknown})
 }
 
 // answerCancel answers the last CancelEngine of an attempt.
--- a/gate/machine_test.go
+++ b/gate/machine_test.go
@@ -357,7 +357,7 @@
 		s.inTransit = false
 	case s.inTransit || s.running && rapid.Bool().Draw(rt, "lost"):
 		// A dispatch that has not arrived by then never does; a run at the engine goes on.
-		e.Err = engine.ErrUnknown
+		e.Err = engine.ErrOutcomeUnknown
 		s.inTransit = false
 	case s.running:
 		e.Outcome.End = rapid.SampledFrom([]engine.End{engine.EndCompleted, engine.EndFailed}).Draw(rt, "end")
@@ -385,7 +385,7 @@
 	m.cancels = slices.DeleteFunc(m.cancels, func(other *modelCancel) bool { return other == c })
 	e := EngineCancelled{Attempt: c.cancel.Attempt, Try: c.cancel.Try, Result: c.result}
 	if rapid.IntRange(0, 3).Draw(rt, "fails") == 0 {
-		e.Result, e.Err = engine.CancelNone, engine.ErrUnknown
+		e.Result, e.Err = engine.CancelNone, engine.ErrOutcomeUnknown
 	}
 	m.apply(e)
 }
--- a/gate/proofs_test.go
+++ b/gate/proofs_test.go
@@ -28,11 +28,11 @@
 		"failed":                  {outcome: engine.Outcome{End: engine.EndFailed}, proof: wire.Proof_PROOF_FAILED},
 		"failed, not started":     {outcome: engine.Outcome{End: engine.EndFailed, NotStarted: true}, proof: cancelledProof},
 		"cancelled by others":     {outcome: engine.Outcome{End: engine.EndCancelled}, proof: cancelledProof},
-		"nothing said":            {outcome: engine.Outcome{End: engine.EndUnproved}, proof: unprovenProof},
+		"nothing said":            {outcome: engine.Outcome{End: engine.EndUnknown}, proof: unprovenProof},
 		"never sent":              {err: callError(engine.ErrNeverSent), proof: neverStartedProof},
 		"never sent after events": {err: callError(engine.ErrNeverSent), events: true, proof: unprovenProof},
-		"connection lost":         {err: callError(engine.ErrUnknown), proof: unprovenProof},
-		"both":                    {err: callError(errors.Join(engine.ErrUnknown, engine.ErrNeverSent)), proof: unprovenProof},
+		"connection lost":         {err: callError(engine.ErrOutcomeUnknown), proof: unprovenProof},
+		"both":                    {err: callError(errors.Join(engine.ErrOutcomeUnknown, engine.ErrNeverSent)), proof: unprovenProof},
 		"duplicate":               {err: callError(engine.ErrDuplicate), proof: unprovenProof},
 		"other error":             {err: errors.New("unexpected"), proof: unprovenProof},
 	}
@@ -96,7 +96,7 @@
 	b := newReadyHarness(t)
 	b.start(entryA, id("r", 1), work())
 	b.loseConnection(id("r", 1))
-	b.step(EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrUnknown})
+	b.step(EngineCancelled{Attempt: id("r", 1), Try: 1, Err: engine.ErrOutcomeUnknown})
 	b.advance(time.Second)
 	tries := actionsOf[CancelEngine](b.actions)
 	require.Len(t, tries, 2, "one repeated try, not answered yet")
--- a/gate/runs.go
+++ b/gate/runs.go
@@ -106,7 +106,7 @@
 	if !wasCancelled {
 		a.cancel.cause = endCause(e)
 	}
-	if !wasCancelled && errors.Is(e.Err, engine.ErrUnknown) {
+	if !wasCancelled && errors.Is(e.Err, engine.ErrOutcomeUnknown) {
 		g.recordBroken(a)
 	}
 	unreachable := errors.Is(e.Err, engine.ErrUnreachable)
@@ -122,7 +122,7 @@
 
 // endCause returns the cause of waste for a run that ended without a complete answer.
 func endCause(e EngineEnded) string {
-	if e.Err != nil || e.Outcome.End == engine.EndUnproved {
+	if e.Err != nil || e.Outcome.End == engine.EndUnknown {
 		return CauseEngineLost
 	}
 	if e.Outcome.End == engine.EndFailed {
@@ -136,7 +136,7 @@
 // another server as well.
 func endEvent(a *attempt, e EngineEnded) attemptEvent {
 	if e.Err != nil {
-		sent := a.frames.count > 0 || errors.Is(e.Err, engine.ErrUnknown) || errors.Is(e.Err, engine.ErrDuplicate)
+		sent := a.frames.count > 0 || errors.Is(e.Err, engine.ErrOutcomeUnknown) || errors.Is(e.Err, engine.ErrDuplicate)
 		if errors.Is(e.Err, engine.ErrNeverSent) && !sent {
 			return onNeverSent
 		}
--- a/gate/server_test.go
+++ b/gate/server_test.go
@@ -48,7 +48,7 @@
 	b.receive(entryA, heartbeat())
 	refusedWith(t, b.reserve(entryA, id("new", 1), work()), result.Starting)
 	onlyOver(t, b.cancelAttempt(entryA, id("old", 1), retryCause), entryA, unprovenProof)
-	b.step(EngineListed{Err: engine.ErrUnknown})
+	b.step(EngineListed{Err: engine.ErrOutcomeUnknown})
 	b.advance(time.Second)
 	require.Len(t, actionsOf[ListEngine](b.actions), 2)
 	listed := b.step(EngineListed{Streams: streams("old.1", "strange", "old.7")})
