--- a/engine/announce.go
+++ b/engine/announce.go
@@ -1,24 +1,27 @@
 package engine
 
-// Fencing says whether an engine checks the fence numbers of orders.
+// Fencing states whether an engine checks the fence numbers of orders.
 type Fencing string
 
 // The behaviours towards fence numbers.
 const (
+	// FencingRefuses rejects orders with a stale fence number; FencingIgnores carries out every
+	// order.
 	FencingRefuses Fencing = "refuses"
 	FencingIgnores Fencing = "ignores"
 )
 
-// OnDisconnect says what an engine does with a stream whose connection is lost.
+// OnDisconnect states what an engine does with a stream whose connection is lost.
 type OnDisconnect string
 
 // The behaviours at a lost connection.
 const (
+	// DisconnectCancels ends the stream; DisconnectContinues keeps generating.
 	DisconnectCancels   OnDisconnect = "cancels"
 	DisconnectContinues OnDisconnect = "continues"
 )
 
-// Capabilities are what a backend server says it can do.
+// Capabilities are the optional features that a backend server declares.
 type Capabilities struct {
 	Fencing      Fencing      `json:"fencing"`
 	KV           bool         `json:"kv"`
@@ -26,26 +29,26 @@
 	OnDisconnect OnDisconnect `json:"on_disconnect"`
 }
 
-// Announcement is what a backend server posts to its agent each second, at
+// Announcement is the body that a backend server posts to its agent every second, at
 // /v1/announce.
 type Announcement struct {
 	Server string `json:"server"`
 	Kind   Kind   `json:"kind"`
 	// Address is the base URL of the backend server.
 	Address string `json:"address"`
-	// Models are the models that are ready; of a plain service, its name.
+	// Models lists the models that are loaded and ready; for a plain service, the service name.
 	Models       []string     `json:"models"`
 	Slots        int          `json:"slots"`
 	Capabilities Capabilities `json:"capabilities"`
 }
 
-// LeaveRequest is what a backend server posts to its agent to leave gracefully, at
-// /v1/leave.
+// LeaveRequest is the body that a backend server posts to its agent, at /v1/leave, to start a
+// graceful leave.
 type LeaveRequest struct {
 	Server string `json:"server"`
 }
 
-// LeaveState is the agent's answer at /v1/leave/{server}.
+// LeaveState is the agent's response at /v1/leave/{server}.
 type LeaveState string
 
 // The states of a graceful leave.
--- a/engine/client.go
+++ b/engine/client.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// AttemptID names one attempt of a request: "REQUEST.NUMBER". It is written in
-// the X-Request-Id header and in the paths of the stream calls.
+// AttemptID identifies one attempt of a request as "REQUEST.NUMBER". It is sent in the
+// X-Request-Id header and in the paths of the stream calls.
 type AttemptID string
 
-// Request gives the logical request: the identity up to its last dot. An
-// identity without a dot is its own request.
+// Request returns the ID of the logical request: the part of id before its last dot. An ID
+// without a dot is returned unchanged.
 func (id AttemptID) Request() string {
 	if dot := strings.LastIndexByte(string(id), '.'); dot >= 0 {
 		return string(id[:dot])
@@ -20,7 +20,7 @@
 	return string(id)
 }
 
-// Kind is the kind of a backend server.
+// Kind is the kind of a backend server: a model engine or a plain service.
 type Kind string
 
 // The kinds of backend server.
@@ -29,103 +29,104 @@
 	KindService Kind = "service"
 )
 
-// Request is one attempt to run on a backend server.
+// Request describes one attempt to run on a backend server.
 type Request struct {
 	ID   AttemptID
 	Kind Kind
 	// Method is the HTTP method; empty means POST.
 	Method string
-	// Path is the path at the backend server, such as
-	// "/v1/chat/completions", with a query where there is one.
+	// Path is the path on the backend server, such as "/v1/chat/completions", including the
+	// query if there is one.
 	Path string
-	// Body is the caller's body. For a model the adapter adds
-	// "stream": true and keeps every other field as it is.
+	// Body is the caller's body. For a model the adapter sets "stream" to true and asks for the
+	// usage chunk, and keeps every other field unchanged.
 	Body []byte
-	// IdempotencyKey goes out as the Idempotency-Key header, if not empty.
+	// IdempotencyKey is sent as the Idempotency-Key header unless empty.
 	IdempotencyKey string
-	// Header holds the few caller headers to pass on. Headers which the
-	// adapter sets itself are ignored here.
+	// Header holds the caller's headers to forward. Headers that the adapter sets itself are
+	// ignored here.
 	Header http.Header
-	// Verbatim is set for a request that goes out byte for byte as its caller
-	// wrote it. Its answer comes back through [Sink.Chunk] only: first the
-	// encoded wire.AnswerHead, then the parts of the body.
+	// Verbatim is set for a request that is forwarded byte for byte as the caller wrote it. Its
+	// response is delivered through [Sink.Chunk] only: first the encoded wire.AnswerHead, then
+	// the parts of the body. Nil means the adapter builds the request.
 	Verbatim *Verbatim
 }
 
-// Verbatim is what a request needs that is passed on as it is.
+// Verbatim holds the additional fields of a request that is forwarded unchanged.
 type Verbatim struct {
-	// Host is the caller's Host header. Path is then the whole request
-	// target, and Header holds all headers of the caller to pass on.
+	// Host is the caller's Host header. If Verbatim is set, Request.Path is the complete
+	// request target, and Request.Header holds all caller headers to forward.
 	Host string
-	// Organisation is whose work it is; empty where callers need no key.
+	// Organisation is the organisation that the request belongs to; empty where callers need no
+	// key.
 	Organisation string
-	// Server is the backend server that is meant. Another one that has taken
-	// over its address must not run the request.
+	// Server is the name of the intended backend server. A different server that has since
+	// taken over its address must not run the request.
 	Server string
-	// Remaining is how long the answer is of use.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
-	// Repeatable work may run again after an attempt that failed.
+	// Repeatable reports whether the request may run again after a failed attempt.
 	Repeatable bool
-	// LastEvent is the last event of a stream that the caller has, for a run
-	// that goes on after it; empty for a run from the beginning.
+	// LastEvent is the last stream event that the caller has received, for an attempt that
+	// resumes after it; empty for an attempt from the start.
 	LastEvent []byte
-	// SkipHead is set where the caller has the head of the answer already.
+	// SkipHead is set if the caller has already received the response head.
 	SkipHead bool
 }
 
 // Chunk is one server-sent event of a model's stream.
 type Chunk struct {
-	// Index is the position, in the whole answer, of the first token that
-	// this payload carries; for a payload without tokens it is the position
-	// of the next one.
+	// Index is the position, in the complete answer, of the first token in this payload; for a
+	// payload without tokens, the position of the next token.
 	Index int
-	// Tokens is how many tokens the payload carries: 0 or 1.
+	// Tokens is the position after the last token received, counted from the start of the
+	// complete answer, also for a resumed stream.
 	Tokens int
-	// UsageOnly marks the last payload, which carries the usage and no
-	// choice. It is there because the adapter asked for it; a caller that
-	// didn't ask must not see it.
+	// UsageOnly marks the last payload, which carries the usage and no choice. The engine sends
+	// it because the adapter requests it; it must not be forwarded to a caller that did not
+	// request it.
 	UsageOnly bool
-	// Data is the JSON after "data: ". It is valid during the call only.
+	// Data is the JSON after "data: ". It is valid only during the call.
 	Data []byte
 }
 
-// Answer is the whole answer of a plain service, or a model engine's answer
-// that is not a stream, such as a refusal.
+// Answer is the complete response of a plain service, or a response of a model engine that is
+// not a stream, such as a refusal.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is whole: a body that was cut is never handed over.
+	// Body is always complete: a truncated body is not delivered.
 	Body []byte
 }
 
-// Sink receives what an attempt produces, in order and from one goroutine. An
-// error from it ends the attempt's connection, and the attempt ends with
-// [ErrOutcomeUnknown]: the engine may go on.
+// Sink receives the output of an attempt, in order and from one goroutine. An error from it
+// closes the attempt's connection, and the attempt fails with [ErrOutcomeUnknown], because the
+// engine may continue it.
 type Sink interface {
-	// Chunk receives one payload of a stream; "[DONE]" is not handed over.
+	// Chunk receives one payload of a stream, except the final "[DONE]".
 	Chunk(Chunk) error
-	// Answer receives an answer that is not a stream, once.
+	// Answer receives a response that is not a stream. It is called at most once.
 	Answer(Answer) error
 }
 
-// End says how an attempt ended.
+// End is the way in which an attempt ended.
 type End uint8
 
-// The ends of an attempt. All but EndUnknown are the engine's own word.
+// The ends of an attempt. All except EndUnknown are reported by the engine.
 const (
-	// EndUnknown is the zero value: nothing proves that the attempt ended.
+	// EndUnknown is the zero value: there is no proof that the attempt ended.
 	EndUnknown End = iota
-	// EndCompleted: the whole answer has arrived.
+	// EndCompleted means the complete response has arrived.
 	EndCompleted
-	// EndFailed: the engine ended the attempt with an error event, or a
-	// model engine answered with a status other than 200. The engine may
-	// have begun the work, unless Outcome.NotStarted is set.
+	// EndFailed means the engine ended the attempt with an error event, or a model engine
+	// responded with a status other than 200. The engine may have started the work, unless
+	// Outcome.NotStarted is set.
 	EndFailed
-	// EndCancelled: the stream ended because of a cancel call.
+	// EndCancelled means the stream ended because of a cancel call.
 	EndCancelled
 )
 
-// String gives the end's name in a log line.
+// String returns the name used in log lines.
 func (e End) String() string {
 	switch e {
 	case EndCompleted:
@@ -139,43 +140,43 @@
 	}
 }
 
-// Outcome is what is known of an attempt when its call returns. With an error
-// it holds what had arrived until then, and End is EndUnknown.
+// Outcome holds what is known of an attempt when its call returns. If the call returns an
+// error, it holds what had arrived until then, and End is EndUnknown.
 type Outcome struct {
 	End End
-	// NotStarted is set with EndFailed if the engine said in so many words
-	// that it did not start the work and won't.
+	// NotStarted is set with EndFailed if the engine stated explicitly that it did not start
+	// the work and will not start it.
 	NotStarted bool
-	// Status is the HTTP status, 0 if none arrived. A plain service's
-	// status of any value is its answer, so its end is EndCompleted.
+	// Status is the HTTP status, 0 if none arrived. Any status of a plain service is a complete
+	// response, so End is EndCompleted.
 	Status int
 	// Tokens is the position after the last token that arrived, counted
 	// from the start of the whole answer also for a resumed stream.
 	Tokens int
-	// PromptTokens, CachedPromptTokens and FinishReason are the engine's.
+	// PromptTokens, CachedPromptTokens and FinishReason are as reported by the engine.
 	PromptTokens       int
 	CachedPromptTokens int
 	FinishReason       string
 }
 
-// CancelResult is what an engine says to a cancel call.
+// CancelResult is an engine's response to a cancel call. If the call returns an error, nothing
+// is known about the stream.
 type CancelResult uint8
 
-// The results of a cancel call. An error instead of one is no proof at all.
+// The results of a cancel call.
 const (
 	// CancelNone is the zero value, returned with an error.
 	CancelNone CancelResult = iota
-	// CancelConfirmed: the engine says that the stream is ended, by this
-	// call or before it.
+	// CancelConfirmed means the engine reports that the stream has ended, by this call or
+	// before it.
 	CancelConfirmed
-	// CancelUnknownID: the engine says it has no such stream. That proves
-	// an end only if the dispatch can't arrive after the cancel call: the
-	// agent's own Run has returned and its connection is closed, or it was
-	// never called.
+	// CancelUnknownID means the engine reports that it has no such stream. This proves the end
+	// of the attempt only if its dispatch cannot arrive after the cancel call: the agent's own
+	// Run has returned and its connection is closed, or Run was never called.
 	CancelUnknownID
 )
 
-// String gives the result's name in a log line.
+// String returns the name used in log lines.
 func (r CancelResult) String() string {
 	switch r {
 	case CancelConfirmed:
@@ -187,46 +188,45 @@
 	}
 }
 
-// Client is a backend server as its agent sees it. Each method may be called
-// from any goroutine; none repeats a call on its own.
+// Client is an agent's connection to a backend server. Its methods are safe for concurrent use
+// and never retry a call.
 //
-// Besides the errors named at each method, all return errors that match
-// [ErrNeverSent] or [ErrOutcomeUnknown], and [ErrUnsupported] from a backend server
-// without that call.
+// Besides the errors named at each method, every method returns errors that match
+// [ErrNeverSent] or [ErrOutcomeUnknown], and [ErrUnsupported] if the backend server does not
+// offer the call.
 type Client interface {
-	// Run runs an attempt until its end. A nil error means that the engine
-	// ended it: see Outcome.End. It fails with ErrNeverSent, ErrOutcomeUnknown or
-	// ErrDuplicate. Ending ctx drops the connection, which cancels the
-	// attempt on some engines and doesn't on others.
+	// Run runs an attempt until it ends. A nil error means that the engine ended it;
+	// Outcome.End states how. Run fails with ErrNeverSent, ErrOutcomeUnknown or ErrDuplicate.
+	// Cancelling ctx closes the connection, which cancels the attempt on some engines but not
+	// on others.
 	Run(ctx context.Context, request Request, sink Sink) (Outcome, error)
-	// Cancel ends a stream. A nil error comes with CancelConfirmed or
-	// CancelUnknownID.
+	// Cancel ends a stream. It returns CancelConfirmed or CancelUnknownID with a nil error, and
+	// CancelNone with any other.
 	Cancel(ctx context.Context, id AttemptID) (CancelResult, error)
-	// Streams lists the streams that the engine holds, by identity.
+	// Streams lists the streams that the engine holds.
 	Streams(ctx context.Context) ([]StreamInfo, error)
-	// Resume goes on with a stream from token number from, counted from 0.
-	// An engine that holds neither the stream nor its imported KV cache
-	// begins anew from body, the original request; without a body it fails
-	// with ErrUnknownStream. Else as Run.
+	// Resume continues a stream from token number from, counted from 0. An engine that holds
+	// neither the stream nor its imported KV cache recomputes it from body, the original
+	// request, and fails with ErrUnknownStream if body is empty. Otherwise it behaves as Run.
 	Resume(ctx context.Context, id AttemptID, from int, body []byte, sink Sink) (Outcome, error)
-	// ExportKV gives the KV cache of a stream, in the engine's own format.
-	// It fails with ErrUnknownStream.
+	// ExportKV returns the KV cache of a stream in the engine's own format. It fails with
+	// ErrUnknownStream if the engine does not hold the stream.
 	ExportKV(ctx context.Context, id AttemptID) ([]byte, error)
-	// ImportKV gives an engine the KV cache for a later Resume of id.
+	// ImportKV passes a KV cache to the engine for a later Resume of id.
 	ImportKV(ctx context.Context, id AttemptID, kv []byte) error
-	// Load gives the engine's own report, which is late.
+	// Load returns the engine's own load report, which lags behind its present state.
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents gives the published cache events with numbers above
-	// after, in order. They are late, and missing numbers are lost events.
+	// CacheEvents returns the published cache events with sequence numbers above after, in
+	// order. Events are published with a delay, and a gap in the numbers means lost events.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// Order gives an order of the control leader. An engine that checks
-	// fence numbers answers an old one with OrderStale, not with an error.
+	// Order sends an order of the control leader. An engine that checks fence numbers responds
+	// to a stale one with OrderStale, not with an error.
 	Order(ctx context.Context, order Order) (OrderResult, error)
 }
 
-// Prober is a [Client] that can tell, with a connection alone, whether a
-// process listens at its server's address. The error wraps
-// syscall.ECONNREFUSED if none does.
+// Prober is a [Client] that can check whether a process listens at its server's address.
 type Prober interface {
+	// Probe opens a connection without sending a call. Its error wraps syscall.ECONNREFUSED if
+	// no process listens.
 	Probe(ctx context.Context) error
 }
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -14,9 +14,9 @@
 	"github.com/carawaypitch/carawaypitch/engine/standin"
 )
 
-func TestRunHandsOverAWholeStream(t *testing.T) {
+func TestRunDeliversCompleteStream(t *testing.T) {
 	requests := map[string]engine.Request{
-		"chat": chat("r.1"),
+		"chat": chatRequest("r.1"),
 		"text": {
 			ID: "r.1", Kind: engine.KindModel, Path: "/v1/completions",
 			Body: []byte(`{"prompt":"May I?","max_tokens":8,"stream":false}`),
@@ -47,11 +47,11 @@
 	}
 }
 
-func TestRunHandsOverAServicesWholeAnswer(t *testing.T) {
+func TestRunDeliversServiceAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ServiceDefaults())
 		sink := new(recorder)
-		outcome, err := client.Run(t.Context(), issue("r.1"), sink)
+		outcome, err := client.Run(t.Context(), passRequest("r.1"), sink)
 		require.NoError(t, err)
 		assert.Equal(t, engine.EndCompleted, outcome.End)
 		assert.Equal(t, 200, outcome.Status)
@@ -63,13 +63,12 @@
 	})
 }
 
-// Symptom: a caller hears "not run" of a call that ran, or gets a fragment.
-// Sequence: the backend server, or the connection to it, fails before, while or
-// after a call runs. Cause: an adapter that guesses from the kind of failure;
-// only a refused connection proves that nothing ran, and only the engine's own
-// end proves that the attempt is over.
-func TestRunTellsOnlyWhatIsProved(t *testing.T) {
-	half := standin.Faults{CutAnswer: 1}
+// Guards against reporting "not run" for a call that ran, and against delivering a truncated
+// response. The backend server or the connection fails before, during or after the call; only a
+// refused connection proves that nothing ran, and only the engine's own end proves that the
+// attempt is over.
+func TestRunReportsOnlyProvenOutcomes(t *testing.T) {
+	cutAnswer := standin.Faults{CutAnswer: 1}
 	cases := map[string]struct {
 		service bool
 		faults  standin.Faults
@@ -78,30 +77,30 @@
 		end     engine.End
 		status  int
 		tokens  int
-		ran     int
+		runs    int
 		answers int
 	}{
 		"service lost before":   {service: true, faults: standin.Faults{LoseBefore: 1}, class: engine.ErrOutcomeUnknown},
-		"service lost after":    {service: true, faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, ran: 1},
-		"service cut":           {service: true, faults: half, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, ran: 1},
+		"service lost after":    {service: true, faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, runs: 1},
+		"service cut":           {service: true, faults: cutAnswer, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, runs: 1},
 		"service 500 before":    {service: true, faults: standin.Faults{FailBefore: 1}, end: engine.EndCompleted, status: 500, answers: 1},
-		"service 500 after":     {service: true, faults: standin.Faults{FailAfter: 1}, end: engine.EndCompleted, status: 500, ran: 1, answers: 1},
+		"service 500 after":     {service: true, faults: standin.Faults{FailAfter: 1}, end: engine.EndCompleted, status: 500, runs: 1, answers: 1},
 		"service refused":       {service: true, faults: standin.Faults{RefuseMs: 1000}, class: engine.ErrNeverSent},
 		"model lost before":     {faults: standin.Faults{LoseBefore: 1}, class: engine.ErrOutcomeUnknown},
-		"model lost after":      {faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, ran: 1},
-		"model cut":             {faults: half, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 4, ran: 1},
+		"model lost after":      {faults: standin.Faults{LoseAnswer: 1}, class: engine.ErrOutcomeUnknown, runs: 1},
+		"model cut":             {faults: cutAnswer, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 4, runs: 1},
 		"model 500 before":      {faults: standin.Faults{FailBefore: 1}, end: engine.EndFailed, status: 500, answers: 1},
-		"model error event":     {faults: standin.Faults{FailAfter: 1}, end: engine.EndFailed, status: 200, tokens: 8, ran: 1},
-		"model dies":            {faults: standin.Faults{DieAfterTokens: 3}, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 3, ran: 1},
+		"model error event":     {faults: standin.Faults{FailAfter: 1}, end: engine.EndFailed, status: 200, tokens: 8, runs: 1},
+		"model dies":            {faults: standin.Faults{DieAfterTokens: 3}, class: engine.ErrOutcomeUnknown, cause: engine.ErrIncomplete, status: 200, tokens: 3, runs: 1},
 		"model refused":         {faults: standin.Faults{RefuseMs: 1000}, class: engine.ErrNeverSent},
-		"model frozen and slow": {faults: standin.Faults{FreezeMs: 5000, Slow: 4}, end: engine.EndCompleted, status: 200, tokens: 8, ran: 1},
+		"model frozen and slow": {faults: standin.Faults{FreezeMs: 5000, Slow: 4}, end: engine.EndCompleted, status: 200, tokens: 8, runs: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				options, request := standin.ModelDefaults(), chat("r.1")
+				options, request := standin.ModelDefaults(), chatRequest("r.1")
 				if c.service {
-					options, request = standin.ServiceDefaults(), issue("r.1")
+					options, request = standin.ServiceDefaults(), passRequest("r.1")
 				}
 				server, client := newFixture(t).start(options)
 				require.NoError(t, server.SetFaults(c.faults))
@@ -122,9 +121,9 @@
 				assert.Equal(t, c.tokens, outcome.Tokens)
 				assert.Len(t, sink.answers, c.answers)
 				if c.service {
-					assert.Equal(t, c.ran, server.Runs()["key-1"])
+					assert.Equal(t, c.runs, server.Runs()["key-1"])
 				} else {
-					assert.Equal(t, c.ran, server.Stats().Starts["r.1"])
+					assert.Equal(t, c.runs, server.Stats().Starts["r.1"])
 				}
 			})
 		})
@@ -141,7 +140,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				server, client := newFixture(t).start(standin.ModelDefaults())
-				request := chat("r.1")
+				request := chatRequest("r.1")
 				request.Body = []byte(body)
 				outcome, err := client.Run(t.Context(), request, new(recorder))
 				require.NoError(t, err)
@@ -153,32 +152,30 @@
 	}
 }
 
-// Symptom: the same attempt runs twice at a time. Sequence: a dispatch is sent
-// again while the first runs. Cause: an agent that forgot the first; the engine
-// refuses, and the refusal must not pass for an end of the attempt.
-func TestDuplicateIsNoEnd(t *testing.T) {
+// Guards against treating the refusal of a duplicate as the end of the attempt. The same
+// attempt is dispatched again while it is running.
+func TestDuplicateDoesNotEndAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ModelDefaults())
 		sink := new(recorder)
 		sink.onToken = func(index int) error {
 			if index == 0 {
-				outcome, err := client.Run(t.Context(), chat("r.1"), new(recorder))
+				outcome, err := client.Run(t.Context(), chatRequest("r.1"), new(recorder))
 				assert.ErrorIs(t, err, engine.ErrDuplicate)
 				assert.Equal(t, engine.EndUnknown, outcome.End)
 			}
 			return nil
 		}
-		_, err := client.Run(t.Context(), chat("r.1"), sink)
+		_, err := client.Run(t.Context(), chatRequest("r.1"), sink)
 		require.NoError(t, err)
 		assert.Equal(t, uint64(1), server.Stats().Duplicates)
 		assert.Zero(t, server.Stats().Overlaps)
 	})
 }
 
-// Symptom: a request runs on two engines at a time, unseen. Sequence: a second
-// attempt starts while the first runs elsewhere. Cause: a scheduler that took a
-// timeout for a proof. The ledger that both stand-ins share counts it.
-func TestLedgerSeesOverlaps(t *testing.T) {
+// Guards against a ledger that misses a request that runs on two engines at the same time, as
+// it does if a scheduler takes a timeout as proof that the first attempt is over.
+func TestLedgerCountsOverlappingAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		server, first := f.start(standin.ModelDefaults())
@@ -186,12 +183,12 @@
 		sink := new(recorder)
 		sink.onToken = func(index int) error {
 			if index == 0 {
-				_, err := second.Run(t.Context(), chat("r.2"), new(recorder))
+				_, err := second.Run(t.Context(), chatRequest("r.2"), new(recorder))
 				return err
 			}
 			return nil
 		}
-		_, err := first.Run(t.Context(), chat("r.1"), sink)
+		_, err := first.Run(t.Context(), chatRequest("r.1"), sink)
 		require.NoError(t, err)
 		assert.Equal(t, uint64(1), server.Stats().Overlaps)
 		assert.Equal(t, []string{"r"}, server.Stats().Overlapped)
@@ -199,10 +196,9 @@
 	})
 }
 
-// Symptom: "cancelled" is believed of a stream that goes on. Sequence: a cancel
-// call meets an engine that runs, finished, forgot or ignores the stream. Cause:
-// any answer counted as a confirmation.
-func TestCancelSaysWhatTheEngineSays(t *testing.T) {
+// Guards against reporting a stream as cancelled while it continues. The cancel call reaches an
+// engine that runs, has finished, does not know or ignores the stream.
+func TestCancelReportsEngineState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ModelDefaults())
 		result, err := client.Cancel(t.Context(), "never.1")
@@ -224,7 +220,7 @@
 			}
 			return nil
 		}
-		outcome, err := client.Run(t.Context(), chat("r/a b%.1"), sink)
+		outcome, err := client.Run(t.Context(), chatRequest("r/a b%.1"), sink)
 		require.NoError(t, err)
 		assert.Equal(t, engine.EndCancelled, outcome.End)
 		result, err = client.Cancel(t.Context(), "r/a b%.1")
@@ -239,7 +235,7 @@
 	})
 }
 
-func TestServiceHasNoStreamCalls(t *testing.T) {
+func TestServiceDoesNotSupportStreamCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ServiceDefaults())
 		_, err := client.Cancel(t.Context(), "r.1")
@@ -254,8 +250,8 @@
 
 var errStop = errors.New("stop here")
 
-// stopAt loses the connection after a token.
-func stopAt(last int) *recorder {
+// failAfterToken returns a sink that fails after a token, which closes the connection.
+func failAfterToken(last int) *recorder {
 	return &recorder{onToken: func(index int) error {
 		if index == last {
 			return errStop
@@ -264,9 +260,8 @@
 	}}
 }
 
-// Symptom: a stream that is taken for dead goes on, or the other way round.
-// Sequence: the agent's connection breaks in the middle. Cause: engines differ;
-// the agent must ask and not assume.
+// Guards against a wrong assumption about a stream whose connection breaks. Some engines cancel
+// it and others continue, so the agent has to ask.
 func TestDisconnect(t *testing.T) {
 	for _, behaviour := range []engine.OnDisconnect{engine.DisconnectCancels, engine.DisconnectContinues} {
 		t.Run(string(behaviour), func(t *testing.T) {
@@ -274,7 +269,7 @@
 				options := standin.ModelDefaults()
 				options.Capabilities.OnDisconnect = behaviour
 				server, client := newFixture(t).start(options)
-				outcome, err := client.Run(t.Context(), chat("r.1"), stopAt(2))
+				outcome, err := client.Run(t.Context(), chatRequest("r.1"), failAfterToken(2))
 				require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 				require.ErrorIs(t, err, errStop)
 				assert.Equal(t, 3, outcome.Tokens)
@@ -296,9 +291,9 @@
 	}
 }
 
-// Symptom: a resumed answer repeats or misses words, or its prompt is computed
-// again. Sequence: the connection breaks after three tokens and the stream goes
-// on from there. Cause: an engine that begins anew, or a wrong position.
+// Guards against a resumed answer that repeats or omits tokens, and against an unnecessary
+// prefill. The connection breaks after three tokens, and the stream continues from that
+// position on the same engine or on another one.
 func TestResume(t *testing.T) {
 	cases := map[string]struct {
 		elsewhere, kv, body bool
@@ -315,7 +310,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t)
 				server, client := f.start(standin.ModelDefaults())
-				_, err := client.Run(t.Context(), chat("r.1"), stopAt(2))
+				_, err := client.Run(t.Context(), chatRequest("r.1"), failAfterToken(2))
 				require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 				kv, err := client.ExportKV(t.Context(), "r.1")
 				require.NoError(t, err)
@@ -344,7 +339,7 @@
 				assert.Equal(t, engine.EndCompleted, outcome.End)
 				assert.Equal(t, 8, outcome.Tokens)
 				assert.Equal(t, 3, sink.chunks[0].Index)
-				assert.Equal(t, wholeText(t, 8), wholeText(t, 3)+sink.text())
+				assert.Equal(t, expectedText(t, 8), expectedText(t, 3)+sink.text())
 				assert.Equal(t, c.prefill, server.Stats().PrefillTokens-before)
 				assert.Zero(t, server.Stats().Overlaps)
 			})
@@ -352,9 +347,9 @@
 	}
 }
 
-// Symptom: an order of a deposed leader undoes a newer one. Sequence: an order
-// with fence number 4 arrives after one with 5. Cause: some engines refuse it
-// and others obey, which the agent in front of them has to know.
+// Guards against an order of a deposed leader that undoes a newer one. An order with fence
+// number 4 arrives after one with 5; some engines refuse it and others carry it out, as
+// announced in their capabilities.
 func TestOrders(t *testing.T) {
 	for _, fencing := range []engine.Fencing{engine.FencingRefuses, engine.FencingIgnores} {
 		t.Run(string(fencing), func(t *testing.T) {
@@ -392,20 +387,19 @@
 	}
 }
 
-// Symptom: the whole process gives up at a frozen engine. Sequence: the engine
-// accepts and says nothing; the agent's own deadline passes. Cause: none of the
-// calls has a bound of its own but its context.
-func TestFrozenEngineEndsWithTheContext(t *testing.T) {
+// Guards against a call that blocks forever on a frozen engine. The engine accepts the
+// connection and does not respond; only the deadline of the context ends the call.
+func TestRunReturnsAtContextDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ServiceDefaults())
 		require.NoError(t, server.SetFaults(standin.Faults{FreezeMs: 60_000}))
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		_, err := client.Run(ctx, issue("r.1"), new(recorder))
+		_, err := client.Run(ctx, passRequest("r.1"), new(recorder))
 		require.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Empty(t, server.Runs())
 		time.Sleep(time.Minute)
-		assert.Equal(t, 1, server.Runs()["key-1"], "it ran after all, which is why the outcome is unknown")
+		assert.Equal(t, 1, server.Runs()["key-1"], "the call runs after the freeze, so its outcome was unknown at the deadline")
 	})
 }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -6,50 +6,49 @@
 
 // Errors of a [Client], to be matched with errors.Is.
 var (
-	// ErrNeverSent: no connection was made, so no byte of the call left
-	// this process. The engine never saw it.
+	// ErrNeverSent means that no connection was made, so no byte of the call left this process
+	// and the engine never received it.
 	ErrNeverSent = errors.New("never sent")
-	// ErrUnreachable: no connection could be made though the call had time
-	// for it. It comes together with ErrNeverSent.
+	// ErrUnreachable means that no connection could be made before the deadline of the call. It
+	// is always joined with ErrNeverSent.
 	ErrUnreachable = errors.New("unreachable")
-	// ErrOutcomeUnknown: the call failed after a connection was given to it. The
-	// engine may have seen it, may have run it and may be running it still.
+	// ErrOutcomeUnknown means that the call failed after it was given a connection. The engine
+	// may have received it, may have run it, and may still be running it.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrDuplicate: the engine refused the call because an attempt of the
-	// same identity runs there already.
+	// ErrDuplicate means that the engine refused the call because it is already running an
+	// attempt with the same ID.
 	ErrDuplicate = errors.New("duplicate attempt")
-	// ErrUnknownStream: the engine says that it holds no such stream.
+	// ErrUnknownStream means that the engine reports that it holds no such stream.
 	ErrUnknownStream = errors.New("unknown stream")
-	// ErrUnsupported: the backend server doesn't have this call.
+	// ErrUnsupported means that the backend server does not offer this call.
 	ErrUnsupported = errors.New("call not supported")
-	// ErrRefused: the engine refused the call, other than a run.
+	// ErrRefused means that the engine refused a call other than a run.
 	ErrRefused = errors.New("refused")
-	// ErrTooLarge: what the engine sent exceeds a limit of the adapter. It
-	// comes together with ErrOutcomeUnknown.
+	// ErrTooLarge means that a response exceeds a limit of the adapter. It is always joined
+	// with ErrOutcomeUnknown.
 	ErrTooLarge = errors.New("over the size limit")
-	// ErrIncomplete: what the engine sent stopped before its end, such as a
-	// stream without "[DONE]". It comes together with ErrOutcomeUnknown.
-	ErrIncomplete = errors.New("ended before its end")
-	// ErrReplaced: another backend server has the address and refused the
-	// request that was meant for its predecessor. It comes together with
-	// ErrNeverSent.
-	ErrReplaced = errors.New("another server has the address")
-	// ErrInvalid: the request can't be sent as it is, such as a model body
-	// that is no JSON object. It comes together with ErrNeverSent.
+	// ErrIncomplete means that a response was truncated, such as a stream without "[DONE]". It
+	// is always joined with ErrOutcomeUnknown.
+	ErrIncomplete = errors.New("response truncated")
+	// ErrReplaced means that a different backend server has taken over the address and refused
+	// the request that was meant for its predecessor. It is always joined with ErrNeverSent.
+	ErrReplaced = errors.New("address taken over by another server")
+	// ErrInvalid means that the request cannot be sent, such as a model body that is not a JSON
+	// object. It is always joined with ErrNeverSent.
 	ErrInvalid = errors.New("invalid request")
 )
 
-// CallError is a failed call. It matches both its Class, one of the errors
-// above, and its cause.
+// CallError is a failed call. It matches both its Class, one of the errors above, and its
+// cause.
 type CallError struct {
 	// Call is the method's name in lower case.
 	Call string
-	// ID is the attempt, empty for calls without one.
+	// ID identifies the attempt; empty for calls without one.
 	ID AttemptID
-	// Class is ErrNeverSent, ErrOutcomeUnknown, ErrDuplicate, ErrUnknownStream,
-	// ErrRefused or ErrUnsupported.
+	// Class is ErrNeverSent, ErrOutcomeUnknown, ErrDuplicate, ErrUnknownStream, ErrRefused or
+	// ErrUnsupported.
 	Class error
-	// Err is the cause; nil if the class says it all.
+	// Err is the cause; nil if Class is sufficient.
 	Err error
 }
 
@@ -66,7 +65,7 @@
 	return text
 }
 
-// Unwrap gives the class and the cause.
+// Unwrap returns the class and the cause.
 func (e *CallError) Unwrap() []error {
 	if e.Err == nil {
 		return []error{e.Class}
--- a/engine/helper_test.go
+++ b/engine/helper_test.go
@@ -15,8 +15,7 @@
 
 const chatBody = `{"model":"sample","messages":[{"role":"user","content":"May I appeal the refusal of my permit for the site?"}],"max_tokens":8}`
 
-// fixture is a network of stand-ins that share a ledger. It lives in a
-// synctest bubble.
+// fixture is a network of stand-ins that share a ledger. It is used in a synctest bubble.
 type fixture struct {
 	t       *testing.T
 	network *memory.Network
@@ -32,8 +31,7 @@
 	}
 }
 
-// start runs a stand-in and gives it with a client to it. Both end with the
-// test.
+// start runs a stand-in and returns it with a client. Both are stopped when the test ends.
 func (f *fixture) start(options standin.Options) (*standin.Server, *engine.HTTP) {
 	f.servers++
 	host := fmt.Sprintf("10.0.1.%d", f.servers)
@@ -63,17 +61,17 @@
 	return client
 }
 
-// recorder is a sink that keeps what it gets.
+// recorder is a sink that stores its input.
 type recorder struct {
-	chunks  []engine.Chunk
-	payload []string
-	answers []engine.Answer
-	// onToken is called after each token, if set.
+	chunks   []engine.Chunk
+	payloads []string
+	answers  []engine.Answer
+	// onToken is called after each token unless nil.
 	onToken func(index int) error
 }
 
 func (r *recorder) Chunk(chunk engine.Chunk) error {
-	r.payload = append(r.payload, string(chunk.Data))
+	r.payloads = append(r.payloads, string(chunk.Data))
 	chunk.Data = nil
 	r.chunks = append(r.chunks, chunk)
 	if chunk.Tokens > 0 && r.onToken != nil {
@@ -87,12 +85,12 @@
 	return nil
 }
 
-// text joins the contents of the chunks, which in the stand-in's words hold no
+// text returns the concatenated contents of the chunks. The stand-in's words contain no JSON
 // escapes.
 func (r *recorder) text() string {
 	var joined strings.Builder
-	for at, payload := range r.payload {
-		if r.chunks[at].Tokens == 0 {
+	for i, payload := range r.payloads {
+		if r.chunks[i].Tokens == 0 {
 			continue
 		}
 		_, rest, found := strings.Cut(payload, `"content":"`)
@@ -105,11 +103,11 @@
 	return joined.String()
 }
 
-func chat(id engine.AttemptID) engine.Request {
+func chatRequest(id engine.AttemptID) engine.Request {
 	return engine.Request{ID: id, Kind: engine.KindModel, Path: "/v1/chat/completions", Body: []byte(chatBody)}
 }
 
-func issue(id engine.AttemptID) engine.Request {
+func passRequest(id engine.AttemptID) engine.Request {
 	return engine.Request{
 		ID:             id,
 		Kind:           engine.KindService,
@@ -119,7 +117,7 @@
 	}
 }
 
-func wholeText(t *testing.T, count int) string {
+func expectedText(t *testing.T, count int) string {
 	text, err := standin.Text([]byte(chatBody), "sample", count)
 	require.NoError(t, err)
 	return text
--- a/engine/http.go
+++ b/engine/http.go
@@ -21,18 +21,17 @@
 	DefaultIdleTimeout    = 30 * time.Second
 )
 
-// HTTPOptions are the settings of an [HTTP] adapter. Zero values mean the
-// defaults above.
+// HTTPOptions are the settings of an [HTTP] adapter. Zero values mean the defaults above.
 type HTTPOptions struct {
-	// MaxAnswerBytes bounds an answer that is not a stream.
+	// MaxAnswerBytes limits a response that is not a stream.
 	MaxAnswerBytes int64
-	// MaxEventBytes bounds one line of a stream.
+	// MaxEventBytes limits one line of a stream and the data of one event.
 	MaxEventBytes int
-	// MaxKVBytes bounds an exported KV cache.
+	// MaxKVBytes limits an exported KV cache.
 	MaxKVBytes int64
-	// MaxIdleConns bounds the idle connections.
+	// MaxIdleConns limits the number of idle connections.
 	MaxIdleConns int
-	// IdleTimeout closes idle connections.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
 	// Network makes the connections; nil means network.TCP.
 	Network network.Network
@@ -60,7 +59,7 @@
 	return o
 }
 
-// HTTP is the [Client] of the protocol that package standin speaks.
+// HTTP is the [Client] for the protocol that package standin implements.
 type HTTP struct {
 	ObserverHolder
 
@@ -74,9 +73,9 @@
 	_ Observable = (*HTTP)(nil)
 )
 
-// NewHTTP makes an adapter to the backend server at a base URL such as
-// "http://127.0.0.1:9000". It fails if the address is no such URL, and
-// connects to nothing.
+// NewHTTP returns an adapter for the backend server at a base URL such as
+// "http://127.0.0.1:9000". It fails if address is not an http or https URL. It does not open a
+// connection.
 func NewHTTP(address string, options HTTPOptions) (*HTTP, error) {
 	base, err := url.Parse(address)
 	if err != nil {
@@ -93,9 +92,9 @@
 	}, nil
 }
 
-// newTransport makes the transport. It takes no proxy from the environment and
-// speaks HTTP/1.1 only: HTTP/2 repeats a request by itself on some refused
-// streams, and one lost connection would end every attempt at once.
+// newTransport returns the transport. It ignores proxy settings of the environment and speaks
+// HTTP/1.1 only: HTTP/2 retries some refused streams by itself, and one lost connection would
+// end all attempts at the same time.
 func newTransport(options HTTPOptions) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -114,5 +113,5 @@
 	}
 }
 
-// Close closes idle connections. Calls in progress go on.
+// Close closes idle connections. Calls in progress continue.
 func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
--- a/engine/http_call.go
+++ b/engine/http_call.go
@@ -24,8 +24,8 @@
 	path   string
 	body   []byte
 	header http.Header
-	// repeatable marks a report: reading it twice does no harm.
-	repeatable bool
+	// idempotent marks a read-only call, which net/http may retry.
+	idempotent bool
 }
 
 func (c call) fail(class, cause error) error {
@@ -37,29 +37,28 @@
 	}
 }
 
-// unread marks what the adapter could not read to its end: it may have run.
-func (c call) unread(cause error) error {
+// readError wraps an error that occurred while a response was read. The call may have run.
+func (c call) readError(cause error) error {
 	if errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) {
 		cause = errors.Join(ErrIncomplete, cause)
 	}
 	return c.fail(ErrOutcomeUnknown, cause)
 }
 
-// singleBody gives a request body that can be sent once only. net/http sends a
-// request again on another connection, without a word, if an idle connection
-// turns out to be closed and the request counts as idempotent: which any POST
-// does that has an Idempotency-Key header and either no body or one that
-// GetBody gives again. A server that closed the connection after it read the
-// call would then run it twice. A body that is not nil, empty or not, without
-// GetBody prevents that. It has a type that net/http knows to be in memory:
-// else headers and body would go out in two writes.
-func singleBody(body []byte) io.ReadCloser {
+// nonReplayableBody returns a request body that net/http cannot send twice. net/http silently
+// retries a request on another connection if an idle connection turns out to be closed and the
+// request counts as idempotent, which includes any POST with an Idempotency-Key header and
+// either no body or one with GetBody. A server that closed the connection after it read the
+// call would then run it twice. A non-nil body without GetBody, even if empty, prevents the
+// retry. The body is of a type that net/http recognises as held in memory; otherwise headers
+// and body would go out in two writes.
+func nonReplayableBody(body []byte) io.ReadCloser {
 	return io.NopCloser(bytes.NewReader(body))
 }
 
-// send sends the call once and gives the answer's head. Its error is
-// ErrNeverSent only if no connection was ever given to the call; with a
-// connection the bytes may be on their way, also after this returns.
+// send sends the call once and returns the response with its body unread. The error matches
+// ErrNeverSent only if the call was never given a connection; with a connection, bytes may
+// still be in transit after send returns.
 func (h *HTTP) send(ctx context.Context, c call) (*http.Response, error) {
 	request, err := h.newRequest(c)
 	if err != nil {
@@ -70,12 +69,12 @@
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, trace))
-	// The transport and not http.Client: a client follows redirects, which
-	// would run the call at a second place.
-	asked := time.Now()
+	// The transport is used directly because an http.Client follows redirects, which would run
+	// the call in a second place.
+	sentAt := time.Now()
 	response, err := h.transport.RoundTrip(request)
 	if err == nil {
-		h.observe(c, asked, response)
+		h.observe(c, sentAt, response)
 		return response, nil
 	}
 	if !connected.Load() {
@@ -84,7 +83,7 @@
 		}
 		return nil, c.fail(ErrNeverSent, err)
 	}
-	return nil, c.unread(err)
+	return nil, c.readError(err)
 }
 
 func (h *HTTP) newRequest(c call) (*http.Request, error) {
@@ -100,16 +99,16 @@
 	if request.Header == nil {
 		request.Header = make(http.Header)
 	}
-	if !c.repeatable {
-		request.Body = singleBody(c.body)
+	if !c.idempotent {
+		request.Body = nonReplayableBody(c.body)
 		request.ContentLength = int64(len(c.body))
 	}
 	return request, nil
 }
 
-// target joins a path to the base URL. Part of a service's path is its
-// caller's: one that names another host, or climbs out of its place with dot
-// segments, would reach calls that are not for callers, such as cancel.
+// target joins a path to the base URL. Part of a service's path is chosen by the caller: a path
+// that names another host, or leaves its prefix through dot segments, could reach calls that
+// callers may not make, such as cancel.
 func (h *HTTP) target(path string) (*url.URL, error) {
 	reference, err := url.ParseRequestURI(path)
 	if err != nil {
@@ -129,26 +128,26 @@
 	return &target, nil
 }
 
-// readWhole reads an answer to its end. A body that ends with its connection
-// has no mark of its end, so a cut one looks whole: it counts only as a JSON
-// value that shows its own end.
+// readWhole reads a response to its end. A body delimited only by the end of its connection
+// cannot be told from a truncated one, so it is accepted only if it is a JSON value that marks
+// its own end.
 func (c call) readWhole(response *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return nil, c.unread(err)
+		return nil, c.readError(err)
 	}
 	if int64(len(body)) > limit {
 		return nil, c.fail(ErrOutcomeUnknown, ErrTooLarge)
 	}
-	endless := response.ContentLength < 0 && len(response.TransferEncoding) == 0
-	if endless && !showsEnd(body) {
+	closeDelimited := response.ContentLength < 0 && len(response.TransferEncoding) == 0
+	if closeDelimited && !selfDelimiting(body) {
 		return nil, c.fail(ErrOutcomeUnknown, ErrIncomplete)
 	}
 	return body, nil
 }
 
-// showsEnd says whether body is a JSON object, array or string.
-func showsEnd(body []byte) bool {
+// selfDelimiting reports whether body is a JSON object, array or string.
+func selfDelimiting(body []byte) bool {
 	trimmed := bytes.TrimSpace(body)
 	if len(trimmed) == 0 || !strings.ContainsRune(`{["`, rune(trimmed[0])) {
 		return false
@@ -156,8 +155,8 @@
 	return json.Valid(trimmed)
 }
 
-// exchange makes a call whose answer is whole, and gives the body of a status
-// 200 or 204.
+// exchange makes a call whose response is not a stream, and returns the body of a status 200 or
+// 204.
 func (h *HTTP) exchange(ctx context.Context, c call, limit int64) ([]byte, error) {
 	response, err := h.send(ctx, c)
 	if err != nil {
@@ -171,25 +170,25 @@
 	if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNoContent {
 		return body, nil
 	}
-	return nil, c.refusal(response.StatusCode, body)
+	return nil, c.statusError(response.StatusCode, body)
 }
 
-// exchangeJSON makes a call whose answer is JSON.
+// exchangeJSON makes a call whose response is JSON and decodes it into answer.
 func (h *HTTP) exchangeJSON(ctx context.Context, c call, answer any) error {
 	body, err := h.exchange(ctx, c, h.options.MaxAnswerBytes)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
-		return c.fail(ErrOutcomeUnknown, errors.Wrap(err, "engine answer"))
+		return c.fail(ErrOutcomeUnknown, errors.Wrap(err, "decode engine response"))
 	}
 	return nil
 }
 
-// refusal gives the error of a status other than 200. A bare 404 is a missing
-// call and not a missing stream: taking it for one would prove an end that
-// nobody vouched for.
-func (c call) refusal(status int, body []byte) error {
+// statusError returns the error for an unsuccessful status. A plain 404 means a missing call,
+// not a missing stream: treating it as a missing stream would report an end that the engine did
+// not confirm.
+func (c call) statusError(status int, body []byte) error {
 	detail := parseError(body)
 	cause := errors.Errorf("status %d %s: %s", status, detail.Type, detail.Message)
 	switch {
@@ -206,7 +205,7 @@
 	}
 }
 
-// parseError reads an error body; it is empty if body is none.
+// parseError decodes an error body. It returns the zero value if body is not one.
 func parseError(body []byte) ErrorDetail {
 	var parsed ErrorBody
 	if json.Unmarshal(body, &parsed) != nil || parsed.Error == nil {
@@ -215,8 +214,8 @@
 	return *parsed.Error
 }
 
-// marshal gives the JSON of a value that can't fail to have one.
-func marshal(value any) []byte {
+// mustMarshal returns the JSON encoding of a value. It panics if the value has none.
+func mustMarshal(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
--- a/engine/http_report.go
+++ b/engine/http_report.go
@@ -28,7 +28,7 @@
 	}
 	ended := answer.State == CancelStateCancelled || answer.State == CancelStateFinished
 	if answer.ID != id || !ended {
-		return CancelNone, c.fail(ErrOutcomeUnknown, errors.Errorf("engine says %s is %q", answer.ID, answer.State))
+		return CancelNone, c.fail(ErrOutcomeUnknown, errors.Errorf("engine reports stream %s as %q", answer.ID, answer.State))
 	}
 	return CancelConfirmed, nil
 }
@@ -36,13 +36,13 @@
 // Streams implements [Client].
 func (h *HTTP) Streams(ctx context.Context) ([]StreamInfo, error) {
 	var answer StreamsAnswer
-	err := h.exchangeJSON(ctx, get("streams", "/v1/streams"), &answer)
+	err := h.exchangeJSON(ctx, getCall("streams", "/v1/streams"), &answer)
 	return answer.Streams, err
 }
 
 // ExportKV implements [Client].
 func (h *HTTP) ExportKV(ctx context.Context, id AttemptID) ([]byte, error) {
-	c := get("export_kv", kvPath(id))
+	c := getCall("export_kv", kvPath(id))
 	c.id = id
 	return h.exchange(ctx, c, h.options.MaxKVBytes)
 }
@@ -63,7 +63,7 @@
 // Load implements [Client].
 func (h *HTTP) Load(ctx context.Context) (Load, error) {
 	var answer Load
-	err := h.exchangeJSON(ctx, get("load", "/v1/load"), &answer)
+	err := h.exchangeJSON(ctx, getCall("load", "/v1/load"), &answer)
 	return answer, err
 }
 
@@ -71,7 +71,7 @@
 func (h *HTTP) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	path := "/v1/cache/events?after=" + strconv.FormatUint(after, 10)
 	var answer CacheEventsAnswer
-	err := h.exchangeJSON(ctx, get("cache_events", path), &answer)
+	err := h.exchangeJSON(ctx, getCall("cache_events", path), &answer)
 	return answer.Events, err
 }
 
@@ -81,7 +81,7 @@
 		name:   "order",
 		method: http.MethodPost,
 		path:   "/v1/orders",
-		body:   marshal(order),
+		body:   mustMarshal(order),
 		header: http.Header{"Content-Type": {ContentTypeJSON}},
 	}
 	response, err := h.send(ctx, c)
@@ -96,23 +96,23 @@
 	return c.orderResult(response.StatusCode, body)
 }
 
-func get(name, path string) call {
+func getCall(name, path string) call {
 	return call{
 		name:       name,
 		method:     http.MethodGet,
 		path:       path,
-		repeatable: true,
+		idempotent: true,
 	}
 }
 
 func kvPath(id AttemptID) string { return "/v1/kv/" + url.PathEscape(string(id)) }
 
-// orderResult reads an order's answer, which has the same form whether the
-// order was accepted (200, 202) or refused (400, 409).
+// orderResult decodes the response to an order, which has the same form whether the order was
+// accepted (200, 202) or refused (400, 409).
 func (c call) orderResult(status int, body []byte) (OrderResult, error) {
 	var result OrderResult
 	if err := json.Unmarshal(body, &result); err != nil || result.State == "" {
-		return OrderResult{}, c.refusal(status, body)
+		return OrderResult{}, c.statusError(status, body)
 	}
 	return result, nil
 }
--- a/engine/http_run.go
+++ b/engine/http_run.go
@@ -28,7 +28,7 @@
 	if request.Kind == KindService {
 		return h.runService(ctx, c, sink)
 	}
-	body, err := streamBody(request.Body)
+	body, err := streamingBody(request.Body)
 	if err != nil {
 		return Outcome{}, c.fail(ErrNeverSent, errors.Join(ErrInvalid, err))
 	}
@@ -46,16 +46,16 @@
 		header: attemptHeader(Request{ID: id}),
 	}
 	if len(body) > 0 {
-		shaped, err := streamBody(body)
+		streaming, err := streamingBody(body)
 		if err != nil {
 			return Outcome{Tokens: from}, c.fail(ErrNeverSent, errors.Join(ErrInvalid, err))
 		}
-		c.body = shaped
+		c.body = streaming
 	}
 	return h.runModel(ctx, c, from, sink)
 }
 
-// attemptHeader copies the caller's headers and sets the adapter's own.
+// attemptHeader returns the caller's headers to forward, with the adapter's own headers set.
 func attemptHeader(request Request) http.Header {
 	header := request.Header.Clone()
 	if header == nil {
@@ -77,9 +77,9 @@
 	return header
 }
 
-// streamBody puts "stream" and the wish for a usage count in a completion body
-// and keeps all other fields. Streams can be resumed, whole answers can't.
-func streamBody(body []byte) ([]byte, error) {
+// streamingBody sets "stream" and requests a usage count in a completion body, and keeps all
+// other fields. A stream can be resumed; a response in one piece cannot.
+func streamingBody(body []byte) ([]byte, error) {
 	fields, err := objectFields(body)
 	if err != nil {
 		return nil, err
@@ -102,13 +102,13 @@
 		return nil, errors.Wrap(err, "body")
 	}
 	if fields == nil {
-		return nil, errors.New("body is no JSON object")
+		return nil, errors.New("body is not a JSON object")
 	}
 	return fields, nil
 }
 
-// marshalFields writes the fields in the order of their names, so that equal
-// bodies stay equal. It leaves the characters of HTML as they are.
+// marshalFields encodes the fields sorted by name, so that equal bodies have equal encodings.
+// It does not escape HTML characters.
 func marshalFields(fields map[string]json.RawMessage) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -126,23 +126,23 @@
 	}
 	defer closeBody(response)
 	outcome := Outcome{Status: response.StatusCode}
-	if err := h.handAnswer(c, response, sink); err != nil {
+	if err := h.readAndDeliver(c, response, sink); err != nil {
 		return outcome, err
 	}
 	outcome.End = EndCompleted
 	return outcome, nil
 }
 
-// handAnswer reads an answer to its end before it hands it over.
-func (h *HTTP) handAnswer(c call, response *http.Response, sink Sink) error {
+// readAndDeliver reads a response to its end and then passes it to the sink.
+func (h *HTTP) readAndDeliver(c call, response *http.Response, sink Sink) error {
 	body, err := c.readWhole(response, h.options.MaxAnswerBytes)
 	if err != nil {
 		return err
 	}
-	return c.hand(response, body, sink)
+	return c.deliver(response, body, sink)
 }
 
-func (c call) hand(response *http.Response, body []byte, sink Sink) error {
+func (c call) deliver(response *http.Response, body []byte, sink Sink) error {
 	answer := Answer{
 		Status:      response.StatusCode,
 		ContentType: response.Header.Get("Content-Type"),
@@ -165,10 +165,10 @@
 		Tokens: from,
 	}
 	if response.StatusCode != http.StatusOK {
-		return h.modelRefusal(c, response, outcome, sink)
+		return h.deliverRefusal(c, response, outcome, sink)
 	}
 	if !isStream(response) {
-		if err := h.handAnswer(c, response, sink); err != nil {
+		if err := h.readAndDeliver(c, response, sink); err != nil {
 			return outcome, err
 		}
 		outcome.End = EndCompleted
@@ -180,27 +180,27 @@
 		outcome: outcome,
 	}
 	if err := stream.read(response.Body, h.options.MaxEventBytes); err != nil {
-		// At once: some engines cancel at a lost connection, and every
-		// moment until then is computed for nobody.
+		// Close immediately: some engines cancel on disconnect, and until then they compute
+		// output that is discarded.
 		_ = response.Body.Close()
 		return stream.outcome, err
 	}
 	return stream.outcome, nil
 }
 
-// modelRefusal takes a status other than 200. Only a duplicate leaves the
-// attempt running; a stream that the engine doesn't know is the resume's own
-// error; everything else is an end.
-func (h *HTTP) modelRefusal(c call, response *http.Response, outcome Outcome, sink Sink) (Outcome, error) {
+// deliverRefusal handles a status other than 200. After a duplicate the attempt is still
+// running; a stream unknown to the engine is reported as the error of Resume; any other status
+// ends the attempt.
+func (h *HTTP) deliverRefusal(c call, response *http.Response, outcome Outcome, sink Sink) (Outcome, error) {
 	body, err := c.readWhole(response, h.options.MaxAnswerBytes)
 	if err != nil {
 		return outcome, err
 	}
 	detail := parseError(body)
 	if detail.Type == TypeDuplicate || detail.Type == TypeUnknownStream {
-		return outcome, c.refusal(response.StatusCode, body)
+		return outcome, c.statusError(response.StatusCode, body)
 	}
-	if err := c.hand(response, body, sink); err != nil {
+	if err := c.deliver(response, body, sink); err != nil {
 		return outcome, err
 	}
 	outcome.End = EndFailed
--- a/engine/http_stream.go
+++ b/engine/http_stream.go
@@ -11,12 +11,13 @@
 
 // Bounds on reading what follows the last event of a stream.
 const (
+	// drainBytes and drainTimeout bound the reading of data after the last event of a stream.
 	drainBytes   = 4 << 10
 	drainTimeout = 100 * time.Millisecond
 )
 
-// payload is what the adapter reads of a stream's events. Both completion
-// formats fit in.
+// payload holds the fields that the adapter reads from a stream event. It covers both
+// completion formats.
 type payload struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -29,8 +30,8 @@
 	Error *ErrorDetail `json:"error"`
 }
 
-// tokens counts a payload with text as one token. An engine that packs several
-// tokens in a payload needs another adapter.
+// tokens counts a payload with text as one token. An engine that sends several tokens in one
+// payload needs a different adapter.
 func (p *payload) tokens() int {
 	for _, choice := range p.Choices {
 		if choice.Text != "" || choice.Delta.Content != "" {
@@ -40,7 +41,7 @@
 	return 0
 }
 
-// streamReader hands one stream over to a sink.
+// streamReader passes the events of one stream to a sink.
 type streamReader struct {
 	call    call
 	sink    Sink
@@ -54,28 +55,28 @@
 	for s.outcome.End == EndUnknown {
 		data, err := events.next()
 		if err != nil {
-			return s.call.unread(err)
+			return s.call.readError(err)
 		}
-		if err := s.event(data); err != nil {
+		if err := s.handleEvent(data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *streamReader) event(data []byte) error {
+func (s *streamReader) handleEvent(data []byte) error {
 	if string(data) == StreamDone {
-		return s.done()
+		return s.finish()
 	}
 	var parsed payload
 	if err := json.Unmarshal(data, &parsed); err != nil {
-		return s.call.fail(ErrOutcomeUnknown, errors.Wrap(err, "stream payload"))
+		return s.call.fail(ErrOutcomeUnknown, errors.Wrap(err, "decode stream payload"))
 	}
 	if parsed.Error != nil {
-		s.engineError(*parsed.Error)
+		s.endWithError(*parsed.Error)
 		return nil
 	}
-	s.note(&parsed)
+	s.recordMetadata(&parsed)
 	chunk := Chunk{
 		Index:     s.outcome.Tokens,
 		Tokens:    parsed.tokens(),
@@ -89,7 +90,7 @@
 	return nil
 }
 
-func (s *streamReader) note(parsed *payload) {
+func (s *streamReader) recordMetadata(parsed *payload) {
 	for _, choice := range parsed.Choices {
 		if choice.FinishReason != nil {
 			s.outcome.FinishReason = *choice.FinishReason
@@ -103,18 +104,18 @@
 	s.outcome.CachedPromptTokens = parsed.Usage.PromptDetails.CachedTokens
 }
 
-// done takes the end mark. The engine's own count of tokens is compared with
-// what arrived: a difference means that the answer isn't whole.
-func (s *streamReader) done() error {
+// finish handles the end marker. It compares the engine's own token count with the number of
+// tokens received: a difference means that the answer is incomplete.
+func (s *streamReader) finish() error {
 	if s.usage != nil && s.usage.CompletionTokens != s.outcome.Tokens {
-		cause := errors.Errorf("%d tokens arrived of %d", s.outcome.Tokens, s.usage.CompletionTokens)
+		cause := errors.Errorf("received %d of %d tokens", s.outcome.Tokens, s.usage.CompletionTokens)
 		return s.call.fail(ErrOutcomeUnknown, errors.Join(ErrIncomplete, cause))
 	}
 	s.outcome.End = EndCompleted
 	return nil
 }
 
-func (s *streamReader) engineError(detail ErrorDetail) {
+func (s *streamReader) endWithError(detail ErrorDetail) {
 	s.outcome.End = EndFailed
 	if detail.Type == TypeCancelled {
 		s.outcome.End = EndCancelled
@@ -124,9 +125,9 @@
 
 func (d ErrorDetail) notStarted() bool { return d.Started != nil && !*d.Started }
 
-// closeBody closes an answer. It reads the little that may be left first, since
-// a connection with unread bytes can't be used again, and gives up after a
-// moment on an engine that doesn't end its answer.
+// closeBody closes a response body. It first reads a small remainder, because a connection with
+// unread bytes cannot be reused, and stops after drainTimeout if the engine does not end its
+// response.
 func closeBody(response *http.Response) {
 	timer := time.AfterFunc(drainTimeout, func() { _ = response.Body.Close() })
 	defer timer.Stop()
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -15,16 +15,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-type nullSink struct{ answers, chunks int }
+type countingSink struct{ answers, chunks int }
 
-func (s *nullSink) Chunk(Chunk) error   { s.chunks++; return nil }
-func (s *nullSink) Answer(Answer) error { s.answers++; return nil }
+func (s *countingSink) Chunk(Chunk) error   { s.chunks++; return nil }
+func (s *countingSink) Answer(Answer) error { s.answers++; return nil }
 
-// closingServer answers the first request of each connection and closes the
-// connection after it has read the second.
+// closingServer answers the first request of each connection, and closes the connection after
+// it has read the second.
 type closingServer struct {
 	listener net.Listener
-	seen     atomic.Int32
+	requests atomic.Int32
 }
 
 func startClosingServer(t *testing.T) *closingServer {
@@ -55,18 +55,17 @@
 			return
 		}
 		_, _ = bufio.NewReader(request.Body).WriteTo(new(strings.Builder))
-		s.seen.Add(1)
+		s.requests.Add(1)
 		if number == 0 {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
 		}
 	}
 }
 
-// Symptom: a pass is issued twice. Sequence: a call with an Idempotency-Key goes
-// out on an idle connection; the service runs it and dies, which closes the
-// connection before any answer. Cause: net/http takes the key for a permission
-// to send the call again on a new connection, silently.
-func TestRunIsNeverReplayed(t *testing.T) {
+// Guards against a call that runs twice. The service runs a call with an Idempotency-Key from
+// an idle connection and closes the connection before it responds; net/http takes the key as
+// permission to send the call again on a new connection.
+func TestRunIsNotRetriedByTransport(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		for _, body := range []string{"", `{"pass":1}`} {
 			t.Run(method+" "+body, func(t *testing.T) {
@@ -83,11 +82,11 @@
 					IdempotencyKey: "key-1",
 					Header:         http.Header{"X-Idempotency-Key": {"key-1"}},
 				}
-				_, err = client.Run(t.Context(), request, new(nullSink))
+				_, err = client.Run(t.Context(), request, new(countingSink))
 				require.NoError(t, err)
-				_, err = client.Run(t.Context(), request, new(nullSink))
+				_, err = client.Run(t.Context(), request, new(countingSink))
 				require.ErrorIs(t, err, ErrOutcomeUnknown)
-				assert.EqualValues(t, 2, server.seen.Load())
+				assert.EqualValues(t, 2, server.requests.Load())
 			})
 		}
 	}
@@ -98,7 +97,7 @@
 	require.NoError(t, err)
 	address := "http://" + listener.Addr().String()
 	require.NoError(t, listener.Close())
-	ended, stop := context.WithCancel(t.Context())
+	cancelled, stop := context.WithCancel(t.Context())
 	stop()
 	cases := map[string]struct {
 		ctx  context.Context
@@ -106,7 +105,7 @@
 		body string
 	}{
 		"refused":         {ctx: t.Context(), path: "/p"},
-		"context ended":   {ctx: ended, path: "/p"},
+		"context ended":   {ctx: cancelled, path: "/p"},
 		"other host":      {ctx: t.Context(), path: "http://127.0.0.2/p"},
 		"relative":        {ctx: t.Context(), path: "p"},
 		"climbing":        {ctx: t.Context(), path: "/v1/services/x/../../streams/y/cancel"},
@@ -116,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			client, err := NewHTTP(address, HTTPOptions{})
 			require.NoError(t, err)
-			_, err = client.Run(c.ctx, Request{ID: "r.1", Kind: KindService, Path: c.path}, new(nullSink))
+			_, err = client.Run(c.ctx, Request{ID: "r.1", Kind: KindService, Path: c.path}, new(countingSink))
 			assert.ErrorIs(t, err, ErrNeverSent)
 			assert.NotErrorIs(t, err, ErrOutcomeUnknown)
 		})
@@ -128,40 +127,40 @@
 	require.NoError(t, err)
 	for _, body := range []string{"", "null", "[]", "{", `"x"`} {
 		request := Request{ID: "r.1", Kind: KindModel, Path: "/v1/completions", Body: []byte(body)}
-		_, err := client.Run(t.Context(), request, new(nullSink))
+		_, err := client.Run(t.Context(), request, new(countingSink))
 		assert.ErrorIs(t, err, ErrInvalid, body)
 		assert.ErrorIs(t, err, ErrNeverSent, body)
 	}
 }
 
-// Symptom: a caller gets a fragment, or more than fits in memory. Sequence: the
-// engine's answer stops before its end, never ends, or leads elsewhere. Cause: an
-// answer's end is taken from the end of its connection.
-func TestAnswersThatAreNotWhole(t *testing.T) {
+// Guards against delivering a truncated or oversized response. The engine's response stops
+// before its end, never ends, or is a redirect; the end of the connection alone must not count
+// as the end of the response.
+func TestIncompleteAnswers(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
 	const stream = head + "Content-Type: text/event-stream\r\n\r\n"
-	const one = `data: {"choices":[{"text":"a"}]}` + "\n\n"
+	const tokenEvent = `data: {"choices":[{"text":"a"}]}` + "\n\n"
 	cases := map[string]struct {
-		kind   Kind
-		answer string
-		cause  error
-		whole  bool
+		kind     Kind
+		answer   string
+		cause    error
+		complete bool
 	}{
 		"short of its length":       {kind: KindService, answer: head + "Content-Length: 9\r\n\r\n{}", cause: ErrIncomplete},
 		"no last chunk":             {kind: KindService, answer: head + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", cause: ErrIncomplete},
 		"no length, cut JSON":       {kind: KindService, answer: head + "\r\n" + `{"a":`, cause: ErrIncomplete},
 		"no length, a number":       {kind: KindService, answer: head + "\r\n12", cause: ErrIncomplete},
-		"no length, whole JSON":     {kind: KindService, answer: head + "\r\n{}", whole: true},
+		"no length, whole JSON":     {kind: KindService, answer: head + "\r\n{}", complete: true},
 		"too large":                 {kind: KindService, answer: head + "\r\n" + strings.Repeat("[", 99), cause: ErrTooLarge},
-		"redirect":                  {kind: KindService, answer: "HTTP/1.1 307 T\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", whole: true},
-		"stream without done":       {kind: KindModel, answer: stream + one, cause: ErrIncomplete},
-		"done without line end":     {kind: KindModel, answer: stream + one + "data: [DONE]", cause: ErrIncomplete},
-		"done without an empty one": {kind: KindModel, answer: stream + one + "data: [DONE]\n", cause: ErrIncomplete},
-		"fewer tokens than counted": {kind: KindModel, answer: stream + one + `data: {"choices":[],"usage":{"completion_tokens":2}}` + "\n\ndata: [DONE]\n\n", cause: ErrIncomplete},
+		"redirect":                  {kind: KindService, answer: "HTTP/1.1 307 T\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", complete: true},
+		"stream without done":       {kind: KindModel, answer: stream + tokenEvent, cause: ErrIncomplete},
+		"done without line end":     {kind: KindModel, answer: stream + tokenEvent + "data: [DONE]", cause: ErrIncomplete},
+		"done without an empty one": {kind: KindModel, answer: stream + tokenEvent + "data: [DONE]\n", cause: ErrIncomplete},
+		"fewer tokens than counted": {kind: KindModel, answer: stream + tokenEvent + `data: {"choices":[],"usage":{"completion_tokens":2}}` + "\n\ndata: [DONE]\n\n", cause: ErrIncomplete},
 		"long event":                {kind: KindModel, answer: stream + "data: " + strings.Repeat("x", 200), cause: ErrTooLarge},
 		"long event in parts":       {kind: KindModel, answer: stream + strings.Repeat("data: xxxxxxxxx\n", 20), cause: ErrTooLarge},
 		"no JSON":                   {kind: KindModel, answer: stream + "data: x\n\n"},
-		"whole stream":              {kind: KindModel, answer: stream + one + "data: [DONE]\n\n", whole: true},
+		"whole stream":              {kind: KindModel, answer: stream + tokenEvent + "data: [DONE]\n\n", complete: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -176,10 +175,10 @@
 			defer server.Close()
 			client, err := NewHTTP(server.URL, HTTPOptions{MaxAnswerBytes: 64, MaxEventBytes: 128})
 			require.NoError(t, err)
-			sink := new(nullSink)
+			sink := new(countingSink)
 			request := Request{ID: "r.1", Kind: c.kind, Path: "/p", Body: []byte("{}")}
 			outcome, err := client.Run(t.Context(), request, sink)
-			if c.whole {
+			if c.complete {
 				require.NoError(t, err)
 				assert.Equal(t, EndCompleted, outcome.End)
 				return
@@ -194,10 +193,10 @@
 	}
 }
 
-// Symptom: a stream is reported ended although it runs. Sequence: a cancel call
-// reaches something that doesn't know it, such as an engine of another version.
-// Cause: a bare 404 or any 200 taken for the engine's word.
-func TestCancelNeedsTheEnginesWord(t *testing.T) {
+// Guards against reporting a running stream as ended. The cancel call reaches a server that
+// does not know the call, such as an engine of another version; neither a plain 404 nor an
+// arbitrary 200 confirms the end.
+func TestCancelRequiresEngineConfirmation(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		body   string
@@ -232,7 +231,7 @@
 	}
 }
 
-func TestStreamBodyKeepsTheCallersFields(t *testing.T) {
+func TestStreamingBodyPreservesCallerFields(t *testing.T) {
 	cases := map[string]string{
 		`{"prompt":"a<b","seed":12345678901234567890}`:   `{"prompt":"a<b","seed":12345678901234567890,"stream":true,"stream_options":{"include_usage":true}}`,
 		`{"stream":false,"stream_options":{"x":1}}`:      `{"stream":true,"stream_options":{"include_usage":true,"x":1}}`,
@@ -241,7 +240,7 @@
 		`{"tools":[{"type":"function"}],"stream":"yes"}`: `{"stream":true,"stream_options":{"include_usage":true},"tools":[{"type":"function"}]}`,
 	}
 	for body, want := range cases {
-		got, err := streamBody([]byte(body))
+		got, err := streamingBody([]byte(body))
 		require.NoError(t, err)
 		assert.Equal(t, want, string(got))
 	}
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -9,17 +9,18 @@
 	"github.com/go-faster/errors"
 )
 
-// BytesPerToken is the estimate of a prompt's tokens from its bytes.
+// BytesPerToken is the average size that is assumed to estimate a prompt's token count from its
+// length in bytes.
 const BytesPerToken = 4
 
-// EstimateTokens estimates the tokens of a text of size bytes, at least 1.
+// EstimateTokens returns the estimated number of tokens of a text of size bytes, at least 1.
 func EstimateTokens(size int) int {
 	return max(1, (size+BytesPerToken-1)/BytesPerToken)
 }
 
-// PrefixBlockHashes gives the hashes of the whole blocks of blockTokens tokens at
-// the start of a prompt of a model. Each hash covers the model and all of the
-// prompt up to the end of its block, so that equal hashes mean equal prefixes.
+// PrefixBlockHashes returns the hashes of the complete blocks of blockTokens tokens at the
+// start of a prompt. Each hash covers the model and the prompt up to the end of its block, so
+// equal hashes mean equal prefixes. It returns nil if blockTokens is not positive.
 func PrefixBlockHashes(model, prompt string, blockTokens int) []uint64 {
 	size := blockTokens * BytesPerToken
 	if size <= 0 {
@@ -43,12 +44,12 @@
 	return digest.Sum64()
 }
 
-// Prompt is what the scheduler and the stand-in read of a model's body.
+// Prompt holds the fields of a completion body that the scheduler and the stand-in use.
 type Prompt struct {
 	Model string
-	// Text is the prompt, or the messages one after another.
+	// Text is the prompt, or the concatenated messages.
 	Text string
-	// Chat says that the body has messages.
+	// Chat reports whether the body has messages.
 	Chat bool
 	// MaxTokens limits the output; 0 means no limit was given.
 	MaxTokens int
@@ -67,8 +68,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// ParsePrompt reads a completion or chat completion body. It fails if the body
-// is no JSON object or has neither a prompt nor messages.
+// ParsePrompt decodes a completion or chat completion body. It fails if the body is not a JSON
+// object or has neither a prompt nor messages.
 func ParsePrompt(body []byte) (Prompt, error) {
 	var parsed completionBody
 	if err := json.Unmarshal(body, &parsed); err != nil {
@@ -101,8 +102,8 @@
 	return text.String()
 }
 
-// plainText gives a JSON string's text, and any other value as it is written:
-// content in parts still counts its bytes.
+// plainText returns the text of a JSON string, and any other value in its encoded form, so that
+// content in several parts still counts by its size.
 func plainText(value json.RawMessage) string {
 	var text string
 	if err := json.Unmarshal(value, &text); err == nil {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -6,17 +6,18 @@
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRateLimit is in all answers of a server that takes only so many requests a second, a decimal number, from all senders
-	// together.
+	// HeaderRateLimit is set in every response of a server with a rate limit: the number of
+	// requests per second, as a decimal number, that it accepts from all senders together.
 	HeaderRateLimit = "Carawaypitch-Rate-Limit"
-	// HeaderBackoff is in a refusal of a server that wants nothing for so many seconds from whom it answers.
+	// HeaderBackoff is set in a refusal: the number of seconds for which the sender is to send
+	// nothing.
 	HeaderBackoff = "Retry-After"
-	// HeaderDraining is 1 in all answers of a server that leaves.
+	// HeaderDraining is 1 in every response of a server that is leaving.
 	HeaderDraining = "Carawaypitch-Draining"
 )
 
-// backpressureNames are the headers by which a server speaks of itself.
-var backpressureNames = backpressure.HeaderNames{RateLimit: HeaderRateLimit, Backoff: HeaderBackoff, Draining: HeaderDraining}
+// backpressureHeaders are the headers in which a server reports its own state.
+var backpressureHeaders = backpressure.HeaderNames{RateLimit: HeaderRateLimit, Backoff: HeaderBackoff, Draining: HeaderDraining}
 
 // Content types of the protocol.
 const (
@@ -24,36 +25,36 @@
 	ContentTypeStream = "text/event-stream"
 )
 
-// StreamDone is the payload that ends a whole stream.
+// StreamDone is the payload that ends a complete stream.
 const StreamDone = "[DONE]"
 
 // Types of an [ErrorDetail].
 const (
-	// TypeDuplicate: an attempt of this identity runs already.
+	// TypeDuplicate means an attempt with this ID is already running.
 	TypeDuplicate = "duplicate_request_id"
-	// TypeUnknownStream: there is no stream of this identity.
+	// TypeUnknownStream means there is no stream with this ID.
 	TypeUnknownStream = "unknown_stream"
 	// TypeCancelled ends a stream that was cancelled.
 	TypeCancelled = "cancelled"
-	// TypeInvalid: the call can't be understood.
+	// TypeInvalid means the call is malformed.
 	TypeInvalid = "invalid_request"
-	// TypeNotReady: the model isn't loaded, or the call doesn't fit.
+	// TypeNotReady means the model is not loaded, or the call does not fit.
 	TypeNotReady = "not_ready"
-	// TypeInternal: the engine failed.
+	// TypeInternal means the engine failed.
 	TypeInternal = "internal_error"
 )
 
-// ErrorDetail is an engine's error, as the value of "error" in a JSON answer
-// or in the payload that ends a stream.
+// ErrorDetail is an engine's error, as the value of "error" in a JSON response or in the
+// payload that ends a stream.
 type ErrorDetail struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
-	// Started is false if the engine says that it did not begin the work
-	// and won't; nil if it says nothing.
+	// Started is false if the engine states that it did not start the work and will not start
+	// it; nil if it makes no statement.
 	Started *bool `json:"started,omitempty"`
 }
 
-// ErrorBody is the JSON round an [ErrorDetail].
+// ErrorBody is the JSON object that contains an [ErrorDetail].
 type ErrorBody struct {
 	Error *ErrorDetail `json:"error"`
 }
@@ -65,7 +66,7 @@
 	CancelStateRunning   = "running"
 )
 
-// CancelAnswer is an engine's answer to a cancel call.
+// CancelAnswer is an engine's response to a cancel call.
 type CancelAnswer struct {
 	ID    AttemptID `json:"id"`
 	State string    `json:"state"`
@@ -76,7 +77,7 @@
 	Streams []StreamInfo `json:"streams"`
 }
 
-// CacheEventsAnswer is a part of an engine's cache events.
+// CacheEventsAnswer is a range of an engine's cache events.
 type CacheEventsAnswer struct {
 	Events []CacheEvent `json:"events"`
 }
--- a/engine/sse.go
+++ b/engine/sse.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// eventReader reads the data of server-sent events.
+// eventReader reads the data fields of server-sent events.
 type eventReader struct {
 	reader *bufio.Reader
 	limit  int
@@ -23,10 +23,10 @@
 	}
 }
 
-// next gives the data of the next event, valid until the next call. An event
-// counts only with the empty line after it: at the end of the source, what
-// comes before such a line is a fragment and gives io.ErrUnexpectedEOF, and
-// nothing gives io.EOF. It fails with ErrTooLarge over the limit.
+// next returns the data of the next event, valid until the next call. An event is complete only
+// with the empty line after it: if the source ends before that line, next returns
+// io.ErrUnexpectedEOF, and if it ends between events, io.EOF. It fails with ErrTooLarge if a
+// line or an event exceeds the limit.
 func (r *eventReader) next() ([]byte, error) {
 	r.data = r.data[:0]
 	hasData := false
@@ -56,7 +56,7 @@
 	}
 }
 
-// readLine gives the next line without its line feed or carriage return.
+// readLine returns the next line without its line feed or carriage return.
 func (r *eventReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
@@ -78,8 +78,8 @@
 	}
 }
 
-// dataField gives the value of a data field. Other fields and comments are of
-// no use here.
+// dataField returns the value of a data field and reports whether line is one. Other fields and
+// comments are ignored.
 func dataField(line []byte) ([]byte, bool) {
 	value, ok := bytes.CutPrefix(line, []byte("data:"))
 	if !ok {
--- a/engine/sse_test.go
+++ b/engine/sse_test.go
@@ -13,7 +13,7 @@
 
 const testEventLimit = 64
 
-// readEvents reads all events and gives the error that ended them.
+// readEvents returns all events and the error that ended them.
 func readEvents(source io.Reader) ([]string, error) {
 	reader := newEventReader(source, testEventLimit)
 	var events []string
@@ -52,8 +52,9 @@
 	}
 }
 
-// FuzzEventReader: events don't depend on how the bytes arrive, keep to the
-// limit, and those of a cut text are the first ones of the whole.
+// FuzzEventReader checks that events do not depend on how the bytes are split into reads, that
+// they stay within the limit, and that the events of a truncated text are a prefix of those of
+// the complete text.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("data: a\n\ndata: [DONE]\n\n"), 9)
 	f.Add([]byte("data: a\r\ndata: b\r\n\r\n: c\n"), 3)
@@ -69,10 +70,10 @@
 		if cut < 0 || cut > len(text) {
 			return
 		}
-		part, _ := readEvents(bytes.NewReader(text[:cut]))
-		require.LessOrEqual(t, len(part), len(events))
-		for at, event := range part {
-			require.Equal(t, events[at], event)
+		prefix, _ := readEvents(bytes.NewReader(text[:cut]))
+		require.LessOrEqual(t, len(prefix), len(events))
+		for i, event := range prefix {
+			require.Equal(t, events[i], event)
 		}
 	})
 }
