--- a/cmd/carawaypitch/cluster_request_test.go
+++ b/cmd/carawaypitch/cluster_request_test.go
@@ -143,7 +143,7 @@
 	wait.Wait()
 	for i, got := range replies {
 		require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
-		want, err := standin.Text([]byte(body(i)), "sample", tokens)
+		want, err := standin.CompletionText([]byte(body(i)), "sample", tokens)
 		require.NoError(t, err)
 		require.Equal(t, want, textOf(t, got), "call %d", i)
 	}
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -29,7 +29,7 @@
 				sink := new(recorder)
 				outcome, err := client.Run(t.Context(), request, sink)
 				require.NoError(t, err)
-				want, err := standin.Text(request.Body, "sample", 8)
+				want, err := standin.CompletionText(request.Body, "sample", 8)
 				require.NoError(t, err)
 				assert.Equal(t, want, sink.text())
 				assert.Equal(t, engine.EndCompleted, outcome.End)
--- a/engine/helper_test.go
+++ b/engine/helper_test.go
@@ -118,7 +118,7 @@
 }
 
 func expectedText(t *testing.T, count int) string {
-	text, err := standin.Text([]byte(chatBody), "sample", count)
+	text, err := standin.CompletionText([]byte(chatBody), "sample", count)
 	require.NoError(t, err)
 	return text
 }
--- a/engine/standin/bench_test.go
+++ b/engine/standin/bench_test.go
@@ -51,7 +51,7 @@
 	const output = 256
 	options := ModelDefaults()
 	options.PrefillRate = 1e12
-	options.DecodePace = Instant
+	options.DecodePace = MinDecodePace
 	options.DecodeSlope = 0
 	client := startBenchmark(b, options)
 	var number atomic.Uint64
--- a/engine/standin/options.go
+++ b/engine/standin/options.go
@@ -138,8 +138,8 @@
 	return options
 }
 
-// Instant is the shortest DecodePace: zero would mean the default.
-const Instant = time.Nanosecond
+// MinDecodePace is the shortest DecodePace: zero would mean the default.
+const MinDecodePace = time.Nanosecond
 
 func orDefault[T comparable](value, fallback T) T {
 	var zero T
--- a/engine/standin/server_test.go
+++ b/engine/standin/server_test.go
@@ -177,7 +177,7 @@
 		defer server.Close()
 		body := `{"messages":[{"role":"user","content":"May I?"}],"max_tokens":3}`
 		recorded := post(server, "/v1/chat/completions", body)
-		content, err := Text([]byte(body), "sample", 3)
+		content, err := CompletionText([]byte(body), "sample", 3)
 		require.NoError(t, err)
 		assert.JSONEq(t, fmt.Sprintf(`{"id":"cmpl-anonymous-1","object":"chat.completion","created":%d,"model":"sample",
 			"choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"length"}],
--- a/engine/standin/text.go
+++ b/engine/standin/text.go
@@ -32,10 +32,10 @@
 	return " " + word
 }
 
-// Text gives the first count tokens of the answer to a completion body, as
+// CompletionText gives the first count tokens of the answer to a completion body, as
 // every stand-in writes it; model names the engine's model for a body without
 // one. It fails if the body is none.
-func Text(body []byte, model string, count int) (string, error) {
+func CompletionText(body []byte, model string, count int) (string, error) {
 	prompt, err := engine.ParsePrompt(body)
 	if err != nil {
 		return "", err
--- a/experiment/load/answer.go
+++ b/experiment/load/answer.go
@@ -114,7 +114,7 @@
 
 // compare checks the text of an answer, or the beginning of one that was cut.
 func (o *Outcome) compare(text string, whole bool) {
-	want, err := standin.Text(o.Arrival.Body, "", o.Arrival.OutputTokens)
+	want, err := standin.CompletionText(o.Arrival.Body, "", o.Arrival.OutputTokens)
 	if err != nil {
 		o.Fate, o.Detail = Wrong, err.Error()
 		return
--- a/experiment/load/answer_test.go
+++ b/experiment/load/answer_test.go
@@ -38,7 +38,7 @@
 // Sequence: the system sends a cut stream, an answer without its length, one with a word missing.
 // Cause: only the status was looked at.
 func TestOnlyTheWholeOwnAnswerCounts(t *testing.T) {
-	text, err := standin.Text(asked(false).Body, "", 3)
+	text, err := standin.CompletionText(asked(false).Body, "", 3)
 	require.NoError(t, err)
 	words := strings.SplitAfter(text, " ")
 	whole := `{"choices":[{"text":` + strconv.Quote(text) + `}]}`
