--- a/engine/client.go
+++ b/engine/client.go
@@ -63,7 +63,7 @@
 	// Server is the name of the intended backend server. A different server that has since
 	// taken over its address must not run the request.
 	Server string
-	// Remaining is the time left until the request's deadline.
+	// Remaining is how much longer the response is useful to the caller.
 	Remaining time.Duration
 	// Repeatable reports whether the request may run again after a failed attempt.
 	Repeatable bool
@@ -79,8 +79,7 @@
 	// Index is the position, in the complete answer, of the first token in this payload; for a
 	// payload without tokens, the position of the next token.
 	Index int
-	// Tokens is the position after the last token received, counted from the start of the
-	// complete answer, also for a resumed stream.
+	// Tokens is the number of tokens in the payload: 0 or 1.
 	Tokens int
 	// UsageOnly marks the last payload, which carries the usage and no choice. The engine sends
 	// it because the adapter requests it; it must not be forwarded to a caller that did not
@@ -150,8 +149,8 @@
 	// Status is the HTTP status, 0 if none arrived. Any status of a plain service is a complete
 	// response, so End is EndCompleted.
 	Status int
-	// Tokens is the position after the last token that arrived, counted
-	// from the start of the whole answer also for a resumed stream.
+	// Tokens is the position after the last token received, counted from the start of the
+	// complete answer, also for a resumed stream.
 	Tokens int
 	// PromptTokens, CachedPromptTokens and FinishReason are as reported by the engine.
 	PromptTokens       int
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -14,6 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/engine/standin"
 )
 
+// Guards against lost, reordered or wrongly numbered chunks in both completion formats.
 func TestRunDeliversCompleteStream(t *testing.T) {
 	requests := map[string]engine.Request{
 		"chat": chatRequest("r.1"),
@@ -47,6 +48,8 @@
 	}
 }
 
+// Guards against a service call that loses its body, key or ID on the way, or runs more than
+// once.
 func TestRunDeliversServiceAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ServiceDefaults())
@@ -130,6 +133,8 @@
 	}
 }
 
+// Guards against treating a refusal as a started attempt. The engine refuses requests that it
+// cannot run and states that it did not start them.
 func TestRefusedRequestsAreNotStarted(t *testing.T) {
 	bodies := map[string]string{
 		"unknown model": `{"model":"other","prompt":"x"}`,
@@ -173,8 +178,8 @@
 	})
 }
 
-// Guards against a ledger that misses a request that runs on two engines at the same time, as
-// it does if a scheduler takes a timeout as proof that the first attempt is over.
+// Guards against a shared ledger that misses a request running on two engines at the same time.
+// That happens if a scheduler takes a timeout as proof that the first attempt is over.
 func TestLedgerCountsOverlappingAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -197,7 +202,8 @@
 }
 
 // Guards against reporting a stream as cancelled while it continues. The cancel call reaches an
-// engine that runs, has finished, does not know or ignores the stream.
+// engine that runs, has finished, does not know or ignores the stream, so not every response is
+// a confirmation.
 func TestCancelReportsEngineState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ModelDefaults())
@@ -235,6 +241,7 @@
 	})
 }
 
+// Guards against a stream call to a plain service that is taken for proof or counted as a run.
 func TestServiceDoesNotSupportStreamCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := newFixture(t).start(standin.ServiceDefaults())
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -9,8 +9,8 @@
 	// ErrNeverSent means that no connection was made, so no byte of the call left this process
 	// and the engine never received it.
 	ErrNeverSent = errors.New("never sent")
-	// ErrUnreachable means that no connection could be made before the deadline of the call. It
-	// is always joined with ErrNeverSent.
+	// ErrUnreachable means that no connection could be made although the context of the call
+	// had not ended. The error also matches ErrNeverSent.
 	ErrUnreachable = errors.New("unreachable")
 	// ErrOutcomeUnknown means that the call failed after it was given a connection. The engine
 	// may have received it, may have run it, and may still be running it.
@@ -24,17 +24,17 @@
 	ErrUnsupported = errors.New("call not supported")
 	// ErrRefused means that the engine refused a call other than a run.
 	ErrRefused = errors.New("refused")
-	// ErrTooLarge means that a response exceeds a limit of the adapter. It is always joined
-	// with ErrOutcomeUnknown.
+	// ErrTooLarge means that a response exceeds a limit of the adapter. The error also matches
+	// ErrOutcomeUnknown.
 	ErrTooLarge = errors.New("over the size limit")
-	// ErrIncomplete means that a response was truncated, such as a stream without "[DONE]". It
-	// is always joined with ErrOutcomeUnknown.
+	// ErrIncomplete means that a response was truncated, such as a stream without "[DONE]". The
+	// error also matches ErrOutcomeUnknown.
 	ErrIncomplete = errors.New("response truncated")
 	// ErrReplaced means that a different backend server has taken over the address and refused
-	// the request that was meant for its predecessor. It is always joined with ErrNeverSent.
+	// the request that was meant for its predecessor. The error also matches ErrNeverSent.
 	ErrReplaced = errors.New("address taken over by another server")
 	// ErrInvalid means that the request cannot be sent, such as a model body that is not a JSON
-	// object. It is always joined with ErrNeverSent.
+	// object. The error also matches ErrNeverSent.
 	ErrInvalid = errors.New("invalid request")
 )
 
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// countingSink counts the calls that it receives.
 type countingSink struct{ answers, chunks int }
 
 func (s *countingSink) Chunk(Chunk) error   { s.chunks++; return nil }
@@ -92,6 +93,8 @@
 	}
 }
 
+// Guards against reporting an unknown outcome for a call that never left the process, because
+// the connection was refused, its context had ended or its path was rejected.
 func TestNeverSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -122,6 +125,7 @@
 	}
 }
 
+// Guards against sending a model request whose body is not a JSON object.
 func TestModelBodyMustBeAnObject(t *testing.T) {
 	client, err := NewHTTP("http://127.0.0.1:1", HTTPOptions{})
 	require.NoError(t, err)
@@ -231,6 +235,8 @@
 	}
 }
 
+// Guards against changes to the caller's fields, such as a loss of digits in large numbers,
+// when the streaming fields are set.
 func TestStreamingBodyPreservesCallerFields(t *testing.T) {
 	cases := map[string]string{
 		`{"prompt":"a<b","seed":12345678901234567890}`:   `{"prompt":"a<b","seed":12345678901234567890,"stream":true,"stream_options":{"include_usage":true}}`,
@@ -246,7 +252,9 @@
 	}
 }
 
-func TestPrefixBlocks(t *testing.T) {
+// Guards against equal hashes for different models or prefixes, and against hashes of
+// incomplete blocks.
+func TestPrefixBlockHashes(t *testing.T) {
 	long := PrefixBlockHashes("m", strings.Repeat("abcdefgh", 16), 16)
 	assert.Len(t, long, 2)
 	assert.Equal(t, long[:1], PrefixBlockHashes("m", strings.Repeat("abcdefgh", 15), 16))
--- a/engine/sse_test.go
+++ b/engine/sse_test.go
@@ -26,6 +26,8 @@
 	}
 }
 
+// Guards against wrong event boundaries: line endings, multi-line data, truncated events and
+// the size limit.
 func TestEventReader(t *testing.T) {
 	cases := map[string]struct {
 		text   string
