--- a/engine/standin/announcer.go
+++ b/engine/standin/announcer.go
@@ -17,25 +17,25 @@
 	"github.com/carawaypitch/carawaypitch/network"
 )
 
-// Times of an [Announcer].
+// Intervals and timeout of an [Announcer].
 const (
-	AnnounceInterval = time.Second
-	leaveInterval    = 200 * time.Millisecond
-	announceTimeout  = 2 * time.Second
+	AnnounceInterval   = time.Second
+	leaveRetryInterval = 200 * time.Millisecond
+	announceTimeout    = 2 * time.Second
 )
 
-// maxAgentAnswer bounds an agent's answer, in bytes.
-const maxAgentAnswer = 4 << 10
+// maxAgentResponse limits the body of an agent's response, in bytes.
+const maxAgentResponse = 4 << 10
 
-// Announcer tells an agent of its backend server.
+// Announcer reports a backend server to its agent.
 type Announcer struct {
 	agent   string
 	current func() engine.Announcement
 	client  *http.Client
 }
 
-// NewAnnouncer makes an announcer to the agent at a base URL; current gives the
-// announcement of the moment.
+// NewAnnouncer returns an announcer for the agent at a base URL. current returns the
+// announcement to send.
 func NewAnnouncer(agent string, network network.Network, current func() engine.Announcement) *Announcer {
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 		return network.Dial(ctx, address)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Run announces at once and then each second, until ctx ends. An agent that
-// doesn't answer is tried again at the next second.
+// Run announces immediately and then every second until ctx ends. A failed announcement is not
+// retried before the next second.
 func (a *Announcer) Run(ctx context.Context) {
 	ticker := time.NewTicker(AnnounceInterval)
 	defer ticker.Stop()
@@ -65,23 +65,23 @@
 	}
 }
 
-// Leave starts a graceful leave and returns once the agent says drained, or
-// with the error of ctx. It repeats both calls until the agent answers: the
-// agent may be restarting at this very moment.
+// Leave starts a graceful leave. It returns nil once the agent reports the server as drained,
+// and otherwise the error of ctx. It repeats both calls until the agent responds, because the
+// agent may be restarting.
 func (a *Announcer) Leave(ctx context.Context, server string) error {
 	for {
-		if a.left(ctx, server) {
+		if a.tryLeave(ctx, server) {
 			return nil
 		}
-		if err := pause(ctx, leaveInterval); err != nil {
+		if err := pause(ctx, leaveRetryInterval); err != nil {
 			return errors.Wrap(err, "leave")
 		}
 	}
 }
 
-// left makes one try. It posts the leave each time, since an agent that
-// restarted in between has forgotten it.
-func (a *Announcer) left(ctx context.Context, server string) bool {
+// tryLeave makes one attempt and reports whether the server is drained. It posts the leave
+// every time, because an agent that has restarted in between has lost it.
+func (a *Announcer) tryLeave(ctx context.Context, server string) bool {
 	if _, err := a.post(ctx, "/v1/leave", engine.LeaveRequest{Server: server}); err != nil {
 		return false
 	}
@@ -114,12 +114,12 @@
 		return "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAgentAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAgentResponse))
 	if err != nil {
 		return "", err
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return "", errors.Errorf("agent answers %d to %s", response.StatusCode, path)
+		return "", errors.Errorf("agent responded with status %d to %s", response.StatusCode, path)
 	}
 	return string(answer), nil
 }
--- a/engine/standin/batch.go
+++ b/engine/standin/batch.go
@@ -9,18 +9,18 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// maxCatchUp bounds how far steps may run late and be caught up with, so that
-// a busy machine doesn't slow the engine down by each late timer, and a long
-// pause isn't followed by a burst.
+// maxCatchUp bounds the delay of steps that is made up for. Making up for short delays keeps
+// late timers on a busy machine from slowing the engine down; the bound keeps a long pause from
+// causing a burst of steps.
 const maxCatchUp = 50 * time.Millisecond
 
-// batch is the model engine: a queue, the streams in the batch, and what
-// remains of ended ones.
+// batch is the model engine: the queue, the streams in the batch, and the ended streams that
+// are still held.
 type batch struct {
 	options  Options
 	faults   *faultSet
 	counters *counters
-	// closing ends the loop, by close; loops waits for it.
+	// closing ends the loop; stop cancels it and loops waits for the loop's goroutine.
 	closing context.Context
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
@@ -30,13 +30,13 @@
 	waiting []*stream
 	active  []*stream
 	streams map[engine.AttemptID]*stream
-	// ended holds the streams that don't run, the longest ended first.
-	ended  []*stream
-	kv     int
-	cache  *prefixCache
-	events cacheLog
-	loads  loadLog
-	orders orderBook
+	// ended holds the streams that are not running, the earliest ended first.
+	ended       []*stream
+	kvReserved  int
+	cache       *prefixCache
+	events      cacheLog
+	loadHistory loadHistory
+	orders      orderState
 	// promptTokens and tokens are totals for the load report.
 	promptTokens uint64
 	tokens       uint64
@@ -49,36 +49,36 @@
 		counters: counters,
 		streams:  make(map[engine.AttemptID]*stream),
 		cache:    newPrefixCache(options.CacheBlocks),
-		orders:   newOrderBook(options),
+		orders:   newOrderState(options),
 	}
 	b.closing, b.stop = context.WithCancel(context.Background())
 	b.events = cacheLog{
 		lag:  options.CacheLag,
-		lost: b.eventLost,
+		drop: b.dropEvent,
 	}
-	b.loads = loadLog{lag: options.LoadLag}
-	b.noteLoad()
+	b.loadHistory = loadHistory{lag: options.LoadLag}
+	b.recordLoad()
 	return b
 }
 
-func (b *batch) eventLost(seq uint64) bool {
+func (b *batch) dropEvent(seq uint64) bool {
 	gap := max(b.options.CacheGap, b.faults.get().DropCacheEvents)
-	return gap > 0 && b.faults.roll("cache_event", seq) < gap
+	return gap > 0 && b.faults.random("cache_event", seq) < gap
 }
 
-// enqueue puts a stream at the end of the queue. b.mu is held.
+// enqueue appends a stream to the queue. b.mu must be held.
 func (b *batch) enqueue(s *stream) {
 	s.state = engine.StreamQueued
 	b.streams[s.id] = s
 	b.waiting = append(b.waiting, s)
-	b.noteLoad()
+	b.recordLoad()
 	if !b.looping {
 		b.looping = true
 		b.loops.Go(b.loop)
 	}
 }
 
-// loop computes steps while there is work, and ends with it.
+// loop computes steps and returns when there is no more work.
 func (b *batch) loop() {
 	next := time.Now()
 	for {
@@ -87,14 +87,14 @@
 			return
 		}
 		next = nextStep(next, step)
-		if pause(b.closing, time.Until(next)) != nil || b.faults.waitFrozen(b.closing) != nil {
+		if pause(b.closing, time.Until(next)) != nil || b.faults.waitWhileFrozen(b.closing) != nil {
 			return
 		}
 		b.apply()
 	}
 }
 
-// close ends the loop for good and waits for it.
+// close stops the loop permanently and waits for it to return.
 func (b *batch) close() {
 	b.stop()
 	b.loops.Wait()
@@ -107,7 +107,8 @@
 	return previous.Add(step)
 }
 
-// plan admits streams and gives the duration of the next step.
+// plan admits streams and returns the duration of the next step. busy is false if there is no
+// work.
 func (b *batch) plan() (step time.Duration, busy bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,10 +119,10 @@
 	}
 	prompt := b.planPrefill()
 	decoding := b.planDecode()
-	return b.faults.slowed(b.options.stepTime(prompt, decoding)), true
+	return b.faults.scaled(b.options.stepTime(prompt, decoding)), true
 }
 
-// stepTime is the duration of a step of so many prompt tokens and decoding
+// stepTime returns the duration of a step with the given numbers of prompt tokens and decoding
 // streams.
 func (o Options) stepTime(prompt, decoding int) time.Duration {
 	step := time.Duration(float64(prompt) / o.PrefillRate * float64(time.Second))
@@ -131,39 +132,41 @@
 	return step
 }
 
-// admit takes streams from the queue in order of arrival, while the first fits.
+// admit moves streams from the queue to the batch in order of arrival, until the first of the
+// queue does not fit.
 func (b *batch) admit() {
 	for len(b.waiting) > 0 && len(b.active) < b.options.Slots {
 		s := b.waiting[0]
-		if b.kv+s.tokensNeeded() > b.options.KVTokens {
+		if b.kvReserved+s.tokensNeeded() > b.options.KVTokens {
 			return
 		}
 		b.waiting = b.waiting[1:]
-		b.kv += s.tokensNeeded()
+		b.kvReserved += s.tokensNeeded()
 		b.active = append(b.active, s)
 		b.beginPrefill(s)
 	}
 }
 
-// beginPrefill skips the cached part of a prompt, but for its last token.
+// beginPrefill skips the cached part of a prompt, but always leaves its last token to be
+// computed.
 func (b *batch) beginPrefill(s *stream) {
-	if s.toCompute == 0 {
+	if s.promptRemaining == 0 {
 		s.state = engine.StreamDecode
 		return
 	}
 	s.state = engine.StreamPrefill
 	s.cached = min(b.cache.match(s.spec.Blocks)*b.options.BlockTokens, s.spec.PromptTokens-1)
-	s.toCompute -= s.cached
+	s.promptRemaining -= s.cached
 	b.counters.add(func(stats *Stats) { stats.CachedPromptTokens += uint64(s.cached) })
 }
 
 func (b *batch) planPrefill() int {
-	room := b.options.PrefillChunk
+	budget := b.options.PrefillChunk
 	total := 0
 	for _, s := range b.active {
-		s.planned = min(s.toCompute, room)
+		s.planned = min(s.promptRemaining, budget)
 		s.computed += s.planned
-		room -= s.planned
+		budget -= s.planned
 		total += s.planned
 	}
 	b.promptTokens += uint64(total)
@@ -182,7 +185,7 @@
 	return count
 }
 
-// apply takes the results of a step. Streams that ended meanwhile have left the
+// apply records the results of a step. Streams that ended during the step are no longer in the
 // batch.
 func (b *batch) apply() {
 	b.mu.Lock()
@@ -190,12 +193,12 @@
 	for _, s := range slices.Clone(b.active) {
 		b.applyTo(s)
 	}
-	b.noteLoad()
+	b.recordLoad()
 }
 
 func (b *batch) applyTo(s *stream) {
-	s.toCompute -= s.planned
-	if s.planned > 0 && s.toCompute == 0 {
+	s.promptRemaining -= s.planned
+	if s.planned > 0 && s.promptRemaining == 0 {
 		s.state = engine.StreamDecode
 		b.storePrompt(s)
 		s.decoding = true
@@ -211,7 +214,7 @@
 	}
 	if s.produced >= s.spec.Total {
 		b.counters.add(func(stats *Stats) { stats.Finished++ })
-		b.leave(s, engine.StreamFinished)
+		b.retire(s, engine.StreamFinished)
 	}
 	s.notify()
 }
@@ -226,24 +229,25 @@
 	}
 }
 
-// leave takes a stream out of queue and batch and keeps what is left of it.
-func (b *batch) leave(s *stream, state engine.StreamState) {
-	if at := slices.Index(b.active, s); at >= 0 {
-		b.active = slices.Delete(b.active, at, at+1)
-		b.kv -= s.tokensNeeded()
+// retire removes a stream from the queue and the batch and retains it as ended.
+func (b *batch) retire(s *stream, state engine.StreamState) {
+	if i := slices.Index(b.active, s); i >= 0 {
+		b.active = slices.Delete(b.active, i, i+1)
+		b.kvReserved -= s.tokensNeeded()
 	}
-	if at := slices.Index(b.waiting, s); at >= 0 {
-		b.waiting = slices.Delete(b.waiting, at, at+1)
+	if i := slices.Index(b.waiting, s); i >= 0 {
+		b.waiting = slices.Delete(b.waiting, i, i+1)
 	}
 	if s.state.Running() {
 		b.options.Ledger.end(s.id)
 	}
 	s.state = state
-	b.keep(s)
+	b.retain(s)
 }
 
-// keep remembers an ended stream for a while.
-func (b *batch) keep(s *stream) {
+// retain holds an ended stream for up to HoldTime, and at most MaxHeld of them. Expired streams
+// are removed when another stream ends.
+func (b *batch) retain(s *stream) {
 	now := time.Now()
 	s.endedAt = now
 	b.ended = append(b.ended, s)
@@ -259,12 +263,12 @@
 	}
 }
 
-func (b *batch) noteLoad() {
-	b.loads.note(engine.Load{
+func (b *batch) recordLoad() {
+	b.loadHistory.record(engine.Load{
 		Slots:         b.options.Slots,
 		Running:       len(b.active),
 		Queued:        len(b.waiting),
-		KVTokens:      b.kv,
+		KVTokens:      b.kvReserved,
 		KVCapacity:    b.options.KVTokens,
 		CacheBlocks:   b.cache.len(),
 		CacheCapacity: b.options.CacheBlocks,
--- a/engine/standin/batch_calls.go
+++ b/engine/standin/batch_calls.go
@@ -13,17 +13,18 @@
 
 // Refusals of the model engine.
 var (
-	errDuplicate = errors.New("an attempt of this identity runs already")
-	errUnknown   = errors.New("no such stream")
-	errNotReady  = errors.New("model is not loaded")
-	errTooLong   = errors.New("prompt and output exceed the KV memory")
-	errInvalid   = errors.New("invalid request")
+	errDuplicate     = errors.New("an attempt of this identity runs already")
+	errUnknownStream = errors.New("no such stream")
+	errNotReady      = errors.New("model is not loaded")
+	errTooLong       = errors.New("prompt and output exceed the KV memory")
+	errInvalid       = errors.New("invalid request")
 )
 
-// errConnection ends a reader whose stream goes on, or was lost, without it.
-var errConnection = errors.New("connection lost")
+// errConnectionLost ends a reader that was replaced or whose connection was lost; the stream
+// may continue.
+var errConnectionLost = errors.New("connection lost")
 
-// parse gives what a completion body asks for.
+// parse returns the stream that a completion body requests.
 func (b *batch) parse(body []byte) (streamSpec, error) {
 	prompt, err := engine.ParsePrompt(body)
 	if err != nil {
@@ -46,11 +47,11 @@
 	}, nil
 }
 
-// submit begins an attempt. It fails with errDuplicate, errNotReady or
-// errTooLong, and then nothing was begun.
+// submit starts an attempt. If it fails with errDuplicate, errNotReady or errTooLong, nothing
+// was started.
 func (b *batch) submit(id engine.AttemptID, spec streamSpec) (*stream, error) {
 	s := newStream(id, spec)
-	s.toCompute = spec.PromptTokens
+	s.promptRemaining = spec.PromptTokens
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.begin(s); err != nil {
@@ -59,7 +60,7 @@
 	return s, nil
 }
 
-// begin checks a new stream, counts its start and queues it. b.mu is held.
+// begin checks a new stream, counts its start and queues it. b.mu must be held.
 func (b *batch) begin(s *stream) error {
 	if held := b.streams[s.id]; held != nil && held.state.Running() {
 		b.counters.add(func(stats *Stats) { stats.Duplicates++ })
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// resume goes on with a held stream, an imported one, or anew from a body.
+// resume continues a held or imported stream, or recomputes one from a body.
 func (b *batch) resume(id engine.AttemptID, from int, body []byte) (*stream, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,9 +87,9 @@
 	case held != nil && held.listed():
 		return b.resumeHeld(held, from)
 	case len(body) > 0:
-		return b.resumeAnew(id, from, body)
+		return b.resumeFromBody(id, from, body)
 	default:
-		return nil, errUnknown
+		return nil, errUnknownStream
 	}
 }
 
@@ -106,7 +107,7 @@
 	return s, nil
 }
 
-func (b *batch) resumeAnew(id engine.AttemptID, from int, body []byte) (*stream, error) {
+func (b *batch) resumeFromBody(id engine.AttemptID, from int, body []byte) (*stream, error) {
 	spec, err := b.parse(body)
 	if err != nil {
 		return nil, err
@@ -116,53 +117,54 @@
 	}
 	s := newStream(id, spec)
 	s.produced = from
-	s.toCompute = spec.PromptTokens + from
+	s.promptRemaining = spec.PromptTokens + from
 	return s, b.begin(s)
 }
 
-// attach makes a new reader the one in charge of a stream.
+// attach registers a new reader as the active reader of a stream and returns its number.
 func (b *batch) attach(s *stream) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s.readers++
-	s.reader = s.readers
+	s.lastReader++
+	s.activeReader = s.lastReader
 	s.notify()
-	return s.reader
+	return s.activeReader
 }
 
-// detach tells that a reader's connection is lost.
+// detach handles the loss of a reader's connection.
 func (b *batch) detach(s *stream, reader uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s.reader != reader {
+	if s.activeReader != reader {
 		return
 	}
-	s.reader = 0
+	s.activeReader = 0
 	if !s.state.Running() || b.options.Capabilities.OnDisconnect != engine.DisconnectCancels {
 		return
 	}
 	b.counters.add(func(stats *Stats) { stats.Disconnect++ })
-	b.drop(s, streamCancelled, WasteDisconnect)
+	b.terminate(s, streamCancelled, WasteDisconnect)
 }
 
-// drop ends a running stream unfinished.
-func (b *batch) drop(s *stream, state engine.StreamState, cause string) {
+// terminate ends a running stream before it is finished.
+func (b *batch) terminate(s *stream, state engine.StreamState, cause string) {
 	b.counters.waste(cause, s.computed)
-	b.leave(s, state)
+	b.retire(s, state)
 	s.notify()
-	b.noteLoad()
+	b.recordLoad()
 }
 
-// wait waits until a stream has more than count tokens or doesn't run, and
-// gives its tokens and state. It fails if the reader isn't in charge any more.
+// wait waits until a stream has more than count tokens or is not running, and returns its
+// tokens and state. It fails with errConnectionLost if the reader is not the active one, the
+// stream is lost, or ctx ends.
 func (b *batch) wait(ctx context.Context, s *stream, reader uint64, count int) (int, engine.StreamState, error) {
 	for {
 		b.mu.Lock()
 		produced, state, changed := s.produced, s.state, s.changed
-		inCharge := s.reader == reader
+		current := s.activeReader == reader
 		b.mu.Unlock()
-		if !inCharge || state == streamLost {
-			return 0, state, errConnection
+		if !current || state == streamLost {
+			return 0, state, errConnectionLost
 		}
 		if produced > count || !state.Running() {
 			return produced, state, nil
@@ -170,18 +172,18 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return 0, state, errConnection
+			return 0, state, errConnectionLost
 		}
 	}
 }
 
-// cancel ends a stream and gives the state for the answer.
+// cancel ends a stream and returns the state for the response.
 func (b *batch) cancel(id engine.AttemptID) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.streams[id]
 	if s == nil {
-		return "", errUnknown
+		return "", errUnknownStream
 	}
 	switch {
 	case s.state == engine.StreamFinished:
@@ -192,11 +194,11 @@
 		return engine.CancelStateRunning, nil
 	}
 	b.counters.add(func(stats *Stats) { stats.Cancels++ })
-	b.drop(s, streamCancelled, WasteCancel)
+	b.terminate(s, streamCancelled, WasteCancel)
 	return engine.CancelStateCancelled, nil
 }
 
-// list gives the held streams by identity.
+// list returns the held streams sorted by ID.
 func (b *batch) list() []engine.StreamInfo {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -212,28 +214,29 @@
 	return infos
 }
 
-// exportKV gives a stream's KV cache, once its prompt is computed.
+// exportKV returns a stream's KV cache. It fails with errUnknownStream until the prompt is
+// computed.
 func (b *batch) exportKV(id engine.AttemptID) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.streams[id]
-	if s == nil || !s.listed() || s.toCompute > 0 {
-		return nil, errUnknown
+	if s == nil || !s.listed() || s.promptRemaining > 0 {
+		return nil, errUnknownStream
 	}
 	spec := s.spec
 	spec.Produced = s.produced
 	return json.Marshal(spec)
 }
 
-// importKV keeps a KV cache for a resume. A cache whose numbers can't be would
-// break the batch's own sums.
+// importKV stores a KV cache for a resume. It rejects inconsistent token counts, which would
+// corrupt the batch's own totals.
 func (b *batch) importKV(id engine.AttemptID, kv []byte) error {
 	var spec streamSpec
 	if err := json.Unmarshal(kv, &spec); err != nil {
 		return errors.Wrap(errInvalid, err.Error())
 	}
-	possible := spec.PromptTokens > 0 && spec.Total > 0 && spec.Produced >= 0 && spec.Produced <= spec.Total
-	if !possible {
+	consistent := spec.PromptTokens > 0 && spec.Total > 0 && spec.Produced >= 0 && spec.Produced <= spec.Total
+	if !consistent {
 		return errors.Wrap(errInvalid, "impossible KV cache")
 	}
 	b.mu.Lock()
@@ -245,22 +248,22 @@
 	s.produced = spec.Produced
 	s.state = engine.StreamImported
 	b.streams[id] = s
-	b.keep(s)
+	b.retain(s)
 	return nil
 }
 
-// crash loses all that the engine holds.
+// crash discards all streams and the prefix cache, and restarts the numbering of cache events.
 func (b *batch) crash() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.streams {
 		if s.state.Running() {
-			b.drop(s, streamLost, WasteCrash)
+			b.terminate(s, streamLost, WasteCrash)
 		}
 	}
 	clear(b.streams)
 	b.ended = nil
 	b.cache = newPrefixCache(b.options.CacheBlocks)
 	b.events.restart()
-	b.noteLoad()
+	b.recordLoad()
 }
--- a/engine/standin/batch_test.go
+++ b/engine/standin/batch_test.go
@@ -12,9 +12,9 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// slowEngine has round numbers: 1 ms for a prompt token, 10 ms for a token, and
-// 2 ms for each further stream.
-func slowEngine() Options {
+// slowOptions returns options with round numbers: 1 ms per prompt token, 10 ms per output
+// token, and 2 ms more for each further stream.
+func slowOptions() Options {
 	options := ModelDefaults()
 	options.PrefillRate = 1000
 	options.PrefillChunk = 200
@@ -23,7 +23,7 @@
 	return options
 }
 
-// submitTogether puts streams in a batch whose loop begins when all are queued.
+// submitTogether submits streams to a batch whose loop starts after all are queued.
 func submitTogether(t *testing.T, b *batch, requests ...engine.Request) []*stream {
 	b.looping = true
 	streams := make([]*stream, 0, len(requests))
@@ -38,11 +38,12 @@
 	return streams
 }
 
+// Guards against step durations and an order of admission that do not follow from the options.
 func TestSpeedModel(t *testing.T) {
 	ms := time.Millisecond
 	cases := map[string]struct {
 		options func(*Options)
-		// prompts and outputs in tokens, one each for a stream.
+		// prompts and outputs hold one length in tokens for each stream.
 		prompts, outputs []int
 		first, last      []time.Duration
 	}{
@@ -54,13 +55,13 @@
 			prompts: []int{450}, outputs: []int{1},
 			first: []time.Duration{450 * ms}, last: []time.Duration{450 * ms},
 		},
-		"batch is slower for each and faster for all": {
+		"batch slows each stream and raises throughput": {
 			prompts: []int{50, 50, 50}, outputs: []int{5, 5, 5},
 			first: []time.Duration{150 * ms, 150 * ms, 150 * ms}, last: []time.Duration{206 * ms, 206 * ms, 206 * ms},
 		},
-		"a prompt delays those who decode": {
-			// Steps: 200 prompt tokens; 150 and the first one's second
-			// token; then both decode.
+		"a prompt delays decoding streams": {
+			// Steps: 200 prompt tokens; 150 prompt tokens and the second token of the first
+			// stream; then both decode.
 			prompts: []int{100, 250}, outputs: []int{3, 2},
 			first: []time.Duration{200 * ms, 360 * ms}, last: []time.Duration{372 * ms, 372 * ms},
 		},
@@ -70,8 +71,8 @@
 			first: []time.Duration{100 * ms, 210 * ms}, last: []time.Duration{110 * ms, 220 * ms},
 		},
 		"KV memory admits in order of arrival": {
-			// The second doesn't fit beside the first; the third would,
-			// but it came later.
+			// The second stream does not fit beside the first. The third would fit but arrived
+			// later.
 			options: func(o *Options) { o.KVTokens = 200 },
 			prompts: []int{100, 150, 10}, outputs: []int{2, 2, 2},
 			first: []time.Duration{100 * ms, 270 * ms, 270 * ms}, last: []time.Duration{110 * ms, 282 * ms, 282 * ms},
@@ -85,50 +86,49 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				options := slowEngine()
+				options := slowOptions()
 				if c.options != nil {
 					c.options(&options)
 				}
 				b := New(options).model.batch
 				var requests []engine.Request
-				for at := range c.prompts {
-					id := engine.AttemptID(fmt.Sprintf("r%d.1", at))
-					requests = append(requests, completionRequest(id, c.prompts[at], c.outputs[at]))
+				for i := range c.prompts {
+					id := engine.AttemptID(fmt.Sprintf("r%d.1", i))
+					requests = append(requests, completionRequest(id, c.prompts[i], c.outputs[i]))
 				}
 				started := time.Now()
-				for at, s := range submitTogether(t, b, requests...) {
+				for i, s := range submitTogether(t, b, requests...) {
 					reader := b.attach(s)
 					go func() {
 						_, _, err := b.wait(t.Context(), s, reader, 0)
 						assert.NoError(t, err)
-						assert.Equal(t, c.first[at], time.Since(started), "first token of %d", at)
-						_, _, err = b.wait(t.Context(), s, reader, c.outputs[at])
+						assert.Equal(t, c.first[i], time.Since(started), "first token of %d", i)
+						_, _, err = b.wait(t.Context(), s, reader, c.outputs[i])
 						assert.NoError(t, err)
-						assert.Equal(t, c.last[at], time.Since(started), "last token of %d", at)
+						assert.Equal(t, c.last[i], time.Since(started), "last token of %d", i)
 					}()
 				}
 				time.Sleep(time.Minute)
-				b.close() // and so its loop is over, and its fields are free to read
-				assert.Zero(t, b.kv)
+				b.close() // the loop has returned, so its fields can be read without the lock
+				assert.Zero(t, b.kvReserved)
 				assert.Zero(t, b.options.Ledger.Running())
 			})
 		})
 	}
 }
 
-// Symptom: prompts are computed anew although they were just computed, or an
-// agent believes in blocks that are gone. Sequence: prompts share a prefix, and
-// more of them come than the cache holds. Cause: a cache without order, or events
-// that don't match it.
+// Guards against prompts that are recomputed although they are cached, and against events that
+// do not match the cache. Prompts share a prefix, and the cache holds fewer blocks than they
+// need.
 func TestPrefixCache(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := slowEngine()
+		options := slowOptions()
 		options.CacheBlocks = 8
 		options.CacheLag = time.Second
 		server, client := startServer(t, options)
 		run := func(id engine.AttemptID, request engine.Request) int {
 			request.ID = id
-			outcome, err := client.Run(t.Context(), request, nullSink{})
+			outcome, err := client.Run(t.Context(), request, tokenSink{})
 			require.NoError(t, err)
 			return outcome.CachedPromptTokens
 		}
@@ -136,7 +136,7 @@
 		assert.Zero(t, run("a.1", first))
 		events, err := client.CacheEvents(t.Context(), 0)
 		require.NoError(t, err)
-		assert.Empty(t, events, "events are late")
+		assert.Empty(t, events, "events are published with a delay")
 		assert.Equal(t, 96, run("a.2", first))
 		assert.Zero(t, run("b.1", completionRequest("b", 64, 1)))
 		time.Sleep(time.Second)
@@ -157,7 +157,8 @@
 	})
 }
 
-func TestCacheEventsHaveSeededGaps(t *testing.T) {
+// Guards against lost cache events that differ between runs with the same seed.
+func TestCacheEventGapsFollowSeed(t *testing.T) {
 	seqs := func(seed uint64, faults Faults, gap float64) []uint64 {
 		b := New(Options{Seed: seed, CacheGap: gap, Faults: faults}).model.batch
 		for range 100 {
@@ -177,12 +178,11 @@
 	assert.NotEqual(t, some, seqs(2, Faults{}, 0.5))
 }
 
-// Symptom: a scheduler that pushes by load reports fills an engine that is full
-// already. Sequence: an engine gets work and reports the time before. Cause:
-// reports are late; the stand-in must be as late as it is told.
-func TestLoadReportsAreLate(t *testing.T) {
+// Guards against load reports that are not delayed by the configured lag. Delayed reports are
+// what makes a scheduler that relies on them overload a full engine.
+func TestLoadReportsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := slowEngine()
+		options := slowOptions()
 		options.LoadLag = 700 * time.Millisecond
 		_, client := startServer(t, options)
 		running := func() int {
@@ -193,7 +193,7 @@
 		}
 		time.Sleep(time.Second)
 		go func() {
-			_, err := client.Run(t.Context(), completionRequest("a.1", 100, 20), nullSink{})
+			_, err := client.Run(t.Context(), completionRequest("a.1", 100, 20), tokenSink{})
 			assert.NoError(t, err)
 		}()
 		time.Sleep(690 * time.Millisecond)
@@ -205,15 +205,14 @@
 	})
 }
 
-// Symptom: work of a dead process is believed alive, or its number space goes on
-// as if nothing had happened. Sequence: the engine crashes in a stream and comes
-// back. Cause: streams, cache and event numbers are memory.
-func TestCrashLosesEverything(t *testing.T) {
+// Guards against streams, cached blocks or event numbers that survive a crash. The engine
+// crashes during a stream and restarts.
+func TestCrashDiscardsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := slowEngine()
+		options := slowOptions()
 		options.CacheLag = 0
 		server, client := startServer(t, options)
-		sink := nullSink{onToken: func(index int) error {
+		sink := tokenSink{onToken: func(index int) error {
 			if index == 3 {
 				server.Crash(2 * time.Second)
 			}
@@ -233,16 +232,17 @@
 		require.NoError(t, err)
 		assert.Equal(t, []engine.CacheEvent{{Seq: 1, Kind: engine.CacheCleared}}, events)
 		assert.Equal(t, map[string]uint64{WasteCrash: 100}, server.Stats().WastedByCause)
-		outcome, err := client.Run(t.Context(), completionRequest("a.2", 100, 20), nullSink{})
+		outcome, err := client.Run(t.Context(), completionRequest("a.2", 100, 20), tokenSink{})
 		require.NoError(t, err)
 		assert.Zero(t, outcome.CachedPromptTokens)
 		assert.Zero(t, server.Stats().Overlaps)
 	})
 }
 
-func TestHeldStreamsAreForgotten(t *testing.T) {
+// Guards against ended streams that are held beyond MaxHeld or HoldTime.
+func TestEndedStreamsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := slowEngine()
+		options := slowOptions()
 		options.MaxHeld = 2
 		options.HoldTime = time.Minute
 		_, client := startServer(t, options)
@@ -253,19 +253,19 @@
 		}
 		for number := range 4 {
 			id := engine.AttemptID(fmt.Sprintf("r%d.1", number))
-			_, err := client.Run(t.Context(), completionRequest(id, 10, 1), nullSink{})
+			_, err := client.Run(t.Context(), completionRequest(id, 10, 1), tokenSink{})
 			require.NoError(t, err)
 		}
 		assert.Equal(t, 2, held())
 		time.Sleep(time.Minute)
-		_, err := client.Run(t.Context(), completionRequest("last.1", 10, 1), nullSink{})
+		_, err := client.Run(t.Context(), completionRequest("last.1", 10, 1), tokenSink{})
 		require.NoError(t, err)
 		assert.Equal(t, 1, held())
 	})
 }
 
-// Symptom: an engine's sums turn negative. Sequence: a KV cache with impossible
-// numbers is imported. Cause: what comes from another engine is believed.
+// Guards against negative totals in the engine. A KV cache with inconsistent or overflowing
+// token counts is imported from another engine.
 func TestImportRefusesImpossibleKV(t *testing.T) {
 	for _, kv := range []string{
 		`{`, `{}`, `{"prompt_tokens":1,"total":0}`, `{"prompt_tokens":-5,"total":5}`, `{"prompt_tokens":1,"total":2,"produced":3}`,
--- a/engine/standin/bench_test.go
+++ b/engine/standin/bench_test.go
@@ -36,7 +36,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			id := engine.AttemptID(fmt.Sprintf("r%d.1", number.Add(1)))
-			if _, err := client.Run(b.Context(), serviceRequest(id, string(id)), nullSink{}); err != nil {
+			if _, err := client.Run(b.Context(), serviceRequest(id, string(id)), tokenSink{}); err != nil {
 				b.Error(err)
 				return
 			}
@@ -45,8 +45,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkTokens measures streams of 256 tokens from an engine whose steps take
-// no time, over loopback.
+// BenchmarkTokens measures streams of 256 tokens, from an engine whose steps take no time, over
+// loopback.
 func BenchmarkTokens(b *testing.B) {
 	const output = 256
 	options := ModelDefaults()
@@ -58,7 +58,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			id := engine.AttemptID(fmt.Sprintf("r%d.1", number.Add(1)))
-			if _, err := client.Run(b.Context(), completionRequest(id, 64, output), nullSink{}); err != nil {
+			if _, err := client.Run(b.Context(), completionRequest(id, 64, output), tokenSink{}); err != nil {
 				b.Error(err)
 				return
 			}
--- a/engine/standin/cache.go
+++ b/engine/standin/cache.go
@@ -7,8 +7,7 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// prefixCache holds the hashes of computed prompt blocks, the least recently
-// used ones leaving first.
+// prefixCache holds the hashes of computed prompt blocks and evicts the least recently used.
 type prefixCache struct {
 	capacity int
 	order    *list.List
@@ -23,8 +22,7 @@
 	}
 }
 
-// match gives how many blocks at the start of blocks are cached, and marks
-// them as used.
+// match returns the number of leading blocks that are cached and marks them as used.
 func (c *prefixCache) match(blocks []uint64) int {
 	count := 0
 	for _, block := range blocks {
@@ -38,8 +36,7 @@
 	return count
 }
 
-// store puts the blocks in the cache and gives those that are new and those
-// that had to leave.
+// store adds the blocks and returns those that are new and those that were evicted.
 func (c *prefixCache) store(blocks []uint64) (stored, evicted []uint64) {
 	for _, block := range blocks {
 		if element, ok := c.blocks[block]; ok {
@@ -60,31 +57,31 @@
 
 func (c *prefixCache) len() int { return c.order.Len() }
 
-// maxCacheEvents bounds the events that are kept.
+// maxCacheEvents limits the number of retained events.
 const maxCacheEvents = 4096
 
-// cacheLog publishes cache events late and with gaps.
+// cacheLog publishes cache events with a delay, without those that drop selects.
 type cacheLog struct {
 	lag    time.Duration
-	lost   func(seq uint64) bool
+	drop   func(seq uint64) bool
 	seq    uint64
-	events []datedEvent
+	events []timestampedEvent
 }
 
-type datedEvent struct {
+type timestampedEvent struct {
 	at    time.Time
 	event engine.CacheEvent
 }
 
 func (l *cacheLog) add(kind engine.CacheEventKind, id engine.AttemptID, blocks []uint64) {
 	l.seq++
-	if l.lost(l.seq) {
+	if l.drop(l.seq) {
 		return
 	}
 	if len(l.events) == maxCacheEvents {
 		l.events = append(l.events[:0], l.events[maxCacheEvents/2:]...)
 	}
-	l.events = append(l.events, datedEvent{
+	l.events = append(l.events, timestampedEvent{
 		at: time.Now(),
 		event: engine.CacheEvent{
 			Seq:    l.seq,
@@ -95,19 +92,19 @@
 	})
 }
 
-// after gives the published events with numbers above seq.
+// after returns the published events with sequence numbers above seq.
 func (l *cacheLog) after(seq uint64) []engine.CacheEvent {
 	published := time.Now().Add(-l.lag)
 	events := []engine.CacheEvent{}
-	for _, dated := range l.events {
-		if dated.event.Seq > seq && !dated.at.After(published) {
-			events = append(events, dated.event)
+	for _, stored := range l.events {
+		if stored.event.Seq > seq && !stored.at.After(published) {
+			events = append(events, stored.event)
 		}
 	}
 	return events
 }
 
-// restart begins the numbers anew, as a restarted engine does.
+// restart resets the sequence numbers, as a restarted engine does.
 func (l *cacheLog) restart() {
 	l.seq = 0
 	l.events = nil
--- a/engine/standin/chunks.go
+++ b/engine/standin/chunks.go
@@ -36,15 +36,15 @@
 	Content *string `json:"content,omitempty"`
 }
 
-// format writes a stream's answer in one of the two completion formats.
+// format encodes a stream's answer in one of the two completion formats.
 type format struct {
 	spec    streamSpec
 	id      string
 	created int64
-	// cached are the prompt tokens from the cache, known at the end.
+	// cached is the number of prompt tokens from the cache. It is set at the end of the stream.
 	cached int
-	// before and after surround a token's text in its chunk.
-	before, after string
+	// tokenPrefix and tokenSuffix enclose a token's text in its chunk.
+	tokenPrefix, tokenSuffix string
 }
 
 func newFormat(s *stream, created int64) *format {
@@ -56,9 +56,9 @@
 	head := `{"id":` + quote(f.id) + `,"object":` + quote(f.chunkObject()) +
 		`,"created":` + strconv.FormatInt(created, 10) + `,"model":` + quote(s.spec.Model) +
 		`,"choices":[{"index":0,`
-	f.before, f.after = head+`"text":"`, `","finish_reason":null}]}`
+	f.tokenPrefix, f.tokenSuffix = head+`"text":"`, `","finish_reason":null}]}`
 	if s.spec.Chat {
-		f.before, f.after = head+`"delta":{"content":"`, `"},"finish_reason":null}]}`
+		f.tokenPrefix, f.tokenSuffix = head+`"delta":{"content":"`, `"},"finish_reason":null}]}`
 	}
 	return f
 }
@@ -66,7 +66,7 @@
 func quote(text string) string {
 	encoded, err := json.Marshal(text)
 	if err != nil {
-		panic(err) // a string always has a JSON form
+		panic(err) // a string can always be encoded
 	}
 	return string(encoded)
 }
@@ -78,7 +78,7 @@
 	return objectText
 }
 
-func (f *format) shell(object string) completion {
+func (f *format) newCompletion(object string) completion {
 	return completion{
 		ID:      f.id,
 		Object:  object,
@@ -88,19 +88,19 @@
 	}
 }
 
-// appendToken appends the event of one token. The words are safe in JSON.
+// appendToken appends the event of one token. The words need no JSON escaping.
 func (f *format) appendToken(events []byte, index int) []byte {
 	events = append(events, "data: "...)
-	events = append(events, f.before...)
+	events = append(events, f.tokenPrefix...)
 	events = append(events, token(f.spec.Hash, index)...)
-	events = append(events, f.after...)
+	events = append(events, f.tokenSuffix...)
 	return append(events, "\n\n"...)
 }
 
-// role is the first chunk of a chat.
-func (f *format) role() completion {
+// roleChunk returns the first chunk of a chat.
+func (f *format) roleChunk() completion {
 	empty := ""
-	chunk := f.shell(f.chunkObject())
+	chunk := f.newCompletion(f.chunkObject())
 	chunk.Choices = []choice{{Delta: &message{
 		Role:    "assistant",
 		Content: &empty,
@@ -108,22 +108,22 @@
 	return chunk
 }
 
-// finish is the chunk with the finish reason.
-func (f *format) finish() completion {
+// finishChunk returns the chunk with the finish reason.
+func (f *format) finishChunk() completion {
 	last := choice{FinishReason: &f.spec.Finish}
 	if f.spec.Chat {
 		last.Delta = &message{}
 	} else {
 		last.Text = new(string)
 	}
-	chunk := f.shell(f.chunkObject())
+	chunk := f.newCompletion(f.chunkObject())
 	chunk.Choices = []choice{last}
 	return chunk
 }
 
-// usage is the last chunk, with the token counts and no choice.
-func (f *format) usage() completion {
-	chunk := f.shell(f.chunkObject())
+// usageChunk returns the last chunk, with the token counts and no choice.
+func (f *format) usageChunk() completion {
+	chunk := f.newCompletion(f.chunkObject())
 	chunk.Usage = f.usageCounts()
 	return chunk
 }
@@ -137,41 +137,41 @@
 	}
 }
 
-// whole is the answer that is not a stream.
-func (f *format) whole() completion {
+// completion returns the complete answer for a request without streaming.
+func (f *format) completion() completion {
 	content := text(f.spec.Hash, f.spec.Total)
-	only := choice{FinishReason: &f.spec.Finish}
+	single := choice{FinishReason: &f.spec.Finish}
 	object := objectText
 	if f.spec.Chat {
 		object = objectChat
-		only.Message = &message{
+		single.Message = &message{
 			Role:    "assistant",
 			Content: &content,
 		}
 	} else {
-		only.Text = &content
+		single.Text = &content
 	}
-	answer := f.shell(object)
-	answer.Choices = []choice{only}
+	answer := f.newCompletion(object)
+	answer.Choices = []choice{single}
 	answer.Usage = f.usageCounts()
 	return answer
 }
 
-// wantsUsage says whether a body asks for the usage chunk.
+// wantsUsage reports whether a body requests the usage chunk.
 func wantsUsage(body []byte) bool {
-	return parseStreamWish(body).Options.IncludeUsage
+	return parseStreamOptions(body).Options.IncludeUsage
 }
 
-// streamWish is what a body says of streaming.
-type streamWish struct {
+// streamOptions holds the streaming fields of a body.
+type streamOptions struct {
 	Stream  bool `json:"stream"`
 	Options struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 }
 
-func parseStreamWish(body []byte) streamWish {
-	var wish streamWish
-	_ = json.Unmarshal(body, &wish) // a body that is no JSON is refused elsewhere
-	return wish
+func parseStreamOptions(body []byte) streamOptions {
+	var options streamOptions
+	_ = json.Unmarshal(body, &options) // ParsePrompt rejects a body that is not JSON
+	return options
 }
--- a/engine/standin/delivery.go
+++ b/engine/standin/delivery.go
@@ -10,32 +10,32 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// delivery hands one stream over to one connection.
+// delivery sends one stream over one connection.
 type delivery struct {
 	model  *model
 	c      echo.Context
 	s      *stream
 	reader uint64
-	// next is the next token to hand over.
-	next   int
-	fate   fate
-	format *format
-	buffer []byte
+	// next is the next token to send.
+	next     int
+	injected runFaults
+	format   *format
+	buffer   []byte
 }
 
-// await waits for tokens after d.next or the stream's end.
+// await waits for tokens after d.next or for the end of the stream.
 func (d *delivery) await() (produced int, state engine.StreamState, err error) {
 	return d.model.batch.wait(d.c.Request().Context(), d.s, d.reader, d.next)
 }
 
-// stream writes server-sent events as the tokens come.
+// stream writes server-sent events as tokens are produced.
 func (d *delivery) stream() error {
 	d.format = newFormat(d.s, unixNow())
 	response := d.c.Response()
 	response.Header().Set(echo.HeaderContentType, engine.ContentTypeStream)
 	response.WriteHeader(http.StatusOK)
 	if d.format.spec.Chat && d.next == 0 {
-		d.append(d.format.role())
+		d.append(d.format.roleChunk())
 	}
 	for {
 		if err := d.write(); err != nil {
@@ -47,53 +47,54 @@
 		}
 		d.appendTokens(produced)
 		if !state.Running() {
-			return d.end(state)
+			return d.writeEnd(state)
 		}
-		if d.crashes() {
+		if d.interrupt() {
 			return abort()
 		}
 	}
 }
 
-// appendTokens appends the events up to a token number, or to the half of the
-// answer if it is to be cut there.
-func (d *delivery) appendTokens(upTo int) {
-	if d.fate.cut {
-		upTo = min(upTo, d.s.spec.Total/2)
+// appendTokens appends the events of the tokens before end, limited to half of the answer if it
+// is to be truncated.
+func (d *delivery) appendTokens(end int) {
+	if d.injected.cutAnswer {
+		end = min(end, d.s.spec.Total/2)
 	}
-	for ; d.next < upTo; d.next++ {
+	for ; d.next < end; d.next++ {
 		d.buffer = d.format.appendToken(d.buffer, d.next)
 	}
 }
 
-// crashes writes what there is and crashes the engine, if it is to die here or
-// the answer is to be cut here. It says whether the connection must close.
-func (d *delivery) crashes() bool {
-	down, dies := d.dies()
-	cut := d.fate.cut && d.next >= d.s.spec.Total/2
-	if !dies && !cut {
+// interrupt checks whether a crash is due or the answer is to be truncated here. If so, it
+// flushes the buffer, crashes the engine if due, and returns true: the connection must be
+// closed.
+func (d *delivery) interrupt() bool {
+	down, crash := d.crashDue()
+	cut := d.injected.cutAnswer && d.next >= d.s.spec.Total/2
+	if !crash && !cut {
 		return false
 	}
 	_ = d.write()
-	if dies {
+	if crash {
 		d.model.Crash(down)
 	}
 	return true
 }
 
-// dies says whether the engine crashes here, and for how long.
-func (d *delivery) dies() (time.Duration, bool) {
-	if d.fate.kills && d.next > 0 {
-		return d.fate.down, true
+// crashDue reports whether the engine is to crash at this point, and its downtime.
+func (d *delivery) crashDue() (time.Duration, bool) {
+	if d.injected.crash && d.next > 0 {
+		return d.injected.downTime, true
 	}
-	return d.model.faults.dies(d.next)
+	return d.model.faults.takeTokenCrash(d.next)
 }
 
-// end writes the last events: the finish, the usage and the end mark, or the
+// writeEnd writes the last events: the finish reason, the usage and the end marker, or the
 // error that ends the stream.
-func (d *delivery) end(state engine.StreamState) error {
+func (d *delivery) writeEnd(state engine.StreamState) error {
 	switch {
-	case d.crashes():
+	case d.interrupt():
 		return abort()
 	case state == streamCancelled:
 		d.append(engine.ErrorBody{Error: &engine.ErrorDetail{
@@ -101,14 +102,14 @@
 			Message: "the stream was cancelled",
 		}})
 		return d.write()
-	case d.fate.failAfter:
+	case d.injected.failAfter:
 		d.append(engine.ErrorBody{Error: internalError()})
 		return d.write()
 	}
 	d.format.cached = d.s.cached
-	d.append(d.format.finish())
+	d.append(d.format.finishChunk())
 	if d.s.spec.IncludeUsage {
-		d.append(d.format.usage())
+		d.append(d.format.usageChunk())
 	}
 	d.buffer = append(d.buffer, "data: "+engine.StreamDone+"\n\n"...)
 	return d.write()
@@ -117,15 +118,15 @@
 func (d *delivery) append(value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the types here always have a JSON form
+		panic(err) // the types used here can always be encoded
 	}
 	d.buffer = append(d.buffer, "data: "...)
 	d.buffer = append(d.buffer, encoded...)
 	d.buffer = append(d.buffer, "\n\n"...)
 }
 
-// write sends what is buffered. A write error needs no answer: the connection
-// is gone, and the next wait sees it.
+// write sends the buffered events. After a write error the connection is lost, so it is closed
+// without a response.
 func (d *delivery) write() error {
 	if len(d.buffer) == 0 {
 		return nil
@@ -139,37 +140,38 @@
 	return nil
 }
 
-// whole answers with one JSON body once the stream has ended, or loses it.
-func (d *delivery) whole() error {
+// writeCompletion responds with one JSON body after the stream has ended, or closes the
+// connection if a fault requires it.
+func (d *delivery) writeCompletion() error {
 	for {
 		produced, state, err := d.await()
 		if err != nil {
 			return abort()
 		}
 		d.next = produced
-		if down, dies := d.dies(); dies {
+		if down, crash := d.crashDue(); crash {
 			d.model.Crash(down)
 			return abort()
 		}
 		if !state.Running() {
-			return d.answer(state)
+			return d.writeResult(state)
 		}
 	}
 }
 
-func (d *delivery) answer(state engine.StreamState) error {
+func (d *delivery) writeResult(state engine.StreamState) error {
 	switch {
-	case d.fate.loseAnswer:
+	case d.injected.loseAnswer:
 		return abort()
 	case state == streamCancelled:
 		return d.c.JSON(http.StatusConflict, engine.ErrorBody{Error: &engine.ErrorDetail{
 			Type:    engine.TypeCancelled,
 			Message: "the stream was cancelled",
 		}})
-	case d.fate.failAfter:
-		return fail(d.c)
+	case d.injected.failAfter:
+		return respondInternalError(d.c)
 	}
 	d.format = newFormat(d.s, unixNow())
 	d.format.cached = d.s.cached
-	return sendWhole(d.c, d.format.whole(), d.fate.cut)
+	return sendJSON(d.c, d.format.completion(), d.injected.cutAnswer)
 }
--- a/engine/standin/helper_test.go
+++ b/engine/standin/helper_test.go
@@ -14,8 +14,8 @@
 
 const testHost = "10.0.1.1"
 
-// startServer runs a stand-in in a synctest bubble until the test ends, and
-// gives a client to it.
+// startServer runs a stand-in in a synctest bubble until the test ends, and returns it with a
+// client.
 func startServer(t *testing.T, options Options) (*Server, *engine.HTTP) {
 	wires := memory.New()
 	options.Network = wires.Host(testHost)
@@ -35,20 +35,20 @@
 	return server, client
 }
 
-// nullSink calls onToken for each token, if set.
-type nullSink struct{ onToken func(index int) error }
+// tokenSink calls onToken for each token unless it is nil.
+type tokenSink struct{ onToken func(index int) error }
 
-func (s nullSink) Chunk(chunk engine.Chunk) error {
+func (s tokenSink) Chunk(chunk engine.Chunk) error {
 	if chunk.Tokens == 0 || s.onToken == nil {
 		return nil
 	}
 	return s.onToken(chunk.Index)
 }
 
-func (nullSink) Answer(engine.Answer) error { return nil }
+func (tokenSink) Answer(engine.Answer) error { return nil }
 
-// completion asks for output tokens after a prompt of so many tokens, which
-// begins with its name.
+// completionRequest requests output tokens for a prompt of the given length in tokens, which
+// begins with its ID.
 func completionRequest(id engine.AttemptID, prompt, output int) engine.Request {
 	text := string(id) + strings.Repeat(".", prompt*engine.BytesPerToken)
 	return engine.Request{
--- a/engine/standin/ledger.go
+++ b/engine/standin/ledger.go
@@ -7,23 +7,23 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// Ledger counts what started and what overlapped, over all stand-ins that
-// share it.
+// Ledger counts the starts of attempts and the overlapping runs of requests, over all stand-ins
+// that share it.
 type Ledger struct {
-	max       int
-	mu        sync.Mutex
-	starts    map[engine.AttemptID]int
-	running   map[string]int
-	overlaps  uint64
-	overlap   []string
-	untracked uint64
+	max        int
+	mu         sync.Mutex
+	starts     map[engine.AttemptID]int
+	running    map[string]int
+	overlaps   uint64
+	overlapped []string
+	untracked  uint64
 }
 
-// maxOverlapNames bounds the overlapped requests that are named.
+// maxOverlapNames limits the number of overlapping requests that are recorded by name.
 const maxOverlapNames = 16
 
-// NewLedger makes a ledger of at most limit identities; more are counted as
-// untracked.
+// NewLedger returns a ledger that tracks at most limit attempts; starts of further attempts are
+// counted as untracked.
 func NewLedger(limit int) *Ledger {
 	return &Ledger{
 		max:     limit,
@@ -32,7 +32,7 @@
 	}
 }
 
-// begin notes that an attempt starts, and gives how often it has started.
+// begin records the start of an attempt and returns how often it has started.
 func (l *Ledger) begin(id engine.AttemptID) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,8 +43,8 @@
 	l.running[request]++
 	if l.running[request] > 1 {
 		l.overlaps++
-		if len(l.overlap) < maxOverlapNames {
-			l.overlap = append(l.overlap, request)
+		if len(l.overlapped) < maxOverlapNames {
+			l.overlapped = append(l.overlapped, request)
 		}
 	}
 	if _, known := l.starts[id]; !known && len(l.starts) >= l.max {
@@ -55,7 +55,7 @@
 	return l.starts[id]
 }
 
-// end notes that an attempt doesn't run any more.
+// end records that an attempt is not running.
 func (l *Ledger) end(id engine.AttemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,36 +69,37 @@
 	}
 }
 
-// Starts gives how often each attempt has started.
+// Starts returns the number of starts of each attempt.
 func (l *Ledger) Starts() map[engine.AttemptID]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.starts)
 }
 
-// started gives how often an attempt has started.
+// started returns the number of starts of an attempt.
 func (l *Ledger) started(id engine.AttemptID) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.starts[id]
 }
 
-// Overlaps counts the starts of a logical request, the identity up to its last
-// dot, while it was running already; names holds the first of them.
+// Overlaps returns the number of attempts that started while another attempt of the same
+// logical request (the ID up to its last dot) was running, and the names of the first such
+// requests.
 func (l *Ledger) Overlaps() (count uint64, names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.overlaps, append([]string(nil), l.overlap...)
+	return l.overlaps, append([]string(nil), l.overlapped...)
 }
 
-// Running counts the logical requests that run now.
+// Running returns the number of logical requests that are running.
 func (l *Ledger) Running() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.running)
 }
 
-// Untracked counts the starts that found no room in the ledger.
+// Untracked returns the number of starts beyond the limit of the ledger.
 func (l *Ledger) Untracked() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/engine/standin/loadlog.go
+++ b/engine/standin/load_history.go
@@ -6,11 +6,11 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// loadSamplesPerLag bounds how finely the past load is kept.
+// loadSamplesPerLag bounds the resolution of the stored history.
 const loadSamplesPerLag = 32
 
-// loadLog keeps the load of the recent past, since reports are late.
-type loadLog struct {
+// loadHistory keeps the recent load, because reports are delayed by lag.
+type loadHistory struct {
 	lag     time.Duration
 	samples []loadSample
 }
@@ -20,10 +20,10 @@
 	load engine.Load
 }
 
-// note keeps a load that holds from now on.
-func (l *loadLog) note(load engine.Load) {
+// record stores the load as of the present time.
+func (l *loadHistory) record(load engine.Load) {
 	now := time.Now()
-	l.forget(now)
+	l.prune(now)
 	if last := len(l.samples) - 1; last >= 0 && now.Sub(l.samples[last].at) < l.lag/loadSamplesPerLag {
 		l.samples[last].load = load
 		return
@@ -34,8 +34,8 @@
 	})
 }
 
-// forget drops what no report can need any more.
-func (l *loadLog) forget(now time.Time) {
+// prune removes the samples that no later report can need.
+func (l *loadHistory) prune(now time.Time) {
 	horizon := now.Add(-l.lag)
 	old := 0
 	for old+1 < len(l.samples) && !l.samples[old+1].at.After(horizon) {
@@ -44,9 +44,9 @@
 	l.samples = append(l.samples[:0], l.samples[old:]...)
 }
 
-// report gives the load of one lag ago.
-func (l *loadLog) report() engine.Load {
-	l.forget(time.Now())
+// report returns the load of one lag ago.
+func (l *loadHistory) report() engine.Load {
+	l.prune(time.Now())
 	load := l.samples[0].load
 	load.AgeMs = l.lag.Milliseconds()
 	return load
--- a/engine/standin/model.go
+++ b/engine/standin/model.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// model answers the calls of a model engine.
+// model handles the calls of a model engine.
 type model struct {
 	*Server
 	batch *batch
@@ -32,7 +32,7 @@
 	routes.POST("/v1/orders", m.order)
 }
 
-// complete runs a completion, streamed or whole.
+// complete runs a completion, with or without streaming.
 func (m *model) complete(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
@@ -43,29 +43,29 @@
 		id = engine.AttemptID("anonymous-" + strconv.FormatUint(m.anonymous.Add(1), 10))
 	}
 	m.counters.add(func(stats *Stats) { stats.Requests++ })
-	if m.turnsAway(c) {
+	if m.refusesRuns(c) {
 		return m.refuse(c, errNotReady)
 	}
 	spec, err := m.batch.parse(body)
 	if err != nil {
 		return m.refuse(c, err)
 	}
-	fate := m.faults.fate(string(id), m.options.Ledger.started(id)+1)
-	if fate.loseBefore {
+	injected := m.faults.draw(string(id), m.options.Ledger.started(id)+1)
+	if injected.loseBefore {
 		return abort()
 	}
-	if fate.failBefore {
-		return fail(c)
+	if injected.failBefore {
+		return respondInternalError(c)
 	}
 	s, err := m.batch.submit(id, spec)
 	if err != nil {
 		return m.refuse(c, err)
 	}
-	fate.down, fate.kills = m.faults.kills(body)
-	return m.deliver(c, s, 0, fate, parseStreamWish(body).Stream)
+	injected.downTime, injected.crash = m.faults.crashesOn(body)
+	return m.deliver(c, s, 0, injected, parseStreamOptions(body).Stream)
 }
 
-// resume goes on with a stream from a token number.
+// resume continues a stream from a token number.
 func (m *model) resume(c echo.Context) error {
 	if !m.options.Capabilities.Resume {
 		return echo.ErrNotFound
@@ -82,24 +82,24 @@
 	if err != nil {
 		return m.refuse(c, err)
 	}
-	var befalls fate
-	befalls.down, befalls.kills = m.faults.kills(body)
-	return m.deliver(c, s, from, befalls, true)
+	var injected runFaults
+	injected.downTime, injected.crash = m.faults.crashesOn(body)
+	return m.deliver(c, s, from, injected, true)
 }
 
-// deliver hands a stream's answer over from token number from.
-func (m *model) deliver(c echo.Context, s *stream, from int, fate fate, streamed bool) error {
+// deliver sends a stream's answer starting at token number from.
+func (m *model) deliver(c echo.Context, s *stream, from int, injected runFaults, streamed bool) error {
 	d := &delivery{
-		model:  m,
-		c:      c,
-		s:      s,
-		reader: m.batch.attach(s),
-		next:   from,
-		fate:   fate,
+		model:    m,
+		c:        c,
+		s:        s,
+		reader:   m.batch.attach(s),
+		next:     from,
+		injected: injected,
 	}
 	defer m.batch.detach(s, d.reader)
-	if !streamed || fate.loseAnswer {
-		return d.whole()
+	if !streamed || injected.loseAnswer {
+		return d.writeCompletion()
 	}
 	return d.stream()
 }
@@ -182,7 +182,7 @@
 	engine.OrderRefused: http.StatusBadRequest,
 }
 
-// refuse counts and answers a refusal.
+// refuse counts a refusal and responds with it.
 func (m *model) refuse(c echo.Context, err error) error {
 	m.counters.add(func(stats *Stats) { stats.Refused++ })
 	return refuse(c, err)
--- a/engine/standin/options.go
+++ b/engine/standin/options.go
@@ -9,86 +9,85 @@
 	"github.com/carawaypitch/carawaypitch/network"
 )
 
-// Options are the settings of a stand-in. [New] replaces zero values by those
-// of [ModelDefaults] or [ServiceDefaults], but for DecodeSlope, the lags, the
-// shares and ServiceTime, where zero means zero.
+// Options are the settings of a stand-in. [New] replaces zero values by those of
+// [ModelDefaults] or [ServiceDefaults], except for DecodeSlope, the lags, the shares and
+// ServiceTime, where zero means zero.
 type Options struct {
 	// Server is the backend server's name.
 	Server string
 	// Kind is model or service.
 	Kind engine.Kind
-	// Listen is the address that Run listens at; port 0 takes a free one.
+	// Listen is the address on which Run listens; port 0 selects a free port.
 	Listen string
-	// Network is where it listens and reaches its agent; nil means
-	// network.TCP.
+	// Network makes the listener and the connections to the agent; nil means network.TCP.
 	Network network.Network
 	// Agent is the base URL of the agent to announce to; empty for none.
 	Agent string
-	// Models are ready from the start; of a service, its name.
+	// Models are loaded and ready from the start; for a service, its name.
 	Models []string
-	// Slots is how many streams are in the batch, or calls run, at a time.
+	// Slots limits the number of streams in the batch, or of concurrent service calls.
 	Slots int
 
-	// PrefillRate is the speed of prompt computing, in tokens a second.
+	// PrefillRate is the prefill speed, in tokens per second.
 	PrefillRate float64
-	// PrefillChunk bounds the prompt tokens of one step.
+	// PrefillChunk limits the prompt tokens of one step.
 	PrefillChunk int
-	// DecodePace is the time between two tokens of a stream alone in the
-	// batch; DecodeSlope is added for each further decoding stream.
+	// DecodePace is the time per token of a stream that is alone in the batch; DecodeSlope is
+	// added for each further decoding stream.
 	DecodePace  time.Duration
 	DecodeSlope time.Duration
-	// KVTokens bounds the prompt and output tokens of the batch.
+	// KVTokens limits the total prompt and output tokens of the batch.
 	KVTokens int
-	// CacheBlocks bounds the prefix cache; a block is BlockTokens tokens.
+	// CacheBlocks limits the size of the prefix cache; a block is BlockTokens tokens.
 	CacheBlocks int
 	BlockTokens int
-	// MinOutput and MaxOutput bound the output, in tokens, of a request
-	// without max_tokens.
+	// MinOutput and MaxOutput bound the output, in tokens, of a request without max_tokens.
 	MinOutput int
 	MaxOutput int
-	// HoldTime and MaxHeld bound how long, and how many, ended streams are
-	// remembered for resume and cancel calls.
+	// HoldTime and MaxHeld limit how long, and how many, ended streams are held for resume and
+	// cancel calls.
 	HoldTime time.Duration
 	MaxHeld  int
 
-	// LoadLag and CacheLag are the ages of load reports and cache events.
+	// LoadLag and CacheLag are the delays of load reports and cache events.
 	LoadLag  time.Duration
 	CacheLag time.Duration
 	// CacheGap is the share of cache events that are lost, 0 to 1.
 	CacheGap float64
 
-	// Capabilities are announced, and acted by.
+	// Capabilities are announced and determine the behaviour.
 	Capabilities engine.Capabilities
 	// Roles are the roles that an order may set.
 	Roles []string
 	// WeightBytes is the size of a model in the weight store.
 	WeightBytes int64
-	// Weights is the weight store; a nil one is New's own with WeightRate
-	// bytes a second.
+	// Weights is the weight store; nil means a store of its own with WeightRate bytes per
+	// second.
 	Weights    *WeightStore
 	WeightRate float64
 
-	// ServiceTime is the duration of a service call, spread evenly by the
-	// share ServiceJitter, 0 to 1, up and down.
+	// ServiceTime is the duration of a service call. It varies uniformly by the share
+	// ServiceJitter, 0 to 1, in both directions.
 	ServiceTime   time.Duration
 	ServiceJitter float64
 
-	// Ledger counts starts and overlaps. Stand-ins that share one detect a
-	// request that runs on two of them at a time. Nil for New's own.
+	// Ledger counts starts and overlaps. Stand-ins that share one detect a request that runs on
+	// two of them at the same time. Nil means a ledger of its own.
 	Ledger *Ledger
-	// MaxTracked bounds the identities and keys that are counted.
+	// MaxTracked limits the number of attempts and idempotency keys that are counted.
 	MaxTracked int
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes limits a request body.
 	MaxBodyBytes int64
-	// Seed decides the faults, gaps, jitter and nothing else.
+	// Seed determines the faults, gaps and jitter and nothing else.
 	Seed uint64
-	// Faults are in force from the start.
+	// Faults are active from the start.
 	Faults Faults
-	// LeaveTimeout bounds the wait for the agent at a graceful stop.
+	// LeaveTimeout limits, in a graceful stop, the wait for the agent and then the wait for
+	// running calls.
 	LeaveTimeout time.Duration
 }
 
-// ModelDefaults are the settings of a model engine of middling speed.
+// ModelDefaults returns the settings of a model engine of medium speed.
 func ModelDefaults() Options {
 	return Options{
 		Server:       "engine",
@@ -124,7 +123,7 @@
 	}
 }
 
-// ServiceDefaults are the settings of a plain service.
+// ServiceDefaults returns the settings of a plain service.
 func ServiceDefaults() Options {
 	options := ModelDefaults()
 	options.Server = "registry"
@@ -138,7 +137,7 @@
 	return options
 }
 
-// MinDecodePace is the shortest DecodePace: zero would mean the default.
+// MinDecodePace is the shortest DecodePace, because zero means the default.
 const MinDecodePace = time.Nanosecond
 
 func orDefault[T comparable](value, fallback T) T {
@@ -192,13 +191,12 @@
 	return o
 }
 
-// Validate gives every mistake in the settings, joined, or nil. Zero values
-// are no mistakes.
+// Validate returns all problems of the settings, joined, or nil. Zero values are valid.
 func (o Options) Validate() error {
-	var mistakes []error
+	var problems []error
 	check := func(ok bool, text string) {
 		if !ok {
-			mistakes = append(mistakes, errors.New(text))
+			problems = append(problems, errors.New(text))
 		}
 	}
 	check(o.Kind == "" || o.Kind == engine.KindModel || o.Kind == engine.KindService, "kind: must be model or service")
@@ -218,8 +216,8 @@
 	check(o.MaxTracked >= 0 && o.MaxBodyBytes >= 0, "bounds: must not be negative")
 	check(o.LeaveTimeout >= 0, "leave timeout: must not be negative")
 	check(validCapabilities(o.Capabilities), "capabilities: fencing is refuses or ignores, on_disconnect cancels or continues")
-	mistakes = append(mistakes, o.Faults.Validate())
-	return errors.Join(mistakes...)
+	problems = append(problems, o.Faults.Validate())
+	return errors.Join(problems...)
 }
 
 func validCapabilities(c engine.Capabilities) bool {
--- a/engine/standin/orders.go
+++ b/engine/standin/orders.go
@@ -8,50 +8,50 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// WeightStore is a store of model weights with a limited rate, which the loads
-// of all stand-ins that share it take in turn.
+// WeightStore is a store of model weights with a limited rate. The loads of all stand-ins that
+// share it are served one after another.
 type WeightStore struct {
-	rate float64
-	mu   sync.Mutex
-	free time.Time
+	rate      float64
+	mu        sync.Mutex
+	busyUntil time.Time
 }
 
-// NewWeightStore makes a store of rate bytes a second.
+// NewWeightStore returns a store with a rate in bytes per second.
 func NewWeightStore(rate float64) *WeightStore {
 	return &WeightStore{rate: rate}
 }
 
-// reserve gives the time at which size bytes are fetched.
+// reserve queues a fetch of size bytes and returns the time at which it completes.
 func (w *WeightStore) reserve(size int64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now := time.Now(); w.free.Before(now) {
-		w.free = now
+	if now := time.Now(); w.busyUntil.Before(now) {
+		w.busyUntil = now
 	}
-	w.free = w.free.Add(time.Duration(float64(size) / w.rate * float64(time.Second)))
-	return w.free
+	w.busyUntil = w.busyUntil.Add(time.Duration(float64(size) / w.rate * float64(time.Second)))
+	return w.busyUntil
 }
 
-// orderBook is what orders have made of an engine.
-type orderBook struct {
+// orderState is the state of an engine that orders change.
+type orderState struct {
 	options Options
 	fence   uint64
-	// models is replaced at each change, never changed in place.
+	// models is replaced on each change and never modified in place.
 	models  []string
 	loading string
 	readyAt time.Time
 	role    string
 }
 
-func newOrderBook(options Options) orderBook {
-	return orderBook{
+func newOrderState(options Options) orderState {
+	return orderState{
 		options: options,
 		models:  slices.Clone(options.Models),
 	}
 }
 
-// settle takes a load that is through.
-func (o *orderBook) settle() {
+// finishLoad marks the model that is being loaded as ready once its load time has passed.
+func (o *orderState) finishLoad() {
 	if o.loading == "" || time.Now().Before(o.readyAt) {
 		return
 	}
@@ -59,14 +59,14 @@
 	o.loading = ""
 }
 
-func (o *orderBook) ready(model string) bool {
-	o.settle()
+func (o *orderState) ready(model string) bool {
+	o.finishLoad()
 	return slices.Contains(o.models, model)
 }
 
-// order obeys or refuses an order; users counts the streams of its model.
-func (o *orderBook) order(order engine.Order, users int) engine.OrderResult {
-	o.settle()
+// apply executes or refuses an order; streams is the number of running streams of its model.
+func (o *orderState) apply(order engine.Order, streams int) engine.OrderResult {
+	o.finishLoad()
 	if o.options.Capabilities.Fencing == engine.FencingRefuses && order.Fence < o.fence {
 		return o.result(engine.OrderStale, "fence number is old")
 	}
@@ -75,7 +75,7 @@
 	case engine.OrderLoad:
 		return o.load(order.Model)
 	case engine.OrderUnload:
-		return o.unload(order.Model, users)
+		return o.unload(order.Model, streams)
 	case engine.OrderRole:
 		return o.setRole(order.Role)
 	default:
@@ -83,7 +83,7 @@
 	}
 }
 
-func (o *orderBook) load(model string) engine.OrderResult {
+func (o *orderState) load(model string) engine.OrderResult {
 	switch {
 	case model == "":
 		return o.result(engine.OrderRefused, "no model is named")
@@ -99,26 +99,26 @@
 	return o.running()
 }
 
-func (o *orderBook) running() engine.OrderResult {
+func (o *orderState) running() engine.OrderResult {
 	result := o.result(engine.OrderRunning, "")
 	result.RemainingMs = time.Until(o.readyAt).Milliseconds()
 	return result
 }
 
-// unload takes no new streams of the model at once, and is done when the last
-// old one ends.
-func (o *orderBook) unload(model string, users int) engine.OrderResult {
+// unload stops the admission of new streams of the model immediately. It is done when the last
+// running stream of the model ends.
+func (o *orderState) unload(model string, streams int) engine.OrderResult {
 	if o.loading != "" {
 		return o.result(engine.OrderBusy, "loading "+o.loading)
 	}
 	o.models = slices.DeleteFunc(slices.Clone(o.models), func(name string) bool { return name == model })
-	if users > 0 {
+	if streams > 0 {
 		return o.result(engine.OrderRunning, "streams of the model are finishing")
 	}
 	return o.result(engine.OrderDone, "")
 }
 
-func (o *orderBook) setRole(role string) engine.OrderResult {
+func (o *orderState) setRole(role string) engine.OrderResult {
 	if !slices.Contains(o.options.Roles, role) {
 		return o.result(engine.OrderRefused, "unknown role")
 	}
@@ -126,7 +126,7 @@
 	return o.result(engine.OrderDone, "")
 }
 
-func (o *orderBook) result(state engine.OrderState, message string) engine.OrderResult {
+func (o *orderState) result(state engine.OrderState, message string) engine.OrderResult {
 	result := engine.OrderResult{
 		State:   state,
 		Message: message,
@@ -137,46 +137,46 @@
 	return result
 }
 
-// order gives the engine an order.
+// order executes an order and counts it if its fence number is stale.
 func (b *batch) order(order engine.Order) engine.OrderResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if order.Fence < b.orders.fence {
 		b.counters.add(func(stats *Stats) { stats.StaleOrders++ })
 	}
-	users := 0
+	streams := 0
 	for _, s := range b.streams {
 		if s.state.Running() && s.spec.Model == order.Model {
-			users++
+			streams++
 		}
 	}
-	result := b.orders.order(order, users)
-	b.noteLoad()
+	result := b.orders.apply(order, streams)
+	b.recordLoad()
 	return result
 }
 
-// load gives the late load report.
+// load returns the delayed load report.
 func (b *batch) load() engine.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := b.orders.loading
-	if b.orders.settle(); b.orders.loading != before {
-		b.noteLoad()
+	if b.orders.finishLoad(); b.orders.loading != before {
+		b.recordLoad()
 	}
-	return b.loads.report()
+	return b.loadHistory.report()
 }
 
-// cacheEvents gives the published cache events above a number.
+// cacheEvents returns the published cache events with sequence numbers above after.
 func (b *batch) cacheEvents(after uint64) []engine.CacheEvent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.events.after(after)
 }
 
-// ready gives the models that are ready.
+// ready returns the models that are ready.
 func (b *batch) ready() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.orders.settle()
+	b.orders.finishLoad()
 	return b.orders.models
 }
--- a/engine/standin/refuse.go
+++ b/engine/standin/refuse.go
@@ -10,24 +10,24 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// abort closes the connection without a whole answer. Its panic is net/http's
-// own way to do so, and isn't logged.
+// abort closes the connection without a complete response. net/http provides this panic value
+// for that purpose and does not log it.
 func abort() error { panic(http.ErrAbortHandler) }
 
-// refusals are the answers to errors that mean: nothing was begun.
+// refusals are the responses to errors which mean that nothing was started.
 var refusals = []struct {
 	err    error
 	status int
 	kind   string
 }{
 	{errDuplicate, http.StatusConflict, engine.TypeDuplicate},
-	{errUnknown, http.StatusNotFound, engine.TypeUnknownStream},
+	{errUnknownStream, http.StatusNotFound, engine.TypeUnknownStream},
 	{errNotReady, http.StatusServiceUnavailable, engine.TypeNotReady},
 	{errTooLong, http.StatusBadRequest, engine.TypeInvalid},
 	{errInvalid, http.StatusBadRequest, engine.TypeInvalid},
 }
 
-// refuse answers that nothing was begun, and why.
+// refuse responds that nothing was started, with the reason.
 func refuse(c echo.Context, cause error) error {
 	for _, refusal := range refusals {
 		if errors.Is(cause, refusal.err) {
@@ -41,8 +41,9 @@
 	return cause
 }
 
-// turnsAway tells whether the switch RefuseFor is set, and puts its time into the answer.
-func (s *Server) turnsAway(c echo.Context) bool {
+// refusesRuns reports whether the switch RefuseFor is set. If so, it sets the backoff header of
+// the response.
+func (s *Server) refusesRuns(c echo.Context) bool {
 	refuseFor := s.faults.get().RefuseFor
 	if refuseFor == "" {
 		return false
@@ -51,8 +52,8 @@
 	return true
 }
 
-// fail answers with a status 500, which says nothing of whether it ran.
-func fail(c echo.Context) error {
+// respondInternalError responds with a status 500, which does not tell whether the request ran.
+func respondInternalError(c echo.Context) error {
 	return c.JSON(http.StatusInternalServerError, engine.ErrorBody{Error: internalError()})
 }
 
@@ -63,7 +64,7 @@
 	}
 }
 
-// pathID gives the identity in a path, which may hold any character.
+// pathID returns the attempt ID in a path, which may contain any character.
 func pathID(c echo.Context) engine.AttemptID {
 	id := c.Param("id")
 	if c.Request().URL.RawPath == "" {
--- a/engine/standin/run.go
+++ b/engine/standin/run.go
@@ -12,13 +12,13 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// readHeaderTimeout bounds the reading of a request's head.
+// readHeaderTimeout limits the time to read the header of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Run listens and announces until ctx ends. Then it leaves its agent, waits
-// until the agent says that it is drained, finishes what runs and returns nil;
-// LeaveTimeout bounds each of both waits. It fails if the options aren't valid,
-// if it can't listen, or if calls still ran at the end.
+// Run listens and announces until ctx ends. Then it leaves its agent, waits until the agent
+// reports it as drained, waits for running calls to finish and returns nil; LeaveTimeout limits
+// each of the two waits. It fails if the options are invalid, if it cannot listen, or if calls
+// are still running at the end.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.options.Validate(); err != nil {
 		return errors.Wrap(err, "stand-in")
@@ -44,8 +44,8 @@
 	return s.shutdown(server, stopAnnouncing)
 }
 
-// shutdown leaves the agent before it closes the listener: until the agent
-// says drained, work that it has admitted may still be on its way here.
+// shutdown leaves the agent before it closes the listener: until the agent reports the server
+// as drained, work that the agent has admitted may still arrive.
 func (s *Server) shutdown(server *http.Server, stopAnnouncing func(context.Context, bool)) error {
 	leaving, stop := context.WithTimeout(context.Background(), s.options.LeaveTimeout)
 	defer stop()
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// announce starts to announce, and gives the function that ends it, with a
-// graceful leave or without.
+// announce starts the announcements and returns a function that stops them, with or without a
+// graceful leave.
 func (s *Server) announce() func(ctx context.Context, graceful bool) {
 	if s.options.Agent == "" {
 		return func(context.Context, bool) {}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Announcement is what the stand-in announces now.
+// Announcement returns the announcement of the present state.
 func (s *Server) Announcement() engine.Announcement {
 	models := s.options.Models
 	if s.model != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// decodeStrict reads one JSON value and refuses unknown fields.
+// decodeStrict decodes one JSON value and rejects unknown fields.
 func decodeStrict(source io.Reader, value any) error {
 	decoder := json.NewDecoder(source)
 	decoder.DisallowUnknownFields()
--- a/engine/standin/server.go
+++ b/engine/standin/server.go
@@ -15,7 +15,7 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// Server is a stand-in. Handler alone makes it usable in a process's own HTTP
+// Server is a stand-in of a backend server. Handler can be used alone in an existing HTTP
 // server; Run listens, announces and stops gracefully.
 type Server struct {
 	options   Options
@@ -27,17 +27,17 @@
 	service   *service
 
 	mu sync.Mutex
-	// life ends at a crash, by kill, and is replaced.
-	life      context.Context
-	kill      context.CancelFunc
+	// runCtx is cancelled by cancelRun at a crash and then replaced.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
 	downUntil time.Time
 	closed    bool
-	gate      *gateListener
+	listener  *refusingListener
 	ready     chan struct{}
 }
 
-// New makes a stand-in; nothing runs yet. Options should be valid, see
-// [Options.Validate]; Run checks them.
+// New returns a stand-in that is not running. Run checks that options are valid, see
+// [Options.Validate].
 func New(options Options) *Server {
 	options = options.withDefaults()
 	s := &Server{
@@ -46,7 +46,7 @@
 		routes:  echo.New(),
 		ready:   make(chan struct{}),
 	}
-	s.life, s.kill = context.WithCancel(context.Background())
+	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	s.faults.set(options.Faults)
 	s.commonRoutes()
 	if options.Kind == engine.KindService {
@@ -64,14 +64,14 @@
 
 func (s *Server) commonRoutes() {
 	s.routes.HTTPErrorHandler = answerError
-	s.routes.Use(s.whileUp, s.whileThawed, s.limitBody, s.advise)
+	s.routes.Use(s.abortWhileDown, s.delayWhileFrozen, s.limitBody, s.setBackpressureHeaders)
 	s.routes.GET("/healthz", func(c echo.Context) error { return c.NoContent(http.StatusOK) })
 	s.routes.GET(pathStats, func(c echo.Context) error { return c.JSON(http.StatusOK, s.Stats()) })
 	s.routes.GET(pathFaults, func(c echo.Context) error { return c.JSON(http.StatusOK, s.faults.get()) })
 	s.routes.POST(pathFaults, s.postFaults)
 }
 
-// Paths that answer also while the stand-in is frozen or down.
+// Paths that are served even while the stand-in is frozen or down.
 const (
 	pathStats  = "/v1/stats"
 	pathFaults = "/v1/faults"
@@ -82,8 +82,8 @@
 	return path == pathStats || path == pathFaults || path == pathRuns
 }
 
-// whileUp closes the connection of a call that reaches a crashed stand-in.
-func (s *Server) whileUp(next echo.HandlerFunc) echo.HandlerFunc {
+// abortWhileDown is middleware that closes the connection of a call to a crashed stand-in.
+func (s *Server) abortWhileDown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if s.down() && !isControlPath(c.Request().URL.Path) {
 			return abort()
@@ -92,23 +92,24 @@
 	}
 }
 
-// whileThawed makes calls wait while the stand-in is frozen.
-func (s *Server) whileThawed(next echo.HandlerFunc) echo.HandlerFunc {
+// delayWhileFrozen is middleware that delays calls while the stand-in is frozen.
+func (s *Server) delayWhileFrozen(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if isControlPath(c.Request().URL.Path) {
 			return next(c)
 		}
 		ctx, stop := s.untilCrash()
 		defer stop()
-		if s.faults.waitFrozen(ctx) != nil {
+		if s.faults.waitWhileFrozen(ctx) != nil {
 			return abort()
 		}
 		return next(c)
 	}
 }
 
-// advise puts what the stand-in asks of its senders into an answer.
-func (s *Server) advise(next echo.HandlerFunc) echo.HandlerFunc {
+// setBackpressureHeaders is middleware that adds the configured backpressure headers to a
+// response.
+func (s *Server) setBackpressureHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if isControlPath(c.Request().URL.Path) {
 			return next(c)
@@ -125,7 +126,7 @@
 	}
 }
 
-// limitBody makes the reading of a longer body fail.
+// limitBody is middleware that makes reading a body longer than MaxBodyBytes fail.
 func (s *Server) limitBody(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		request := c.Request()
@@ -134,7 +135,7 @@
 	}
 }
 
-// answerError answers what the handlers refuse with echo's own errors.
+// answerError responds to the errors that handlers return, including echo's own.
 func answerError(err error, c echo.Context) {
 	status := http.StatusInternalServerError
 	message := err.Error()
@@ -152,7 +153,7 @@
 	}})
 }
 
-// postFaults changes the switches that the body names.
+// postFaults changes the switches that are present in the body.
 func (s *Server) postFaults(c echo.Context) error {
 	faults := s.faults.get()
 	if err := decodeStrict(c.Request().Body, &faults); err != nil {
@@ -164,7 +165,7 @@
 	return c.JSON(http.StatusOK, s.faults.get())
 }
 
-// SetFaults replaces the fault switches. It fails if they aren't valid.
+// SetFaults replaces the fault switches. It fails if they are invalid.
 func (s *Server) SetFaults(faults Faults) error {
 	if err := faults.Validate(); err != nil {
 		return err
@@ -178,25 +179,25 @@
 
 func (s *Server) refuse(duration time.Duration) {
 	s.mu.Lock()
-	gate := s.gate
+	listener := s.listener
 	s.mu.Unlock()
-	if gate != nil {
-		gate.refuse(duration)
+	if listener != nil {
+		listener.refuse(duration)
 	}
 }
 
-// Faults gives the switches in force.
+// Faults returns the active switches.
 func (s *Server) Faults() Faults { return s.faults.get() }
 
-// Handler gives the HTTP handler of all calls. Refusing connections needs Run;
-// to a handler alone that switch does nothing.
+// Handler returns the HTTP handler of all calls. Refusing connections requires Run; with the
+// handler alone, RefuseMs has no effect.
 func (s *Server) Handler() http.Handler { return s.routes }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (s *Server) Stats() Stats { return s.counters.snapshot(s.options.Ledger) }
 
-// Runs gives how often each Idempotency-Key ran at a plain service; nil for a
-// model engine.
+// Runs returns the number of runs of each Idempotency-Key on a plain service; nil for a model
+// engine.
 func (s *Server) Runs() map[string]int {
 	if s.service == nil {
 		return nil
@@ -204,22 +205,22 @@
 	return s.service.Runs()
 }
 
-// Crash loses everything that runs or is held, as a killed process would, and
-// stays down for a while: new connections are refused, and calls on old ones
-// get theirs closed.
+// Crash discards everything that is running or held, as killing the process would, and stays
+// down for the given duration: new connections are refused, and calls on existing connections
+// are closed.
 func (s *Server) Crash(down time.Duration) {
 	s.counters.add(func(stats *Stats) { stats.Crashes++ })
-	s.lose(down)
+	s.reset(down)
 	if down > 0 {
 		s.refuse(down)
 	}
 }
 
-// lose ends all that runs and forgets all that is held.
-func (s *Server) lose(down time.Duration) {
+// reset ends everything that is running and discards everything that is held.
+func (s *Server) reset(down time.Duration) {
 	s.mu.Lock()
-	s.kill()
-	s.life, s.kill = context.WithCancel(context.Background())
+	s.cancelRun()
+	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	s.downUntil = time.Now().Add(down)
 	s.mu.Unlock()
 	if s.model != nil {
@@ -227,13 +228,13 @@
 	}
 }
 
-// Close ends everything that runs, for good, and waits for the engine's
-// goroutine. Run does it at its end; only a user of Handler alone needs it.
+// Close permanently ends everything that is running and waits for the engine's goroutine. Run
+// calls it before it returns; it is needed only if Handler is used alone.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.lose(0)
+	s.reset(0)
 	if s.model != nil {
 		s.model.batch.close()
 	}
@@ -245,35 +246,35 @@
 	return s.closed || time.Now().Before(s.downUntil)
 }
 
-// untilCrash gives a context that ends at a crash.
+// untilCrash returns a context that is cancelled at a crash.
 func (s *Server) untilCrash() (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return context.WithCancel(s.life)
+	return context.WithCancel(s.runCtx)
 }
 
-// Ready is closed once Run listens.
+// Ready returns a channel that is closed once Run listens.
 func (s *Server) Ready() <-chan struct{} { return s.ready }
 
-// URL gives the base URL that Run listens at, empty until it is ready.
+// URL returns the base URL on which Run listens, empty until it is ready.
 func (s *Server) URL() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gate == nil {
+	if s.listener == nil {
 		return ""
 	}
-	return "http://" + s.gate.address
+	return "http://" + s.listener.address
 }
 
-// listen opens the listener.
+// listen opens the listener and closes ready.
 func (s *Server) listen() (net.Listener, error) {
-	gate, err := newGateListener(s.options.Network, s.options.Listen)
+	listener, err := newRefusingListener(s.options.Network, s.options.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	s.mu.Lock()
-	s.gate = gate
+	s.listener = listener
 	s.mu.Unlock()
 	close(s.ready)
-	return gate, nil
+	return listener, nil
 }
--- a/engine/standin/server_test.go
+++ b/engine/standin/server_test.go
@@ -19,7 +19,7 @@
 	"github.com/carawaypitch/carawaypitch/network/memory"
 )
 
-// fakeAgent says draining until it is told otherwise.
+// fakeAgent responds with draining until drained is set.
 type fakeAgent struct {
 	mu      sync.Mutex
 	calls   []string
@@ -52,23 +52,23 @@
 	return count
 }
 
-// Symptom: a graceful stop cuts requests off. Sequence: the stand-in is told to
-// stop while a stream runs and its agent still admits and finishes work. Cause:
-// the listener is closed before the agent has drained.
-func TestGracefulStopWaitsForTheAgentAndTheStreams(t *testing.T) {
+// Guards against a graceful stop that cuts off requests. The stand-in is stopped while a stream
+// runs and its agent still admits and finishes work; the listener must stay open until the
+// agent has drained.
+func TestGracefulStopWaitsForAgentAndStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wires := memory.New()
+		memNetwork := memory.New()
 		agent := new(fakeAgent)
-		listener, err := wires.Host("10.0.0.1").Listen(":80")
+		listener, err := memNetwork.Host("10.0.0.1").Listen(":80")
 		require.NoError(t, err)
 		agentServer := &http.Server{Handler: agent}
 		go func() { _ = agentServer.Serve(listener) }()
 		defer func() { _ = agentServer.Close() }()
 
-		options := slowEngine()
+		options := slowOptions()
 		options.Server = "engine-1"
 		options.Agent = "http://10.0.0.1:80"
-		options.Network = wires.Host(testHost)
+		options.Network = memNetwork.Host(testHost)
 		options.Listen = testHost + ":0"
 		server := New(options)
 		ctx, stop := context.WithCancel(t.Context())
@@ -80,12 +80,12 @@
 			"capabilities":{"fencing":"refuses","kv":true,"resume":true,"on_disconnect":"continues"}}`,
 			server.URL()), agent.bodies[0])
 
-		client, err := engine.NewHTTP(server.URL(), engine.HTTPOptions{Network: wires.Host("10.0.0.2")})
+		client, err := engine.NewHTTP(server.URL(), engine.HTTPOptions{Network: memNetwork.Host("10.0.0.2")})
 		require.NoError(t, err)
 		defer client.Close()
 		ended := make(chan engine.Outcome, 1)
 		go func() {
-			outcome, err := client.Run(t.Context(), completionRequest("a.1", 100, 300), nullSink{})
+			outcome, err := client.Run(t.Context(), completionRequest("a.1", 100, 300), tokenSink{})
 			assert.NoError(t, err)
 			ended <- outcome
 		}()
@@ -94,7 +94,7 @@
 		time.Sleep(time.Second)
 		assert.Positive(t, agent.count("POST /v1/leave"))
 		_, err = client.Streams(t.Context())
-		require.NoError(t, err, "it listens while the agent drains")
+		require.NoError(t, err, "the server must listen while the agent drains")
 		agent.mu.Lock()
 		agent.drained = true
 		agent.mu.Unlock()
@@ -104,7 +104,9 @@
 	})
 }
 
-func TestRunFailsOnMistakesInTheOptions(t *testing.T) {
+// Guards against invalid options or faults that are accepted, and against an error that names
+// only the first of several problems.
+func TestRunRejectsInvalidOptions(t *testing.T) {
 	cases := map[string]Options{
 		"kind":         {Kind: "other"},
 		"slots":        {Slots: -1},
@@ -134,6 +136,8 @@
 	return recorded
 }
 
+// Guards against fault switches that cannot be changed while the server is frozen, and against
+// invalid switches that are accepted.
 func TestFaultsAreSetAtRunTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := New(ServiceDefaults())
@@ -150,28 +154,31 @@
 	})
 }
 
+// Guards against faults that differ between runs with the same seed or miss the configured
+// share.
 func TestFaultsFollowTheSeed(t *testing.T) {
-	fates := func(seed uint64) (lost int, decisions []bool) {
+	decide := func(seed uint64) (lost int, decisions []bool) {
 		faults := &faultSet{seed: seed}
 		faults.set(Faults{LoseAnswer: 0.3})
 		for number := range 10_000 {
-			fate := faults.fate(fmt.Sprint(number), 1)
-			decisions = append(decisions, fate.loseAnswer)
-			if fate.loseAnswer {
+			injected := faults.draw(fmt.Sprint(number), 1)
+			decisions = append(decisions, injected.loseAnswer)
+			if injected.loseAnswer {
 				lost++
 			}
 		}
 		return lost, decisions
 	}
-	lost, first := fates(1)
+	lost, first := decide(1)
 	assert.InDelta(t, 3000, lost, 200)
-	_, again := fates(1)
+	_, again := decide(1)
 	assert.Equal(t, first, again)
-	_, other := fates(2)
+	_, other := decide(2)
 	assert.NotEqual(t, first, other)
 }
 
-func TestWholeCompletion(t *testing.T) {
+// Guards against a completion without streaming that does not have the format of the protocol.
+func TestCompletionWithoutStreaming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := New(ModelDefaults())
 		defer server.Close()
@@ -186,10 +193,10 @@
 	})
 }
 
-// Symptom: an agent takes a lost connection for a call that did not run.
-// Sequence: a call waits for a slot or runs when its connection breaks. Cause: a
-// plain service goes on; one that cancels doesn't begin what still waits.
-func TestServiceAfterALostConnection(t *testing.T) {
+// Guards against treating a lost connection as proof that a call did not run. A connection
+// breaks while its call waits for a slot or runs: one kind of service continues, and the other
+// does not start what still waits.
+func TestServiceAfterLostConnection(t *testing.T) {
 	for behaviour, want := range map[engine.OnDisconnect]map[string]int{
 		engine.DisconnectContinues: {"running": 1, "waiting": 1},
 		engine.DisconnectCancels:   {"running": 1},
@@ -204,7 +211,7 @@
 				begin := func(key string) context.CancelFunc {
 					ctx, stop := context.WithCancel(t.Context())
 					go func() {
-						_, err := client.Run(ctx, serviceRequest(engine.AttemptID(key+".1"), key), nullSink{})
+						_, err := client.Run(ctx, serviceRequest(engine.AttemptID(key+".1"), key), tokenSink{})
 						assert.ErrorIs(t, err, engine.ErrOutcomeUnknown)
 					}()
 					synctest.Wait()
@@ -212,7 +219,7 @@
 				}
 				stopRunning, stopWaiting := begin("running"), begin("waiting")
 				stopWaiting()
-				synctest.Wait() // else the slot may be free before the loss is seen
+				synctest.Wait() // otherwise the slot may be free before the disconnect is noticed
 				stopRunning()
 				time.Sleep(10 * time.Second)
 				assert.Equal(t, want, server.Runs())
@@ -221,7 +228,9 @@
 	}
 }
 
-func TestServiceCountsSecondRuns(t *testing.T) {
+// Guards against a second run of an idempotency key that goes uncounted, and against a service
+// time without jitter.
+func TestServiceCountsRepeatedRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := ServiceDefaults()
 		options.ServiceTime = time.Second
@@ -229,7 +238,7 @@
 		server, client := startServer(t, options)
 		for _, id := range []engine.AttemptID{"a.1", "a.2"} {
 			started := time.Now()
-			_, err := client.Run(t.Context(), serviceRequest(id, "ključ 1"), nullSink{})
+			_, err := client.Run(t.Context(), serviceRequest(id, "ključ 1"), tokenSink{})
 			require.NoError(t, err)
 			assert.InDelta(t, 1, time.Since(started).Seconds(), 0.5)
 			assert.NotEqual(t, time.Second, time.Since(started))
--- a/engine/standin/service.go
+++ b/engine/standin/service.go
@@ -16,8 +16,8 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// service answers the calls of a plain service. It does nothing against a
-// second run of the same key.
+// service handles the calls of a plain service. It does not prevent a second run of the same
+// key.
 type service struct {
 	*Server
 	slots chan struct{}
@@ -34,29 +34,27 @@
 	}
 }
 
-// reserved are the paths of model engines. A call to them must not count as a
-// run.
-var reserved = []string{"/v1/streams", "/v1/streams/*", "/v1/kv/*", "/v1/load", "/v1/cache/*", "/v1/orders"}
+// reservedPaths are paths of model engines. Calls to them must not count as runs.
+var reservedPaths = []string{"/v1/streams", "/v1/streams/*", "/v1/kv/*", "/v1/load", "/v1/cache/*", "/v1/orders"}
 
 func (s *service) routes(routes *echo.Echo) {
-	for _, path := range reserved {
+	for _, path := range reservedPaths {
 		routes.Any(path, func(echo.Context) error { return echo.ErrNotFound })
 	}
 	routes.GET("/v1/runs", s.getRuns)
 	routes.POST("/*", s.call)
 }
 
-// ServiceAnswer is a service's answer.
+// ServiceAnswer is the response of a service.
 type ServiceAnswer struct {
 	Server string `json:"server"`
 	Path   string `json:"path"`
-	// Key is the Idempotency-Key, and Run how often it has run, this run
-	// included.
+	// Key is the Idempotency-Key, and Run is how often it has run, including this run.
 	Key string `json:"key"`
 	Run int    `json:"run"`
-	// RequestID is the attempt.
+	// RequestID is the ID of the attempt.
 	RequestID engine.AttemptID `json:"request_id"`
-	// Received is the call's body, as a string if it is no JSON.
+	// Received is the body of the call, as a string if it is not JSON.
 	Received json.RawMessage `json:"received"`
 }
 
@@ -64,83 +62,84 @@
 	return c.JSON(http.StatusOK, s.Runs())
 }
 
-// Runs gives how often each Idempotency-Key ran.
+// Runs returns the number of runs of each Idempotency-Key.
 func (s *service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// call runs a service call.
+// call handles a service call.
 func (s *service) call(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return refuse(c, errors.Wrap(errInvalid, err.Error()))
 	}
 	s.counters.add(func(stats *Stats) { stats.Requests++ })
-	if s.turnsAway(c) {
+	if s.refusesRuns(c) {
 		return refuse(c, errNotReady)
 	}
 	id := engine.AttemptID(c.Request().Header.Get(engine.HeaderRequestID))
 	start := s.options.Ledger.begin(id)
 	defer s.options.Ledger.end(id)
-	fate := s.fate(c, id, start)
-	if fate.loseBefore {
+	injected := s.drawFaults(c, id, start)
+	if injected.loseBefore {
 		return abort()
 	}
-	if fate.failBefore {
-		return fail(c)
+	if injected.failBefore {
+		return respondInternalError(c)
 	}
-	if down, kills := s.faults.kills(body); kills {
+	if down, crash := s.faults.crashesOn(body); crash {
 		s.Crash(down)
 		return abort()
 	}
 	run, err := s.run(c, id)
-	if err != nil || fate.loseAnswer {
+	if err != nil || injected.loseAnswer {
 		return abort()
 	}
-	if fate.failAfter {
-		return fail(c)
+	if injected.failAfter {
+		return respondInternalError(c)
 	}
-	return sendWhole(c, s.answer(c, id, run, body), fate.cut)
+	return sendJSON(c, s.answer(c, id, run, body), injected.cutAnswer)
 }
 
-// fate decides by the attempt, or for a call without one by its key or number.
-func (s *service) fate(c echo.Context, id engine.AttemptID, start int) fate {
+// drawFaults decides the faults of a call by its attempt ID, or for a call without one by its
+// key and its sequence number.
+func (s *service) drawFaults(c echo.Context, id engine.AttemptID, start int) runFaults {
 	if id != "" {
-		return s.faults.fate(string(id), start)
+		return s.faults.draw(string(id), start)
 	}
 	number := int(s.anonymous.Add(1))
-	return s.faults.fate(c.Request().Header.Get(engine.HeaderIdempotencyKey), number)
+	return s.faults.draw(c.Request().Header.Get(engine.HeaderIdempotencyKey), number)
 }
 
-// run waits for a slot, counts the run and takes its time. The count is the
-// effect: it comes first, so that a run whose connection or process is lost on
-// the way has run.
+// run waits for a slot, counts the run and then waits for the service time. The count
+// represents the effect of the call. It comes first, so that a run counts even if its
+// connection or process is lost before it responds.
 func (s *service) run(c echo.Context, id engine.AttemptID) (int, error) {
 	ctx, stop := s.callContext(c)
 	defer stop()
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		return 0, errConnection
+		return 0, errConnectionLost
 	}
 	defer func() { <-s.slots }()
-	// A slot and the end of ctx may come together, and select takes either.
+	// If a slot is free and ctx has ended, select may choose either case.
 	if ctx.Err() != nil {
-		return 0, errConnection
+		return 0, errConnectionLost
 	}
 	run := s.count(c.Request().Header.Get(engine.HeaderIdempotencyKey))
-	duration := s.faults.jittered(s.options.ServiceTime, s.options.ServiceJitter, string(id), uint64(run))
-	if err := pause(ctx, s.faults.slowed(duration)); err != nil {
+	duration := s.faults.withJitter(s.options.ServiceTime, s.options.ServiceJitter, string(id), uint64(run))
+	if err := pause(ctx, s.faults.scaled(duration)); err != nil {
 		return run, err
 	}
 	s.counters.add(func(stats *Stats) { stats.Finished++ })
 	return run, nil
 }
 
-// callContext ends with the process, and with the connection only if the
-// service cancels then.
+// callContext returns a context that is cancelled at a crash, and at the loss of the connection
+// only if the service cancels on disconnect.
 func (s *service) callContext(c echo.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := s.untilCrash()
 	if s.options.Capabilities.OnDisconnect == engine.DisconnectCancels {
@@ -174,7 +173,7 @@
 	}
 }
 
-// pause waits for a duration or until ctx ends.
+// pause waits for the duration. It returns the error of ctx if ctx ends first.
 func pause(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
@@ -189,8 +188,8 @@
 	}
 }
 
-// sendWhole sends a JSON body of known length, or only half of it.
-func sendWhole(c echo.Context, answer any, cut bool) error {
+// sendJSON sends a JSON body with its Content-Length, but only the first half if cut is set.
+func sendJSON(c echo.Context, answer any, cut bool) error {
 	body, err := json.Marshal(answer)
 	if err != nil {
 		return err
--- a/engine/standin/stats.go
+++ b/engine/standin/stats.go
@@ -14,8 +14,8 @@
 	WasteCrash      = "crash"
 )
 
-// Stats are the counters of a stand-in, at GET /v1/stats. Starts, Overlaps,
-// Overlapped and Untracked are the [Ledger]'s.
+// Stats are the counters of a stand-in, served at GET /v1/stats. Starts, Overlaps, Overlapped
+// and Untracked are those of its [Ledger].
 type Stats struct {
 	Requests   uint64 `json:"requests"`
 	Duplicates uint64 `json:"duplicates"`
@@ -25,16 +25,16 @@
 	Cancels    uint64 `json:"cancels"`
 	Disconnect uint64 `json:"disconnects"`
 	Crashes    uint64 `json:"crashes"`
-	// PrefillTokens are computed prompt tokens, and of these,
-	// WastedPrefillTokens belong to streams that ended unfinished.
+	// PrefillTokens are computed prompt tokens; WastedPrefillTokens is the part that belongs to
+	// streams that ended unfinished.
 	PrefillTokens       uint64            `json:"prefill_tokens"`
 	CachedPromptTokens  uint64            `json:"cached_prompt_tokens"`
 	WastedPrefillTokens uint64            `json:"wasted_prefill_tokens"`
 	WastedByCause       map[string]uint64 `json:"wasted_by_cause"`
-	// Tokens are produced.
+	// Tokens is the number of output tokens produced.
 	Tokens uint64 `json:"tokens"`
-	// StaleOrders carried a fence number below the highest seen, and were
-	// refused or, by an engine that ignores the number, obeyed.
+	// StaleOrders is the number of orders with a fence number below the highest seen. An engine
+	// that checks fence numbers refuses them; one that ignores fence numbers executes them.
 	StaleOrders uint64 `json:"stale_orders"`
 
 	Starts     map[engine.AttemptID]int `json:"starts"`
@@ -43,7 +43,7 @@
 	Untracked  uint64                   `json:"untracked"`
 }
 
-// counters are Stats that many goroutines add to.
+// counters holds Stats that are updated concurrently.
 type counters struct {
 	mu    sync.Mutex
 	stats Stats
--- a/engine/standin/stream.go
+++ b/engine/standin/stream.go
@@ -12,31 +12,33 @@
 	spec streamSpec
 
 	state engine.StreamState
-	// toCompute prompt tokens are left, planned of them in this step.
-	toCompute int
-	planned   int
-	decoding  bool
-	computed  int
-	cached    int
+	// promptRemaining is the number of prompt tokens left to compute; planned of them are in
+	// the present step.
+	promptRemaining int
+	planned         int
+	decoding        bool
+	computed        int
+	cached          int
 	// produced is the position after the last token.
 	produced int
 
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced on each change.
 	changed chan struct{}
-	// reader is the number of the reader in charge, 0 for none; readers is
-	// the last number given out.
-	reader  uint64
-	readers uint64
-	endedAt time.Time
+	// activeReader is the number of the active reader, 0 for none; lastReader is the last
+	// number assigned.
+	activeReader uint64
+	lastReader   uint64
+	endedAt      time.Time
 }
 
-// States of a stream that is no more: it is not listed.
+// States of an ended stream that is not listed.
 const (
 	streamCancelled engine.StreamState = "cancelled"
 	streamLost      engine.StreamState = "lost"
 )
 
-// streamSpec is what a stream is to produce. It is also an exported KV cache.
+// streamSpec is the requested output of a stream. It is also the format of an exported KV
+// cache.
 type streamSpec struct {
 	Model        string   `json:"model"`
 	Chat         bool     `json:"chat"`
@@ -44,10 +46,10 @@
 	Hash         uint64   `json:"hash"`
 	Blocks       []uint64 `json:"blocks"`
 	PromptTokens int      `json:"prompt_tokens"`
-	// Total is the length of the whole output, in tokens.
+	// Total is the length of the complete output, in tokens.
 	Total  int    `json:"total"`
 	Finish string `json:"finish"`
-	// Produced is how far an exported stream had come.
+	// Produced is the number of tokens that an exported stream had produced.
 	Produced int `json:"produced"`
 }
 
@@ -60,11 +62,11 @@
 	}
 }
 
-// tokensNeeded is the KV memory of the whole stream.
+// tokensNeeded returns the KV memory that the complete stream needs, in tokens.
 func (s *stream) tokensNeeded() int { return s.spec.PromptTokens + s.spec.Total }
 
-// fits says whether the stream fits in an empty KV memory. Both numbers come
-// from outside, so their sum may overflow.
+// fits reports whether the stream fits in an empty KV memory. It avoids adding the two numbers,
+// because both come from callers and their sum may overflow.
 func (s *stream) fits(capacity int) bool {
 	return s.spec.PromptTokens <= capacity && s.spec.Total <= capacity-s.spec.PromptTokens
 }
@@ -82,9 +84,9 @@
 		PromptTokens:       s.spec.PromptTokens,
 		CachedPromptTokens: s.cached,
 		Tokens:             s.produced,
-		Connected:          s.reader != 0,
+		Connected:          s.activeReader != 0,
 	}
 }
 
-// listed says whether the engine still holds the stream.
+// listed reports whether the engine still holds the stream.
 func (s *stream) listed() bool { return s.state != streamCancelled && s.state != streamLost }
--- a/engine/standin/text.go
+++ b/engine/standin/text.go
@@ -8,13 +8,13 @@
 	"github.com/carawaypitch/carawaypitch/engine"
 )
 
-// words are the tokens. Each is safe in JSON as it is.
+// words are the tokens. None needs JSON escaping.
 var words = strings.Fields(`
 	the a to of and in for with on at by from permit garden pass stall site county route packet review reply note
 	form fee date month owner vendor market load yard gate trailer scale green branch leaf soil bin bag truck
 	north south east west open closed valid later early small large first second third new old full part copy`)
 
-// promptHash stands for everything that an answer's text depends on.
+// promptHash returns a hash of everything that the text of an answer depends on.
 func promptHash(prompt engine.Prompt) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(prompt.Model)
@@ -23,18 +23,18 @@
 	return digest.Sum64()
 }
 
-// token gives token number index of the answer to a prompt.
-func token(prompt uint64, index int) string {
-	word := words[hashNumbers("token", prompt, uint64(index))%uint64(len(words))]
+// token returns token number index of the answer to a prompt.
+func token(hash uint64, index int) string {
+	word := words[hashNumbers("token", hash, uint64(index))%uint64(len(words))]
 	if index == 0 {
 		return word
 	}
 	return " " + word
 }
 
-// CompletionText gives the first count tokens of the answer to a completion body, as
-// every stand-in writes it; model names the engine's model for a body without
-// one. It fails if the body is none.
+// CompletionText returns the first count tokens of the answer to a completion body, which is
+// the same on every stand-in; model is used for a body that names none. It fails if body is not
+// a completion body.
 func CompletionText(body []byte, model string, count int) (string, error) {
 	prompt, err := engine.ParsePrompt(body)
 	if err != nil {
@@ -44,10 +44,10 @@
 	return text(promptHash(prompt), count), nil
 }
 
-func text(prompt uint64, count int) string {
+func text(hash uint64, count int) string {
 	var joined strings.Builder
 	for index := range count {
-		joined.WriteString(token(prompt, index))
+		joined.WriteString(token(hash, index))
 	}
 	return joined.String()
 }
@@ -58,7 +58,7 @@
 	finishStop   = "stop"
 )
 
-// outputLength gives an answer's tokens and finish reason.
+// outputLength returns the length of an answer in tokens and its finish reason.
 func (o Options) outputLength(prompt engine.Prompt, hash uint64) (tokens int, reason string) {
 	if prompt.MaxTokens > 0 {
 		return prompt.MaxTokens, finishLength
