--- a/cmd/carawaypitch/class.go
+++ b/cmd/carawaypitch/class.go
@@ -125,7 +125,7 @@
 		return errors.Wrapf(err, "%s", file)
 	}
 	return c.change(ctx, client, func(ifMatch uint64, changeID string) (operator.Change, error) {
-		return client.PutRaw(ctx, named.Name, body, ifMatch, changeID)
+		return client.PutClassJSON(ctx, named.Name, body, ifMatch, changeID)
 	})
 }
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -24,12 +24,12 @@
 
 // Bounds of one call.
 const (
-	// CallTimeout bounds one try at one control instance.
-	CallTimeout = 5 * time.Second
-	// Rounds is how often all control instances are tried before a call fails.
-	Rounds = 3
-	// RoundPause is waited between two rounds.
-	RoundPause = 500 * time.Millisecond
+	// AttemptTimeout bounds one try at one control instance.
+	AttemptTimeout = 5 * time.Second
+	// MaxRounds is how often all control instances are tried before a call fails.
+	MaxRounds = 3
+	// RoundDelay is waited between two rounds.
+	RoundDelay = 500 * time.Millisecond
 	// maxReply bounds a reply's size in bytes.
 	maxReply = 64 << 20
 )
@@ -50,7 +50,7 @@
 	return &Client{
 		controls: controls,
 		key:      key,
-		http:     &http.Client{Transport: transport, Timeout: CallTimeout},
+		http:     &http.Client{Transport: transport, Timeout: AttemptTimeout},
 	}
 }
 
@@ -104,11 +104,11 @@
 	if err != nil {
 		return Change{}, errors.Wrap(err, "encode class")
 	}
-	return c.PutRaw(ctx, class.Name, body, ifMatch, changeID)
+	return c.PutClassJSON(ctx, class.Name, body, ifMatch, changeID)
 }
 
-// PutRaw puts a class from its JSON as written, so that a field which the interface refuses is refused by name.
-func (c *Client) PutRaw(ctx context.Context, name string, body []byte, ifMatch uint64, changeID string) (Change, error) {
+// PutClassJSON puts a class from its JSON as written, so that a field which the interface refuses is refused by name.
+func (c *Client) PutClassJSON(ctx context.Context, name string, body []byte, ifMatch uint64, changeID string) (Change, error) {
 	return c.change(ctx, http.MethodPut, classPath(name), body, ifMatch, changeID)
 }
 
@@ -157,9 +157,9 @@
 // the instance may be starting, cut off, or without a leader just now.
 func (c *Client) call(ctx context.Context, what call, out any) error {
 	var last error
-	for round := range Rounds {
+	for round := range MaxRounds {
 		if round > 0 {
-			if !pause.For(ctx, RoundPause) {
+			if !pause.For(ctx, RoundDelay) {
 				return ctx.Err()
 			}
 		}
