--- a/cmd/carawaypitch/bench.go
+++ b/cmd/carawaypitch/bench.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return exit(err)
 	}
-	c.shorten(p)
+	c.overrideTimes(p)
 	r, err := c.run(ctx, p)
 	if r != nil {
 		err = errors.Join(err, c.write(r))
@@ -88,8 +88,8 @@
 	return exit(err)
 }
 
-// shorten takes the times of the command line for those of the file.
-func (c *benchCommand) shorten(p *plan.Plan) {
+// overrideTimes takes the times of the command line for those of the file.
+func (c *benchCommand) overrideTimes(p *plan.Plan) {
 	if c.warmUp > 0 {
 		p.WarmUp = plan.Duration(c.warmUp)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (c *benchCommand) run(ctx context.Context, p *plan.Plan) (*report.Report, error) {
-	options := experiment.Options{Scenarios: list(c.scenarios), Policies: list(c.policies)}
+	options := experiment.Options{Scenarios: splitList(c.scenarios), Policies: splitList(c.policies)}
 	if !c.quiet {
 		options.Progress = os.Stderr
 	}
@@ -109,7 +109,7 @@
 	switch {
 	case c.caller != "":
 		return experiment.Drive(ctx, p, options, experiment.Target{
-			Caller: c.caller, Key: c.key, Metrics: list(c.metrics), Rate: c.rate,
+			Caller: c.caller, Key: c.key, Metrics: splitList(c.metrics), Rate: c.rate,
 		})
 	case c.saturate:
 		return experiment.Saturate(ctx, p, options)
@@ -120,7 +120,7 @@
 	}
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
--- a/cmd/carawaypitch/binary_test.go
+++ b/cmd/carawaypitch/binary_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// binary is the program under test, built once.
-var binary string
+// binaryPath is the program under test, built once.
+var binaryPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -26,8 +26,8 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	binary = filepath.Join(folder, "carawaypitch")
-	build := exec.Command("go", "build", "-o", binary, ".")
+	binaryPath = filepath.Join(folder, "carawaypitch")
+	build := exec.Command("go", "build", "-o", binaryPath, ".")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
@@ -39,7 +39,7 @@
 // Symptom: on the users' machines the binary resolves nothing, or doesn't start. Sequence: it was built without cgo.
 // Cause: such a binary is static, while their programs are linked to the C library as usual.
 func TestBinaryIsLinkedToLibc(t *testing.T) {
-	file, err := elf.Open(binary)
+	file, err := elf.Open(binaryPath)
 	require.NoError(t, err)
 	defer func() { _ = file.Close() }()
 	libraries, err := file.ImportedLibraries()
@@ -54,7 +54,7 @@
 
 // Symptom: CI and a person run different tests. Sequence: one of the two commands was changed. Cause: the README's
 // test command stands in both.
-func TestCIRunsTheCommandOfTheReadme(t *testing.T) {
+func TestCIRunsReadmeTestCommand(t *testing.T) {
 	const command = "go test ./..."
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
@@ -76,7 +76,7 @@
 				withRole = append(withRole, file)
 			}
 		}
-		out, err := exec.Command(binary, append([]string{"check"}, withRole...)...).CombinedOutput()
+		out, err := exec.Command(binaryPath, append([]string{"check"}, withRole...)...).CombinedOutput()
 		require.NoError(t, err, "%s", out)
 	}
 }
--- a/cmd/carawaypitch/caller_test.go
+++ b/cmd/carawaypitch/caller_test.go
@@ -29,8 +29,8 @@
 	Body   []byte
 }
 
-// coded reads the numbered error of a reply.
-func (r reply) coded(t testing.TB) *result.Error {
+// resultError reads the numbered error of a reply.
+func (r reply) resultError(t testing.TB) *result.Error {
 	t.Helper()
 	coded := new(result.Error)
 	require.NoError(t, json.Unmarshal(r.Body, coded), "%s", r.Body)
@@ -43,7 +43,7 @@
 	key   string
 }
 
-func (c caller) try(path string, headers map[string]string, body string) (reply, error) {
+func (c caller) post(path string, headers map[string]string, body string) (reply, error) {
 	request, err := http.NewRequest(http.MethodPost, c.entry+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return reply{}, err
@@ -62,24 +62,24 @@
 	return reply{Status: got.StatusCode, Header: got.Header, Body: data}, err
 }
 
-func (c caller) call(t testing.TB, path string, headers map[string]string, body string) reply {
+func (c caller) mustPost(t testing.TB, path string, headers map[string]string, body string) reply {
 	t.Helper()
-	got, err := c.try(path, headers, body)
+	got, err := c.post(path, headers, body)
 	require.NoError(t, err)
 	return got
 }
 
-// issue calls the sample registry to issue a pass under a key.
-func (c caller) issue(key string) (reply, error) {
-	return c.try("/v1/services/registry/issue", map[string]string{
+// issuePass calls the sample registry to issuePass a pass under a key.
+func (c caller) issuePass(key string) (reply, error) {
+	return c.post("/v1/services/registry/issue", map[string]string{
 		"Carawaypitch-Class": "pass-issue",
 		"Idempotency-Key":    key,
 	}, `{"pass": "`+key+`"}`)
 }
 
-// check calls the sample registry for a gate check.
-func (c caller) check() (reply, error) {
-	return c.try("/v1/services/registry/check", map[string]string{"Carawaypitch-Class": "gate-check"}, `{"pass": "ZG-1"}`)
+// gateCheck calls the sample registry for a gate gateCheck.
+func (c caller) gateCheck() (reply, error) {
+	return c.post("/v1/services/registry/check", map[string]string{"Carawaypitch-Class": "gate-check"}, `{"pass": "ZG-1"}`)
 }
 
 // getJSON reads a page of any process.
@@ -92,8 +92,8 @@
 	require.NoError(t, json.NewDecoder(got.Body).Decode(out))
 }
 
-// answers tells whether a page answers with 200.
-func answers(url string) bool {
+// returnsOK tells whether a page returnsOK with 200.
+func returnsOK(url string) bool {
 	got, err := callerClient.Get(url)
 	if err != nil {
 		return false
--- a/cmd/carawaypitch/class.go
+++ b/cmd/carawaypitch/class.go
@@ -48,7 +48,7 @@
 }
 
 func (c *classCommand) SetFlags(flags *flag.FlagSet) {
-	c.set(flags)
+	c.register(flags)
 	flags.StringVar(&c.ifMatch, "if-match", "", "version that the change is based on (default: the one in force)")
 	flags.StringVar(&c.changeID, "change-id", "", "id of the change; give it again to resend one whose answer was lost")
 	flags.BoolVar(&c.wait, "wait", false, "return when the change is in force everywhere")
@@ -56,11 +56,11 @@
 
 func (c *classCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	verb, name := flags.Arg(0), flags.Arg(1)
-	wanted := 2
+	wantArgs := 2
 	if verb == "list" {
-		wanted = 1
+		wantArgs = 1
 	}
-	if flags.NArg() != wanted {
+	if flags.NArg() != wantArgs {
 		return usage("class: list, get NAME, put FILE or delete NAME; flags come first")
 	}
 	client, err := c.client()
@@ -131,17 +131,17 @@
 
 // readClass reads a class as written, so that the interface can name a field that it refuses.
 func readClass(file string) ([]byte, error) {
-	var written []byte
+	var source []byte
 	var err error
 	if file == "-" {
-		written, err = io.ReadAll(os.Stdin)
+		source, err = io.ReadAll(os.Stdin)
 	} else {
-		written, err = os.ReadFile(file)
+		source, err = os.ReadFile(file)
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "read class")
 	}
-	body, err := hujson.Standardize(written)
+	body, err := hujson.Standardize(source)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s", file)
 	}
@@ -156,7 +156,7 @@
 
 // change makes a change at the version asked for or in force, and waits for it to be in force everywhere if told to.
 func (c *classCommand) change(ctx context.Context, client *operator.Client, do func(uint64, string) (operator.Change, error)) error {
-	ifMatch, err := c.version(ctx, client)
+	ifMatch, err := c.baseVersion(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 	})
 }
 
-func (c *classCommand) version(ctx context.Context, client *operator.Client) (uint64, error) {
+func (c *classCommand) baseVersion(ctx context.Context, client *operator.Client) (uint64, error) {
 	if c.ifMatch != "" {
 		version, err := strconv.ParseUint(c.ifMatch, 10, 64)
 		if err != nil {
--- a/cmd/carawaypitch/cluster_faults_test.go
+++ b/cmd/carawaypitch/cluster_faults_test.go
@@ -10,9 +10,9 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// issueWithin issues a pass with a shorter deadline.
-func (c caller) issueWithin(key, deadlineMS string) (reply, error) {
-	return c.try("/v1/services/registry/issue", map[string]string{
+// issuePassWithDeadline issues a pass with a shorter deadline.
+func (c caller) issuePassWithDeadline(key, deadlineMS string) (reply, error) {
+	return c.post("/v1/services/registry/issue", map[string]string{
 		"Carawaypitch-Class":       "pass-issue",
 		"Carawaypitch-Deadline-Ms": deadlineMS,
 		"Idempotency-Key":          key,
@@ -22,19 +22,19 @@
 // Symptom: a resend at another entry waits until its deadline. Sequence: the leading control instance freezes while a
 // key's record is begun; the caller's short deadline passes; the leader wakes, and the caller sends again at the other
 // entry. Cause: the first entry lives, and owns a record for which it has no request.
-func TestBeginAtAFrozenLeader(t *testing.T) {
+func TestRetryAfterFrozenLeader(t *testing.T) {
 	c := startCluster(t)
 	leader := c.waitLeader(0)
 	c.controls[leader].signal(syscall.SIGSTOP)
-	first, err := c.caller(0).issueWithin("pass-f", "300")
+	first, err := c.caller(0).issuePassWithDeadline("pass-f", "300")
 	require.NoError(t, err)
-	requireTruth(t, first, c.runs("pass-f"))
+	requireConsistentReply(t, first, c.passRuns("pass-f"))
 	c.controls[leader].signal(syscall.SIGCONT)
-	again, err := c.caller(1).issue("pass-f")
+	again, err := c.caller(1).issuePass("pass-f")
 	require.NoError(t, err)
-	requireTruth(t, again, c.runs("pass-f"))
-	if first.Status != http.StatusOK && first.coded(t).Code == result.ControlUnavailable {
+	requireConsistentReply(t, again, c.passRuns("pass-f"))
+	if first.Status != http.StatusOK && first.resultError(t).Code == result.ControlUnavailable {
 		require.Equal(t, http.StatusOK, again.Status, "%s", again.Body)
 	}
-	require.Equal(t, 1, c.runs("pass-f"))
+	require.Equal(t, 1, c.passRuns("pass-f"))
 }
--- a/cmd/carawaypitch/cluster_request_test.go
+++ b/cmd/carawaypitch/cluster_request_test.go
@@ -19,7 +19,7 @@
 // registries are the engines of the cluster that are registry services.
 var registries = []int{1, 2}
 
-func (c *cluster) runs(key string) int {
+func (c *cluster) passRuns(key string) int {
 	c.t.Helper()
 	total := 0
 	for _, i := range registries {
@@ -28,21 +28,21 @@
 	return total
 }
 
-func (c *cluster) registryFaults(faults any) {
+func (c *cluster) setRegistryFaults(faults any) {
 	for _, i := range registries {
-		c.faults(i, faults)
+		c.setFaults(i, faults)
 	}
 }
 
-// requireTruth checks what a caller heard of a pass issuance against how often it ran.
-func requireTruth(t testing.TB, got reply, runs int) {
+// requireConsistentReply checks what a caller heard of a pass issuance against how often it ran.
+func requireConsistentReply(t testing.TB, got reply, runs int) {
 	t.Helper()
 	require.LessOrEqual(t, runs, 1, "a pass was issued %d times", runs)
 	if got.Status == http.StatusOK {
 		require.Equal(t, 1, runs, "an answer without a run")
 		return
 	}
-	coded := got.coded(t)
+	coded := got.resultError(t)
 	if coded.Ran == result.RanNo {
 		require.Zero(t, runs, "told that it did not run: %s", got.Body)
 	}
@@ -52,50 +52,50 @@
 // it again, with the same key, at the other entry. Cause: what the first entry had dispatched was known to it alone.
 func TestEntryKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
+	c.setRegistryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
 	lost := make(chan error, 1)
 	go func() {
-		_, err := c.caller(0).issue("pass-1")
+		_, err := c.caller(0).issuePass("pass-1")
 		lost <- err
 	}()
-	c.eventually(func() bool { return c.runs("pass-1") == 1 }, "the call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-1") == 1 }, "the call doesn't reach a registry")
 	c.entries[0].kill()
 	require.Error(t, <-lost)
-	got, err := c.caller(1).issue("pass-1")
+	got, err := c.caller(1).issuePass("pass-1")
 	require.NoError(t, err)
-	requireTruth(t, got, c.runs("pass-1"))
-	require.Equal(t, 1, c.runs("pass-1"))
+	requireConsistentReply(t, got, c.passRuns("pass-1"))
+	require.Equal(t, 1, c.passRuns("pass-1"))
 }
 
 // Symptom: a pass is issued twice, or its caller hears that it was not. Sequence: the registry runs the call and loses
 // the answer; the caller sends it again at both entries. Cause: a lost answer was taken for a call that never ran.
-func TestRegistryLosesTheAnswer(t *testing.T) {
+func TestLostRegistryAnswerIsUnknown(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"lose_answer": 1.0})
-	first, err := c.caller(0).issue("pass-2")
+	c.setRegistryFaults(map[string]any{"lose_answer": 1.0})
+	first, err := c.caller(0).issuePass("pass-2")
 	require.NoError(t, err)
-	require.Equal(t, result.RanUnknown, first.coded(t).Ran, "%s", first.Body)
-	c.registryFaults(map[string]any{})
+	require.Equal(t, result.RanUnknown, first.resultError(t).Ran, "%s", first.Body)
+	c.setRegistryFaults(map[string]any{})
 	for entry := range c.entries {
-		again, err := c.caller(entry).issue("pass-2")
+		again, err := c.caller(entry).issuePass("pass-2")
 		require.NoError(t, err)
-		require.Equal(t, result.RanUnknown, again.coded(t).Ran, "%s", again.Body)
+		require.Equal(t, result.RanUnknown, again.resultError(t).Ran, "%s", again.Body)
 	}
-	require.Equal(t, 1, c.runs("pass-2"))
+	require.Equal(t, 1, c.passRuns("pass-2"))
 }
 
 // Symptom: a caller waits for ever, or is told a lie. Sequence: the agent of each registry is killed while calls run
 // there, and restarts. Cause: the loss of an agent was taken for the end of its attempts.
 func TestAgentKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 200}) // about 1 s a call
+	c.setRegistryFaults(map[string]any{"slow": 200}) // about 1 s a call
 	const calls = 4
 	keys := []string{"pass-a", "pass-b", "pass-c", "pass-d"}
 	replies := make([]reply, calls)
 	var wait sync.WaitGroup
 	for i := range calls {
 		wait.Go(func() {
-			got, err := c.caller(i % 2).issue(keys[i])
+			got, err := c.caller(i % 2).issuePass(keys[i])
 			if err == nil {
 				replies[i] = got
 			}
@@ -104,7 +104,7 @@
 	c.eventually(func() bool {
 		total := 0
 		for _, key := range keys {
-			total += c.runs(key)
+			total += c.passRuns(key)
 		}
 		return total > 0
 	}, "no call reaches a registry")
@@ -115,16 +115,16 @@
 	wait.Wait()
 	for i, got := range replies {
 		require.NotZero(t, got.Status, "no reply for %s", keys[i])
-		requireTruth(t, got, c.runs(keys[i]))
+		requireConsistentReply(t, got, c.passRuns(keys[i]))
 	}
 }
 
 // Symptom: a token is missing from an answer, or a part of it comes twice. Sequence: an engine dies in the middle of
 // streams and whole answers; they go on at another engine. Cause: the other engine was told to go on after as many
 // tokens as events had been delivered, but a chat's first event has none. Found by the checks of bench.
-func TestAnswersGoOnAtAnotherEngine(t *testing.T) {
+func TestGenerationResumesOnAnotherEngine(t *testing.T) {
 	c := startCluster(t, "model-2")
-	c.faults(0, map[string]any{"die_after_tokens": 5, "down_ms": 500})
+	c.setFaults(0, map[string]any{"die_after_tokens": 5, "down_ms": 500})
 	const calls, tokens = 6, 40
 	body := func(i int) string {
 		return fmt.Sprintf(`{"model": "sample", "stream": %t, "max_tokens": %d, "messages": [{"role": "user", "content": "Question %d."}]}`,
@@ -134,7 +134,7 @@
 	var wait sync.WaitGroup
 	for i := range calls {
 		wait.Go(func() {
-			got, err := c.caller(i%2).try("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body(i))
+			got, err := c.caller(i%2).post("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body(i))
 			if err == nil {
 				replies[i] = got
 			}
@@ -145,12 +145,12 @@
 		require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 		want, err := standin.Text([]byte(body(i)), "sample", tokens)
 		require.NoError(t, err)
-		require.Equal(t, want, textOf(t, got), "call %d", i)
+		require.Equal(t, want, completionText(t, got), "call %d", i)
 	}
 }
 
-// textOf puts together the text of a completion, streamed or whole.
-func textOf(t testing.TB, got reply) string {
+// completionText puts together the text of a completion, streamed or whole.
+func completionText(t testing.TB, got reply) string {
 	t.Helper()
 	var text strings.Builder
 	for line := range strings.Lines(string(got.Body)) {
@@ -174,29 +174,29 @@
 
 // Symptom: a stream stops in the middle when its backend server leaves. Sequence: the server gets SIGTERM while it
 // streams a long answer. Cause: the leave did not wait for what was in flight.
-func TestGracefulLeaveCutsNoStream(t *testing.T) {
+func TestServerShutdownFinishesStreams(t *testing.T) {
 	c := startCluster(t)
 	body := `{"model": "sample", "stream": true, "max_tokens": 150, "messages": [{"role": "user", "content": "Long."}]}`
 	done := make(chan reply, 1)
 	go func() {
-		got, err := c.caller(0).try("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body)
+		got, err := c.caller(0).post("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body)
 		if err != nil {
 			got.Body = append(got.Body, err.Error()...)
 		}
 		done <- got
 	}()
-	c.eventually(func() bool { return c.streams(0) > 0 }, "the stream doesn't start")
+	c.eventually(func() bool { return c.runningStreams(0) > 0 }, "the stream doesn't start")
 	c.engines[0].stop()
 	got := <-done
 	require.Equal(t, http.StatusOK, got.Status)
 	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "cut: %s", tail(string(got.Body)))
-	after := c.caller(0).call(t, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, `{`+prompt+`}`)
+	after := c.caller(0).mustPost(t, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, `{`+prompt+`}`)
 	require.NotEqual(t, http.StatusOK, after.Status)
-	require.Equal(t, result.RanNo, after.coded(t).Ran)
+	require.Equal(t, result.RanNo, after.resultError(t).Ran)
 }
 
-// streams counts what runs at a stand-in.
-func (c *cluster) streams(engine int) int {
+// runningStreams counts what runs at a stand-in.
+func (c *cluster) runningStreams(engine int) int {
 	var list struct {
 		Streams []struct{} `json:"streams"`
 	}
@@ -207,20 +207,20 @@
 // Symptom: an entry that came back after a long cut looks ready, and every request at it is refused. Sequence: it freezes
 // until control ends its incarnation, then thaws. Cause: it registered the ended incarnation again, which agents refuse
 // for good. Found by the specification (docs/SPEC.md, ended_stays_ended).
-func TestEntryComesBackAfterItsEnd(t *testing.T) {
+func TestEntryServesAfterIncarnationEnded(t *testing.T) {
 	c := startCluster(t)
 	c.entries[0].signal(syscall.SIGSTOP)
 	c.eventually(func() bool { return !c.isRegistered("entry-1") }, "the silent entry stays in the directory")
 	c.entries[0].signal(syscall.SIGCONT)
 	c.eventually(func() bool {
-		got, err := c.caller(0).check()
+		got, err := c.caller(0).gateCheck()
 		return err == nil && got.Status == http.StatusOK
 	}, "the entry doesn't serve again")
 }
 
 // isRegistered tells whether an entry is in the directory.
 func (c *cluster) isRegistered(entry string) bool {
-	status, err := c.operatorOf().Status(c.t.Context())
+	status, err := c.operatorClient().Status(c.t.Context())
 	require.NoError(c.t, err)
 	for _, e := range status.Entries {
 		if e.Instance == entry {
@@ -237,16 +237,16 @@
 	for _, p := range c.controls {
 		p.signal(syscall.SIGSTOP)
 	}
-	c.eventually(func() bool { return !answers(c.entryURLs[0] + "/readyz") }, "the entry stays ready")
-	got, err := c.caller(0).check()
+	c.eventually(func() bool { return !returnsOK(c.entryURLs[0] + "/readyz") }, "the entry stays ready")
+	got, err := c.caller(0).gateCheck()
 	require.NoError(t, err)
-	require.Equal(t, result.CutOffFromControl, got.coded(t).Code, "%s", got.Body)
-	require.Equal(t, result.RanNo, got.coded(t).Ran)
+	require.Equal(t, result.CutOffFromControl, got.resultError(t).Code, "%s", got.Body)
+	require.Equal(t, result.RanNo, got.resultError(t).Ran)
 	for _, p := range c.controls {
 		p.signal(syscall.SIGCONT)
 	}
-	c.eventually(func() bool { return answers(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
-	got, err = c.caller(0).check()
+	c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
+	got, err = c.caller(0).gateCheck()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 }
@@ -258,10 +258,10 @@
 	for _, p := range c.controls {
 		p.kill()
 	}
-	cutOff := 4 * time.Second // above the bound of the settings
-	deadline := time.Now().Add(cutOff)
+	observation := 4 * time.Second // above the bound of the settings
+	deadline := time.Now().Add(observation)
 	for time.Now().Before(deadline) {
-		got, err := c.caller(0).check()
+		got, err := c.caller(0).gateCheck()
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 	}
--- a/cmd/carawaypitch/cluster_rolling_test.go
+++ b/cmd/carawaypitch/cluster_rolling_test.go
@@ -15,33 +15,33 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// sent is a call and what its caller heard in the end.
-type sent struct {
+// callRecord is a call and what its caller heard in the end.
+type callRecord struct {
 	key   string // empty for a gate check
 	entry int    // that replied
 	reply reply
 	err   error // no entry replied
 }
 
-// issueEach issues passes one after another, alternating between the entries.
-func (c *cluster) issueEach(keys []string) []sent {
-	var all []sent
+// issuePasses issues passes one after another, alternating between the entries.
+func (c *cluster) issuePasses(keys []string) []callRecord {
+	var all []callRecord
 	for i, key := range keys {
-		all = append(all, c.sendAnywhere(i, key))
+		all = append(all, c.callWithFailover(i, key))
 	}
 	return all
 }
 
-// sendAnywhere sends a call as a balancer does: to one entry, and to the other if that doesn't reply.
-func (c *cluster) sendAnywhere(first int, key string) sent {
+// callWithFailover sends a call as a balancer does: to one entry, and to the other if that doesn't reply.
+func (c *cluster) callWithFailover(first int, key string) callRecord {
 	const tries = 6
-	s := sent{key: key}
+	s := callRecord{key: key}
 	for i := range tries {
 		s.entry = (first + i) % len(c.entries)
 		if key == "" {
-			s.reply, s.err = c.caller(s.entry).check()
+			s.reply, s.err = c.caller(s.entry).gateCheck()
 		} else {
-			s.reply, s.err = c.caller(s.entry).issue(key)
+			s.reply, s.err = c.caller(s.entry).issuePass(key)
 		}
 		if s.err == nil {
 			return s
@@ -55,25 +55,25 @@
 // sends again at the other entry. Cause: a begin or an outcome that was lost with the leader taken for one that never was.
 func TestControlLeaderKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 40}) // about 0.2 s a call
+	c.setRegistryFaults(map[string]any{"slow": 40}) // about 0.2 s a call
 	const workers, calls = 6, 6
-	heard := make([][]sent, workers)
+	records := make([][]callRecord, workers)
 	var wait sync.WaitGroup
 	for w := range workers {
 		var keys []string
 		for i := range calls {
 			keys = append(keys, fmt.Sprintf("pass-l-%d-%d", w, i))
 		}
-		wait.Go(func() { heard[w] = c.issueEach(keys) })
+		wait.Go(func() { records[w] = c.issuePasses(keys) })
 	}
-	c.eventually(func() bool { return c.runs("pass-l-0-0") == 1 }, "the first call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-l-0-0") == 1 }, "the first call doesn't reach a registry")
 	leader := c.waitLeader(0)
 	c.controls[leader].kill()
 	wait.Wait()
 	answered := 0
-	for _, s := range concat(heard) {
+	for _, s := range concat(records) {
 		require.NoError(t, s.err, s.key)
-		requireTruth(t, s.reply, c.runs(s.key))
+		requireConsistentReply(t, s.reply, c.passRuns(s.key))
 		again := c.resend(1-s.entry, s.key)
 		if s.reply.Status != http.StatusOK {
 			continue
@@ -91,39 +91,39 @@
 	var got reply
 	c.eventually(func() bool {
 		var err error
-		got, err = c.caller(entry).issue(key)
+		got, err = c.caller(entry).issuePass(key)
 		if err != nil {
 			return false
 		}
-		requireTruth(c.t, got, c.runs(key))
+		requireConsistentReply(c.t, got, c.passRuns(key))
 		if got.Status == http.StatusOK {
 			return true
 		}
-		code := got.coded(c.t).Code
+		code := got.resultError(c.t).Code
 		return code != result.CutOffFromControl && code != result.ControlUnavailable
 	}, "entry %d can't ask control about %s", entry, key)
 	return got
 }
 
-func concat(lists [][]sent) []sent {
-	var all []sent
+func concat(lists [][]callRecord) []callRecord {
+	var all []callRecord
 	for _, list := range lists {
 		all = append(all, list...)
 	}
 	return all
 }
 
-// stream keeps calls coming from several callers until it is stopped.
-type stream struct {
+// traffic keeps calls coming from several callers until it is stopped.
+type traffic struct {
 	cluster *cluster
 	stopped atomic.Bool
 	wait    sync.WaitGroup
 	mu      sync.Mutex
-	all     []sent
+	all     []callRecord
 }
 
-func (c *cluster) startStream(callers int) *stream {
-	s := &stream{cluster: c}
+func (c *cluster) startTraffic(callers int) *traffic {
+	s := &traffic{cluster: c}
 	for i := range callers {
 		s.wait.Go(func() { s.run(i) })
 	}
@@ -131,20 +131,20 @@
 }
 
 // run alternates gate checks and issuances.
-func (s *stream) run(caller int) {
+func (s *traffic) run(caller int) {
 	for n := 0; !s.stopped.Load(); n++ {
 		key := ""
 		if n%2 == 1 {
 			key = fmt.Sprintf("pass-r-%d-%d", caller, n)
 		}
-		got := s.cluster.sendAnywhere(caller+n/2, key)
+		got := s.cluster.callWithFailover(caller+n/2, key)
 		s.mu.Lock()
 		s.all = append(s.all, got)
 		s.mu.Unlock()
 	}
 }
 
-func (s *stream) stop() []sent {
+func (s *traffic) stop() []callRecord {
 	s.stopped.Store(true)
 	s.wait.Wait()
 	return s.all
@@ -155,47 +155,47 @@
 // in flight, forgets what it must not, or says that it may receive work before it can.
 func TestRollingRestart(t *testing.T) {
 	c := startCluster(t)
-	calls := c.startStream(4)
+	calls := c.startTraffic(4)
 	for i := range c.controls {
 		c.controls[i].stop()
 		c.controls[i].start()
 		c.eventually(func() bool { return c.leader(i) >= 0 }, "control-%d doesn't come back", i+1)
 	}
 	for i := range c.entries {
-		c.restart(c.entries[i], c.entryURLs[i])
+		c.restartProcess(c.entries[i], c.entryURLs[i])
 	}
 	for i := range c.agents {
-		c.restart(c.agents[i], c.agentURLs[i])
+		c.restartProcess(c.agents[i], c.agentURLs[i])
 	}
 	before := map[string]int{} // runs at the engines that are gone
 	for i := range c.engines {
-		c.leave(i)
-		c.addRuns(before, i)
+		c.drainEngine(i)
+		c.addRegistryRuns(before, i)
 		c.engines[i].stop()
 		c.engines[i].start()
-		c.eventually(func() bool { return answers(c.agentURLs[i] + "/readyz") }, "the agent of engine %d isn't ready", i)
+		c.eventually(func() bool { return returnsOK(c.agentURLs[i] + "/readyz") }, "the agent of engine %d isn't ready", i)
 	}
 	all := calls.stop()
 	for _, i := range registries {
-		c.addRuns(before, i)
+		c.addRegistryRuns(before, i)
 	}
-	requireAllTrue(t, all, before)
+	requireConsistentReplies(t, all, before)
 }
 
-func (c *cluster) restart(p *process, url string) {
+func (c *cluster) restartProcess(p *process, url string) {
 	c.t.Helper()
 	p.stop()
 	p.start()
-	c.eventually(func() bool { return answers(url + "/readyz") }, "%s doesn't come back", url)
+	c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s doesn't come back", url)
 }
 
-// leave has a backend server leave, and waits until it is drained.
-func (c *cluster) leave(engine int) {
+// drainEngine has a backend server drainEngine, and waits until it is drained.
+func (c *cluster) drainEngine(engine int) {
 	c.t.Helper()
 	server := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(c.engines[engine].file), "engine-"), ".jsonc")
 	agent := caller{entry: c.agentURLs[engine]}
 	c.eventually(func() bool {
-		got, err := agent.try("/v1/leave", nil, `{"server": "`+server+`"}`)
+		got, err := agent.post("/v1/leave", nil, `{"server": "`+server+`"}`)
 		if err != nil || got.Status >= 300 {
 			return false
 		}
@@ -209,10 +209,10 @@
 	}, "%s isn't drained", server)
 }
 
-// addRuns adds what a registry ran; other engines have no such page.
-func (c *cluster) addRuns(total map[string]int, engine int) {
+// addRegistryRuns adds what a registry ran; other engines have no such page.
+func (c *cluster) addRegistryRuns(total map[string]int, engine int) {
 	c.t.Helper()
-	if !answers(c.engineURLs[engine] + "/v1/runs") {
+	if !returnsOK(c.engineURLs[engine] + "/v1/runs") {
 		return
 	}
 	runs := map[string]int{}
@@ -222,20 +222,20 @@
 	}
 }
 
-// requireAllTrue checks every call of a stream: issuances against the runs, and that gate checks failed by a code only.
-func requireAllTrue(t testing.TB, all []sent, runs map[string]int) {
+// requireConsistentReplies checks every call of a stream: issuances against the runs, and that gate checks failed by a code only.
+func requireConsistentReplies(t testing.TB, all []callRecord, runs map[string]int) {
 	t.Helper()
 	answered := 0
 	for _, s := range all {
 		require.NoError(t, s.err, "no entry replied for %q", s.key)
 		if s.key != "" {
-			requireTruth(t, s.reply, runs[s.key])
+			requireConsistentReply(t, s.reply, runs[s.key])
 		}
 		if s.reply.Status == http.StatusOK {
 			answered++
 			continue
 		}
-		coded := s.reply.coded(t)
+		coded := s.reply.resultError(t)
 		require.NotZero(t, coded.Code, "%s", s.reply.Body)
 		if s.key == "" {
 			require.Contains(t, []result.Ran{result.RanNo, result.RanUnknown}, coded.Ran, "%s", s.reply.Body)
--- a/cmd/carawaypitch/cluster_test.go
+++ b/cmd/carawaypitch/cluster_test.go
@@ -22,8 +22,8 @@
 
 // Bounds of waiting in process tests. They only bound a failing test: nothing is concluded from how long it took.
 const (
-	waitBound = 60 * time.Second
-	waitTick  = 20 * time.Millisecond
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // process is one daemon as a process of its own, with its settings file.
@@ -59,7 +59,7 @@
 	p.t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cmd = exec.Command(binary, p.role, "-settings", p.file)
+	p.cmd = exec.Command(binaryPath, p.role, "-settings", p.file)
 	p.cmd.Stderr, p.cmd.Stdout = &p.log, &p.log
 	require.NoError(p.t, p.cmd.Start())
 }
@@ -108,12 +108,12 @@
 	tls settings.TLS // of the links between all processes
 }
 
-const clusterControls = 3
+const controlInstances = 3
 
-func startCluster(t testing.TB, moreModels ...string) *cluster {
+func startCluster(t testing.TB, extraModels ...string) *cluster {
 	t.Helper()
 	c := newCluster(t)
-	c.startAll(moreModels...)
+	c.startAll(extraModels...)
 	return c
 }
 
@@ -125,18 +125,18 @@
 }
 
 // startAll starts the processes and waits until they are ready.
-func (c *cluster) startAll(moreModels ...string) {
+func (c *cluster) startAll(extraModels ...string) {
 	c.t.Helper()
-	for range clusterControls {
+	for range controlInstances {
 		c.controlLinks = append(c.controlLinks, freeAddress(c.t))
 	}
-	for i := range clusterControls {
+	for i := range controlInstances {
 		c.addControl(i)
 	}
 	c.addServer("model-1", settings.KindModel, []string{"sample"})
 	c.addServer("registry-1", settings.KindService, []string{"registry"})
 	c.addServer("registry-2", settings.KindService, []string{"registry"})
-	for _, name := range moreModels {
+	for _, name := range extraModels {
 		c.addServer(name, settings.KindModel, []string{"sample"})
 	}
 	c.addEntry(0)
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, url := range append(append([]string{}, c.entryURLs...), c.agentURLs...) {
-		c.eventually(func() bool { return answers(url + "/readyz") }, "%s is not ready", url)
+		c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s is not ready", url)
 	}
 }
 
@@ -167,20 +167,20 @@
 }
 
 func tail(text string) string {
-	const keep = 6000
-	if len(text) > keep {
-		return text[len(text)-keep:]
+	const maxBytes = 6000
+	if len(text) > maxBytes {
+		return text[len(text)-maxBytes:]
 	}
 	return text
 }
 
 func (c *cluster) eventually(condition func() bool, format string, args ...any) {
 	c.t.Helper()
-	require.Eventually(c.t, condition, waitBound, waitTick, append([]any{format}, args...)...)
+	require.Eventually(c.t, condition, waitTimeout, pollInterval, append([]any{format}, args...)...)
 }
 
-// addresses counts the loopback addresses handed out to the processes of this test run.
-var addresses atomic.Uint32
+// addressCounter counts the loopback addressCounter handed out to the processes of this test run.
+var addressCounter atomic.Uint32
 
 // freeAddress gives an IP number in 127.0.0.0/8 that no other process of this machine's tests uses, with a port below
 // the ephemeral ones.
@@ -190,15 +190,15 @@
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	const port = 7000
-	n := addresses.Add(1)
+	n := addressCounter.Add(1)
 	pid := uint32(os.Getpid())
 	require.Less(t, n, uint32(1<<10), "too many addresses in one run")
 	ip := 127<<24 | 1<<23 | (pid&(1<<13-1))<<10 | n
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{byte(ip >> 24), byte(ip >> 16), byte(ip >> 8), byte(ip)}), port).String()
 }
 
-// write puts a settings file into the folder and makes the process for it.
-func (c *cluster) write(role, name string, value any) *process {
+// writeSettings puts a settings file into the folder and makes the process for it.
+func (c *cluster) writeSettings(role, name string, value any) *process {
 	c.t.Helper()
 	data, err := settings.Marshal(value)
 	require.NoError(c.t, err)
@@ -207,12 +207,12 @@
 	return &process{t: c.t, role: role, file: file}
 }
 
-func digestOf(key string) []string {
+func keyDigests(key string) []string {
 	return []string{settings.NewDigest(key, settings.NewSalt())}
 }
 
 func (c *cluster) organisations() []settings.Organisation {
-	return []settings.Organisation{{Name: "zagreb", KeyDigests: digestOf(c.callerKey), DefaultClass: "summary"}}
+	return []settings.Organisation{{Name: "zagreb", KeyDigests: keyDigests(c.callerKey), DefaultClass: "summary"}}
 }
 
 func (c *cluster) controlSettings(i int) settings.Control {
@@ -228,7 +228,7 @@
 	s.Bootstrap = true
 	s.Timing.ServerExpire = 3 * time.Second
 	s.DataDir = filepath.Join(c.folder, s.Instance)
-	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: digestOf(c.operatorKey)}}
+	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: keyDigests(c.operatorKey)}}
 	s.Organisations = c.organisations()
 	s.InitialClasses = []settings.Class{
 		{Name: "gate-check", Tier: 1, DeadlineMS: 5000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: settings.KindService},
@@ -241,7 +241,7 @@
 func (c *cluster) addControl(i int) {
 	s := c.controlSettings(i)
 	require.NoError(c.t, os.MkdirAll(s.DataDir, 0o700))
-	c.controls = append(c.controls, c.write("control", s.Instance, s))
+	c.controls = append(c.controls, c.writeSettings("control", s.Instance, s))
 	c.controlURLs = append(c.controlURLs, "http://"+s.Listen.Operators)
 }
 
@@ -253,8 +253,8 @@
 	s.Controls = c.controlLinks
 	s.TLS = c.tls
 	s.Organisations = c.organisations()
-	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: digestOf(c.operatorKey)}}
-	c.entries = append(c.entries, c.write("entry", s.Instance, s))
+	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: keyDigests(c.operatorKey)}}
+	c.entries = append(c.entries, c.writeSettings("entry", s.Instance, s))
 	c.entryURLs = append(c.entryURLs, "http://"+s.Listen.Callers)
 }
 
@@ -267,7 +267,7 @@
 	a.Advertise = a.Listen.Links
 	a.Controls = c.controlLinks
 	a.TLS = c.tls
-	c.agents = append(c.agents, c.write("agent", a.Instance, a))
+	c.agents = append(c.agents, c.writeSettings("agent", a.Instance, a))
 	c.agentURLs = append(c.agentURLs, "http://"+a.Listen.HTTP)
 	c.agentLinks = append(c.agentLinks, a.Listen.Links)
 
@@ -277,16 +277,16 @@
 	e.Listen = freeAddress(c.t)
 	e.Agent = a.Listen.HTTP
 	e.Models = models
-	c.engines = append(c.engines, c.write("engine", "engine-"+name, e))
+	c.engines = append(c.engines, c.writeSettings("engine", "engine-"+name, e))
 	c.engineURLs = append(c.engineURLs, "http://"+e.Listen)
 }
 
-// faults switches the faults of a stand-in while it runs.
-func (c *cluster) faults(engine int, faults any) {
+// setFaults switches the setFaults of a stand-in while it runs.
+func (c *cluster) setFaults(engine int, faults any) {
 	c.t.Helper()
 	body, err := json.Marshal(faults)
 	require.NoError(c.t, err)
-	got := caller{entry: c.engineURLs[engine]}.call(c.t, "/v1/faults", nil, string(body))
+	got := caller{entry: c.engineURLs[engine]}.mustPost(c.t, "/v1/faults", nil, string(body))
 	require.Less(c.t, got.Status, 300, "%s", got.Body)
 }
 
@@ -294,8 +294,8 @@
 	return caller{c.entryURLs[entry], c.callerKey}
 }
 
-// operatorOf gives an operator's client of the given control instances, or of all.
-func (c *cluster) operatorOf(controls ...int) *operator.Client {
+// operatorClient gives an operator's client of the given control instances, or of all.
+func (c *cluster) operatorClient(controls ...int) *operator.Client {
 	urls := c.controlURLs
 	if len(controls) > 0 {
 		urls = nil
@@ -308,7 +308,7 @@
 
 // leader gives the index of the leading control instance as instance i sees it, or -1.
 func (c *cluster) leader(seenBy int) int {
-	status, err := c.operatorOf(seenBy).Status(c.t.Context())
+	status, err := c.operatorClient(seenBy).Status(c.t.Context())
 	if err != nil || !status.Confirmed {
 		return -1
 	}
--- a/cmd/carawaypitch/cluster_tls_test.go
+++ b/cmd/carawaypitch/cluster_tls_test.go
@@ -28,17 +28,17 @@
 // linkName is the name in the certificates of all processes of a deployment.
 const linkName = "link.internal"
 
-// authority signs the certificates of one deployment.
-type authority struct {
+// certificateAuthority signs the certificates of one deployment.
+type certificateAuthority struct {
 	t           testing.TB
 	folder      string
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
 }
 
-func newAuthority(t testing.TB) *authority {
+func newAuthority(t testing.TB) *certificateAuthority {
 	t.Helper()
-	a := &authority{t: t, folder: t.TempDir(), key: newPrivateKey(t)}
+	a := &certificateAuthority{t: t, folder: t.TempDir(), key: newPrivateKey(t)}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
@@ -58,7 +58,7 @@
 	return key
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *certificateAuthority) write(name, kind string, der []byte) string {
 	a.t.Helper()
 	path := filepath.Join(a.folder, name+".pem")
 	require.NoError(a.t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
@@ -66,7 +66,7 @@
 }
 
 // issue gives the settings of a process with a certificate of this authority, which trusts those of another.
-func (a *authority) issue(trusted *authority) settings.TLS {
+func (a *certificateAuthority) issue(trusted *certificateAuthority) settings.TLS {
 	a.t.Helper()
 	key := newPrivateKey(a.t)
 	template := &x509.Certificate{
@@ -91,60 +91,60 @@
 // it without a word.
 func TestLinksWithTLS(t *testing.T) {
 	c := newCluster(t)
-	ours, theirs := newAuthority(t), newAuthority(t)
-	c.tls = ours.issue(ours)
+	deploymentCA, foreignCA := newAuthority(t), newAuthority(t)
+	c.tls = deploymentCA.issue(deploymentCA)
 	c.startAll()
-	checked, err := c.caller(0).check()
+	checked, err := c.caller(0).gateCheck()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, checked.Status, "%s", checked.Body)
-	issued, err := c.caller(1).issue("pass-tls")
+	issued, err := c.caller(1).issuePass("pass-tls")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, issued.Status, "%s", issued.Body)
-	require.Equal(t, 1, c.runs("pass-tls"))
+	require.Equal(t, 1, c.passRuns("pass-tls"))
 
-	stranger := theirs.issue(ours)
+	untrusted := foreignCA.issue(deploymentCA)
 	for _, address := range c.controlLinks {
-		c.requireLinksRefused(address, stranger)
+		c.requireLinksRefused(address, untrusted)
 		require.NoError(t, callForward(t, address, c.tls), "a member is heard")
 	}
 	for _, address := range c.agentLinks {
-		c.requireLinksRefused(address, stranger)
+		c.requireLinksRefused(address, untrusted)
 	}
 	for i, p := range c.controls {
-		c.requireRefusalsSeen(p, c.controlURLs[i])
+		c.requireRefusalsReported(p, c.controlURLs[i])
 	}
 	for i, p := range c.agents {
-		c.requireRefusalsSeen(p, c.agentURLs[i])
+		c.requireRefusalsReported(p, c.agentURLs[i])
 	}
-	c.tls = stranger
+	c.tls = untrusted
 	c.addEntry(len(c.entries))
 	last := len(c.entries) - 1
 	c.entries[last].start()
-	c.eventually(func() bool { return answers(c.entryURLs[last] + "/healthz") }, "the strange entry doesn't start")
-	refused, err := c.caller(last).check()
+	c.eventually(func() bool { return returnsOK(c.entryURLs[last] + "/healthz") }, "the strange entry doesn't start")
+	refused, err := c.caller(last).gateCheck()
 	require.NoError(t, err)
 	require.NotEqual(t, http.StatusOK, refused.Status, "%s", refused.Body)
 }
 
 // requireLinksRefused calls the link services of a process with a certificate that it must not accept. Why they fail
 // here is left open: the alert may get lost when the server closes the connection.
-func (c *cluster) requireLinksRefused(address string, stranger settings.TLS) {
+func (c *cluster) requireLinksRefused(address string, untrusted settings.TLS) {
 	c.t.Helper()
-	require.Error(c.t, callForward(c.t, address, stranger))
-	require.Error(c.t, callSession(c.t, address, stranger))
+	require.Error(c.t, callForward(c.t, address, untrusted))
+	require.Error(c.t, callSession(c.t, address, untrusted))
 }
 
 // callForward calls the service of the replicas. A refusal of the command itself is an answer too.
-func callForward(t testing.TB, address string, member settings.TLS) error {
-	return callLink(t, address, member, func(ctx context.Context, conn drpc.Conn) error {
+func callForward(t testing.TB, address string, credentials settings.TLS) error {
+	return callLink(t, address, credentials, func(ctx context.Context, conn drpc.Conn) error {
 		_, err := wire.NewDRPCReplicaLinkClient(conn).Forward(ctx, &wire.Propose{Command: &wire.Command{}})
 		return err
 	})
 }
 
 // callSession calls the service of entries and agents and waits for a word.
-func callSession(t testing.TB, address string, member settings.TLS) error {
-	return callLink(t, address, member, func(ctx context.Context, conn drpc.Conn) error {
+func callSession(t testing.TB, address string, credentials settings.TLS) error {
+	return callLink(t, address, credentials, func(ctx context.Context, conn drpc.Conn) error {
 		stream, err := wire.NewDRPCControlLinkClient(conn).Session(ctx)
 		if err != nil {
 			return err
@@ -154,9 +154,9 @@
 	})
 }
 
-func callLink(t testing.TB, address string, member settings.TLS, call func(context.Context, drpc.Conn) error) error {
+func callLink(t testing.TB, address string, credentials settings.TLS, call func(context.Context, drpc.Conn) error) error {
 	t.Helper()
-	config, err := member.ClientConfig()
+	config, err := credentials.ClientConfig()
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
@@ -168,8 +168,8 @@
 	return call(ctx, conn)
 }
 
-// requireRefusalsSeen looks for the refusals in a process's log and metrics.
-func (c *cluster) requireRefusalsSeen(p *process, url string) {
+// requireRefusalsReported looks for the refusals in a process's log and metrics.
+func (c *cluster) requireRefusalsReported(p *process, url string) {
 	c.t.Helper()
 	c.eventually(func() bool {
 		text := p.log.String()
--- a/cmd/carawaypitch/cluster_twofaults_test.go
+++ b/cmd/carawaypitch/cluster_twofaults_test.go
@@ -14,13 +14,13 @@
 // and the record, or a newer incarnation, was taken for the word that nothing ran.
 func TestEntryAndAgentsKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
+	c.setRegistryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
 	lost := make(chan error, 1)
 	go func() {
-		_, err := c.caller(0).issue("pass-3")
+		_, err := c.caller(0).issuePass("pass-3")
 		lost <- err
 	}()
-	c.eventually(func() bool { return c.runs("pass-3") == 1 }, "the call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-3") == 1 }, "the call doesn't reach a registry")
 	c.entries[0].kill()
 	for _, i := range registries {
 		c.agents[i].kill()
@@ -29,12 +29,12 @@
 	for _, i := range registries {
 		c.agents[i].start()
 	}
-	c.registryFaults(map[string]any{})
+	c.setRegistryFaults(map[string]any{})
 	for range 3 {
-		got, err := c.caller(1).issue("pass-3")
+		got, err := c.caller(1).issuePass("pass-3")
 		require.NoError(t, err)
-		requireTruth(t, got, c.runs("pass-3"))
-		require.Equal(t, result.RanUnknown, got.coded(t).Ran, "nobody is left to tell: %s", got.Body)
+		requireConsistentReply(t, got, c.passRuns("pass-3"))
+		require.Equal(t, result.RanUnknown, got.resultError(t).Ran, "nobody is left to tell: %s", got.Body)
 	}
-	require.Equal(t, 1, c.runs("pass-3"))
+	require.Equal(t, 1, c.passRuns("pass-3"))
 }
--- a/cmd/carawaypitch/cutoff_bench_test.go
+++ b/cmd/carawaypitch/cutoff_bench_test.go
@@ -9,27 +9,27 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// cutLength is how long control is away in each round.
-const cutLength = 10 * time.Second
+// outageDuration is how long control is away in each round.
+const outageDuration = 10 * time.Second
 
-// served counts gate checks at an entry, one after another, until a moment.
-type served struct {
+// checkCounts counts gate checks at an entry, one after another, until a moment.
+type checkCounts struct {
 	good, refused, other int
 	lastGood             time.Duration // since the start
 }
 
-func (c *cluster) checkUntil(end time.Time) served {
-	var s served
+func (c *cluster) gateChecksUntil(end time.Time) checkCounts {
+	var s checkCounts
 	start := time.Now()
 	for time.Now().Before(end) {
-		got, err := c.caller(0).check()
+		got, err := c.caller(0).gateCheck()
 		switch {
 		case err != nil:
 			s.other++
 		case got.Status == http.StatusOK:
 			s.good++
 			s.lastGood = time.Since(start)
-		case got.coded(c.t).Code == result.CutOffFromControl:
+		case got.resultError(c.t).Code == result.CutOffFromControl:
 			s.refused++
 		default:
 			s.other++
@@ -38,7 +38,7 @@
 	return s
 }
 
-func (s served) report(b *testing.B) {
+func (s checkCounts) report(b *testing.B) {
 	b.ReportMetric(float64(s.good), "good")
 	b.ReportMetric(float64(s.refused), "refused")
 	b.ReportMetric(float64(s.other), "other")
@@ -53,13 +53,13 @@
 		for _, p := range c.controls {
 			p.signal(syscall.SIGSTOP)
 		}
-		s := c.checkUntil(time.Now().Add(cutLength))
+		s := c.gateChecksUntil(time.Now().Add(outageDuration))
 		for _, p := range c.controls {
 			p.signal(syscall.SIGCONT)
 		}
-		thawed := time.Now()
-		c.eventually(func() bool { return answers(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
-		b.ReportMetric(float64(time.Since(thawed).Milliseconds()), "ms-to-return")
+		resumed := time.Now()
+		c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
+		b.ReportMetric(float64(time.Since(resumed).Milliseconds()), "ms-to-return")
 		s.report(b)
 		c.killAll()
 	}
@@ -73,7 +73,7 @@
 		for _, p := range c.controls {
 			p.kill()
 		}
-		c.checkUntil(time.Now().Add(cutLength)).report(b)
+		c.gateChecksUntil(time.Now().Add(outageDuration)).report(b)
 		c.killAll()
 	}
 }
--- a/cmd/carawaypitch/daemons.go
+++ b/cmd/carawaypitch/daemons.go
@@ -26,17 +26,17 @@
 
 // runDaemon loads the settings, makes the daemon with a log at the settings' level and runs it. Mistakes in the
 // settings are printed all at once, and nothing is started.
-func runDaemon[T any, D daemon](ctx context.Context, file string, level func(*T) log.Level, make func(*T, log.Interface) (D, error)) subcommands.ExitStatus {
+func runDaemon[T any, D daemon](ctx context.Context, file string, level func(*T) log.Level, newDaemon func(*T, log.Interface) (D, error)) subcommands.ExitStatus {
 	if file == "" {
 		return usage("give -settings FILE; examples/ has one for each daemon")
 	}
-	read, err := settings.Load[T](file)
+	loaded, err := settings.Load[T](file)
 	if err != nil {
 		return exit(err)
 	}
-	lines := logging.NewAsyncHandler(os.Stdout)
-	defer lines.Close()
-	d, err := make(read, &log.Logger{Handler: lines, Level: level(read)})
+	handler := logging.NewAsyncHandler(os.Stdout)
+	defer handler.Close()
+	d, err := newDaemon(loaded, &log.Logger{Handler: handler, Level: level(loaded)})
 	if err != nil {
 		return exit(err)
 	}
--- a/cmd/carawaypitch/dev.go
+++ b/cmd/carawaypitch/dev.go
@@ -75,7 +75,7 @@
 	if c.verbose {
 		level = log.DebugLevel
 	}
-	handler := &stopHandler{next: logging.NewHandler(os.Stderr)}
+	handler := &shutdownLogFilter{next: logging.NewHandler(os.Stderr)}
 	c.options.Log = &log.Logger{Handler: handler, Level: level}
 	d, err := dev.Start(ctx, c.options)
 	if err != nil {
@@ -92,15 +92,15 @@
 	return d.Stop()
 }
 
-// stopHandler drops what is below an error once the stop was asked for. Every process then loses its links to all the
+// shutdownLogFilter drops what is below an error once the stop was asked for. Every process then loses its links to all the
 // others, and who presses Ctrl-C would take the warnings of it for faults.
-type stopHandler struct {
+type shutdownLogFilter struct {
 	next     log.Handler
 	stopping atomic.Bool
 }
 
 // HandleLog implements log.Handler.
-func (h *stopHandler) HandleLog(e *log.Entry) error {
+func (h *shutdownLogFilter) HandleLog(e *log.Entry) error {
 	if h.stopping.Load() && e.Level < log.ErrorLevel {
 		return nil
 	}
--- a/cmd/carawaypitch/dev_lines_test.go
+++ b/cmd/carawaypitch/dev_lines_test.go
@@ -16,8 +16,8 @@
 
 // Symptom: a newcomer copies a line that dev printed, and it fails. Sequence: a path, a flag or a class of the sample
 // changed. Cause: the lines are text that nothing runs.
-func TestLinesThatDevPrintsWork(t *testing.T) {
-	command := exec.Command(binary, "dev", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
+func TestCommandsPrintedByDevSucceed(t *testing.T) {
+	command := exec.Command(binaryPath, "dev", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
 	out, err := command.StdoutPipe()
 	require.NoError(t, err)
 	var log strings.Builder
@@ -26,29 +26,29 @@
 	t.Cleanup(func() {
 		_ = command.Process.Signal(syscall.SIGTERM)
 		require.NoError(t, command.Wait())
-		requireNoFalseFault(t, log.String())
+		requireNoLinkFaults(t, log.String())
 	})
-	tries := 0
+	commands := 0
 	for lines := bufio.NewScanner(out); lines.Scan() && lines.Text() != "Ctrl-C stops it."; {
-		text, isTry := strings.CutPrefix(lines.Text(), "  ")
-		if !isTry {
+		text, isCommand := strings.CutPrefix(lines.Text(), "  ")
+		if !isCommand {
 			continue
 		}
-		tries++
+		commands++
 		text = strings.Replace(text, "curl -s", "curl -sf", 1) // so that a refusal fails
 		shell := exec.Command("bash", "-c", text)
-		shell.Env = append(os.Environ(), "PATH="+filepath.Dir(binary)+":"+os.Getenv("PATH"))
+		shell.Env = append(os.Environ(), "PATH="+filepath.Dir(binaryPath)+":"+os.Getenv("PATH"))
 		answer, err := shell.CombinedOutput()
 		require.NoError(t, err, "%s\n%s", text, answer)
 		require.NotEmpty(t, answer, text)
 	}
-	require.Equal(t, 6, tries)
+	require.Equal(t, 6, commands)
 }
 
-// requireNoFalseFault fails if a link went down otherwise than by silence. All processes of dev share one machine; while
+// requireNoLinkFaults fails if a link went down otherwise than by silence. All processes of dev share one machine; while
 // that is busy, heartbeats may truly come too late at any time before the stop. A stop that is taken for a fault closes
 // links instead.
-func requireNoFalseFault(t *testing.T, log string) {
+func requireNoLinkFaults(t *testing.T, log string) {
 	t.Helper()
 	for line := range strings.Lines(log) {
 		down := strings.Contains(line, "event=link_down")
--- a/cmd/carawaypitch/dev_test.go
+++ b/cmd/carawaypitch/dev_test.go
@@ -19,7 +19,7 @@
 // startDev runs `dev -json` as a process and stops it by SIGTERM at the end, which must be clean.
 func startDev(t *testing.T) dev.Info {
 	t.Helper()
-	command := exec.Command(binary, "dev", "-json", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
+	command := exec.Command(binaryPath, "dev", "-json", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
 	out, err := command.StdoutPipe()
 	require.NoError(t, err)
 	var log strings.Builder
@@ -53,7 +53,7 @@
 
 func requireCompletion(t testing.TB, c caller) {
 	t.Helper()
-	got := c.call(t, "/v1/chat/completions", nil, `{`+prompt+`}`)
+	got := c.mustPost(t, "/v1/chat/completions", nil, `{`+prompt+`}`)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 	require.Equal(t, strconv.Itoa(len(got.Body)), got.Header.Get("Content-Length"))
 	require.NotEmpty(t, got.Header.Get("Carawaypitch-Request-Id"))
@@ -72,14 +72,14 @@
 
 func requireStream(t testing.TB, c caller) {
 	t.Helper()
-	got := c.call(t, "/v1/chat/completions", nil, `{"stream": true, `+prompt+`}`)
+	got := c.mustPost(t, "/v1/chat/completions", nil, `{"stream": true, `+prompt+`}`)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "%s", got.Body)
 }
 
 func requireCheck(t testing.TB, c caller) {
 	t.Helper()
-	got, err := c.check()
+	got, err := c.gateCheck()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 }
@@ -87,11 +87,11 @@
 // requireIssueOnce issues a pass twice with one key, at both entries: the answers are the same, and it ran once.
 func requireIssueOnce(t testing.TB, c caller, info dev.Info, key string) {
 	t.Helper()
-	first, err := c.issue(key)
+	first, err := c.issuePass(key)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, first.Status, "%s", first.Body)
 	for _, entry := range info.Entries {
-		again, err := caller{entry, c.key}.issue(key)
+		again, err := caller{entry, c.key}.issuePass(key)
 		require.NoError(t, err)
 		require.Equal(t, first.Status, again.Status)
 		require.Equal(t, string(first.Body), string(again.Body))
@@ -104,7 +104,7 @@
 	t.Helper()
 	total := 0
 	for _, engine := range engines {
-		if !answers(engine + "/v1/runs") {
+		if !returnsOK(engine + "/v1/runs") {
 			continue // a model engine has no such page
 		}
 		runs := map[string]int{}
@@ -117,7 +117,7 @@
 // requireRefusals sends calls that can't be understood or aren't allowed. Each gets its code, and ran is no.
 func requireRefusals(t *testing.T, info dev.Info) {
 	t.Helper()
-	good := caller{info.Entries[0], info.Organisations[0].Key}
+	valid := caller{info.Entries[0], info.Organisations[0].Key}
 	cases := []struct {
 		name    string
 		caller  caller
@@ -127,19 +127,19 @@
 		code    result.Code
 		status  int
 	}{
-		{"wrong key", caller{good.entry, "wrong"}, "/v1/completions", nil, `{}`, result.WrongKey, http.StatusUnauthorized},
-		{"malformed", good, "/v1/chat/completions", nil, `{"model": `, result.MalformedBody, http.StatusBadRequest},
-		{"unknown class", good, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "none"}, `{` + prompt + `}`, result.UnknownClass, http.StatusNotFound},
-		{"unknown service", good, "/v1/services/none/check", map[string]string{"Carawaypitch-Class": "gate-check"}, `{}`, result.UnknownService, http.StatusNotFound},
-		{"key required", good, "/v1/services/registry/issue", map[string]string{"Carawaypitch-Class": "pass-issue"}, `{}`, result.KeyRequired, http.StatusBadRequest},
-		{"too large", good, "/v1/chat/completions", nil, `{"model": "sample", "messages": "` + strings.Repeat("x", 5<<20) + `"}`, result.BodyTooLarge, http.StatusRequestEntityTooLarge},
-		{"other body", good, "/v1/services/registry/issue", map[string]string{"Carawaypitch-Class": "pass-issue", "Idempotency-Key": "pass-0"}, `{"other": 1}`, result.KeyReusedWithOtherBody, http.StatusConflict},
+		{"wrong key", caller{valid.entry, "wrong"}, "/v1/completions", nil, `{}`, result.WrongKey, http.StatusUnauthorized},
+		{"malformed", valid, "/v1/chat/completions", nil, `{"model": `, result.MalformedBody, http.StatusBadRequest},
+		{"unknown class", valid, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "none"}, `{` + prompt + `}`, result.UnknownClass, http.StatusNotFound},
+		{"unknown service", valid, "/v1/services/none/check", map[string]string{"Carawaypitch-Class": "gate-check"}, `{}`, result.UnknownService, http.StatusNotFound},
+		{"key required", valid, "/v1/services/registry/issue", map[string]string{"Carawaypitch-Class": "pass-issue"}, `{}`, result.KeyRequired, http.StatusBadRequest},
+		{"too large", valid, "/v1/chat/completions", nil, `{"model": "sample", "messages": "` + strings.Repeat("x", 5<<20) + `"}`, result.BodyTooLarge, http.StatusRequestEntityTooLarge},
+		{"other body", valid, "/v1/services/registry/issue", map[string]string{"Carawaypitch-Class": "pass-issue", "Idempotency-Key": "pass-0"}, `{"other": 1}`, result.KeyReusedWithOtherBody, http.StatusConflict},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.caller.call(t, c.path, c.headers, c.body)
+			got := c.caller.mustPost(t, c.path, c.headers, c.body)
 			require.Equal(t, c.status, got.Status, "%s", got.Body)
-			coded := got.coded(t)
+			coded := got.resultError(t)
 			require.Equal(t, c.code, coded.Code)
 			require.Equal(t, result.RanNo, coded.Ran)
 			require.NotEmpty(t, got.Header.Get("Carawaypitch-Request-Id"))
--- a/cmd/carawaypitch/drain.go
+++ b/cmd/carawaypitch/drain.go
@@ -32,7 +32,7 @@
 }
 
 func (c *drainCommand) SetFlags(flags *flag.FlagSet) {
-	c.set(flags)
+	c.register(flags)
 	flags.StringVar(&c.changeID, "change-id", "", "id of the change; give it again to resend one whose answer was lost")
 }
 
--- a/cmd/carawaypitch/explain.go
+++ b/cmd/carawaypitch/explain.go
@@ -49,7 +49,7 @@
 }
 
 func readLog(name, request string) (l *story.Log, err error) {
-	err = withLog(name, func(r io.Reader) error {
+	err = withLogFile(name, func(r io.Reader) error {
 		l, err = story.Read(name, r, request)
 		return err
 	})
--- a/cmd/carawaypitch/losses.go
+++ b/cmd/carawaypitch/losses.go
@@ -48,15 +48,15 @@
 	}
 	losses := &story.Losses{Pause: c.pause, ByOrganisation: c.byOrganisation}
 	for _, name := range flags.Args() {
-		if err := withLog(name, func(r io.Reader) error { return losses.Read(name, r) }); err != nil {
+		if err := withLogFile(name, func(r io.Reader) error { return losses.Read(name, r) }); err != nil {
 			return exit(err)
 		}
 	}
 	return exit(losses.Write(os.Stdout))
 }
 
-// withLog opens a log file for a reader; - is the standard input.
-func withLog(name string, read func(io.Reader) error) error {
+// withLogFile opens a log file for a reader; - is the standard input.
+func withLogFile(name string, read func(io.Reader) error) error {
 	if name == "-" {
 		return read(os.Stdin)
 	}
--- a/cmd/carawaypitch/operators.go
+++ b/cmd/carawaypitch/operators.go
@@ -31,7 +31,7 @@
 	json     bool
 }
 
-func (f *operatorFlags) set(flags *flag.FlagSet) {
+func (f *operatorFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&f.settings, "settings", "", "settings file of role operator: control instances and key")
 	flags.StringVar(&f.control, "control", os.Getenv(controlEnv), "URLs of control instances, separated by commas (default "+defaultControl+")")
 	flags.StringVar(&f.key, "key", os.Getenv(keyEnv), "operator key")
@@ -41,15 +41,15 @@
 // client makes the client from the flags and, where they are silent, the settings file.
 func (f *operatorFlags) client() (*operator.Client, error) {
 	if f.settings != "" {
-		read, err := settings.Load[settings.Operator](f.settings)
+		loaded, err := settings.Load[settings.Operator](f.settings)
 		if err != nil {
 			return nil, err
 		}
 		if f.control == "" {
-			f.control = strings.Join(read.Controls, ",")
+			f.control = strings.Join(loaded.Controls, ",")
 		}
 		if f.key == "" {
-			f.key = read.Key
+			f.key = loaded.Key
 		}
 	}
 	if f.control == "" {
--- a/cmd/carawaypitch/operators_page_test.go
+++ b/cmd/carawaypitch/operators_page_test.go
@@ -54,17 +54,17 @@
 	return command
 }
 
-// place is a folder like the root of the repository, with the binary and the examples.
-type place struct {
+// workspace is a folder like the root of the repository, with the binary and the examples.
+type workspace struct {
 	t       testing.TB
 	folder  string
 	replace *strings.Replacer
 }
 
-// newPlace makes the folder. What the pages call the processes of the sample deployment are those of the cluster.
-func newPlace(c *cluster) *place {
+// newWorkspace makes the folder. What the pages call the processes of the sample deployment are those of the cluster.
+func newWorkspace(c *cluster) *workspace {
 	c.t.Helper()
-	p := &place{t: c.t, folder: c.t.TempDir()}
+	p := &workspace{t: c.t, folder: c.t.TempDir()}
 	p.replace = strings.NewReplacer(
 		"http://127.1.1.1:8090", c.controlURLs[0],
 		"http://127.1.2.1:8090", c.controlURLs[1],
@@ -80,12 +80,12 @@
 	)
 	require.NoError(c.t, os.CopyFS(filepath.Join(p.folder, "examples"), os.DirFS("../../examples")))
 	require.NoError(c.t, os.Mkdir(filepath.Join(p.folder, "bin"), 0o755))
-	require.NoError(c.t, os.Symlink(binary, filepath.Join(p.folder, "bin", "carawaypitch")))
+	require.NoError(c.t, os.Symlink(binaryPath, filepath.Join(p.folder, "bin", "carawaypitch")))
 	p.rewrite("examples/compost/operator.jsonc")
 	return p
 }
 
-func (p *place) rewrite(name string) {
+func (p *workspace) rewrite(name string) {
 	file := filepath.Join(p.folder, name)
 	data, err := os.ReadFile(file)
 	require.NoError(p.t, err)
@@ -93,7 +93,7 @@
 }
 
 // run runs a command and requires the documented exit code. Of one that starts daemons it checks the settings files.
-func (p *place) run(command docCommand) {
+func (p *workspace) run(command docCommand) {
 	p.t.Helper()
 	if found := daemonCommand.FindStringSubmatch(command.text); found != nil {
 		p.checkDaemons(command, found)
@@ -108,7 +108,7 @@
 }
 
 // checkDaemons requires that each settings file of a daemon exists and is one of its role.
-func (p *place) checkDaemons(command docCommand, found []string) {
+func (p *workspace) checkDaemons(command docCommand, found []string) {
 	p.t.Helper()
 	pattern, role := found[1], found[2]
 	if pattern == "" {
@@ -118,17 +118,17 @@
 	require.NoError(p.t, err)
 	require.NotEmpty(p.t, files, "%s:%d", command.page, command.line)
 	for _, file := range files {
-		out, err := exec.Command(binary, "check", file).CombinedOutput()
+		out, err := exec.Command(binaryPath, "check", file).CombinedOutput()
 		require.NoError(p.t, err, "%s:%d: %s", command.page, command.line, out)
 		require.Contains(p.t, string(out), "ok, role "+role, "%s:%d", command.page, command.line)
 	}
 }
 
-// startPlace starts a cluster as the pages expect it, with its backend servers announced.
-func startPlace(t *testing.T) *place {
+// startWorkspace starts a cluster as the pages expect it, with its backend servers announced.
+func startWorkspace(t *testing.T) *workspace {
 	c := startCluster(t, "model-2")
 	c.eventually(func() bool {
-		status, err := c.operatorOf().Status(t.Context())
+		status, err := c.operatorClient().Status(t.Context())
 		ready := 0
 		for _, target := range status.Targets {
 			ready += target.ReadyServers
@@ -137,17 +137,17 @@
 	}, "the backend servers aren't ready")
 	for entry := range c.entries {
 		c.eventually(func() bool {
-			got, err := c.caller(entry).check()
+			got, err := c.caller(entry).gateCheck()
 			return err == nil && got.Status == 200
 		}, "entry %d doesn't serve", entry)
 	}
-	return newPlace(c)
+	return newWorkspace(c)
 }
 
 // Symptom: an operator follows the page and a command fails. Sequence: a flag, a name or an answer changed.
 // Cause: the page wasn't changed with it.
 func TestCommandsOfTheOperatorsPage(t *testing.T) {
-	p := startPlace(t)
+	p := startWorkspace(t)
 	for _, command := range readCommands(t, "docs/OPERATORS.md") {
 		p.run(command)
 	}
@@ -156,7 +156,7 @@
 // Symptom: the first start by the examples' page fails. Sequence: as above. Cause: as above. The binary is the one that
 // TestMain builds by the page's first command.
 func TestCommandsOfTheExamplesPage(t *testing.T) {
-	p := startPlace(t)
+	p := startWorkspace(t)
 	const build = "go build -o bin/carawaypitch ./cmd/carawaypitch"
 	commands := readCommands(t, "examples/README.md")
 	require.Equal(t, build, commands[0].text)
@@ -170,7 +170,7 @@
 func TestEachSubcommandHasHelpExamplesAndExitCodes(t *testing.T) {
 	for _, group := range groups() {
 		for _, command := range group.commands {
-			out, err := exec.Command(binary, "help", command.Name()).CombinedOutput()
+			out, err := exec.Command(binaryPath, "help", command.Name()).CombinedOutput()
 			require.NoError(t, err, "%s", out)
 			require.Regexp(t, `Examples?:\n`, string(out), command.Name())
 			require.Contains(t, string(out), "Exit codes: 0 ", command.Name())
@@ -193,7 +193,7 @@
 		{"check"},
 		{"control"},
 	} {
-		command := exec.Command(binary, args...)
+		command := exec.Command(binaryPath, args...)
 		command.Env = append(os.Environ(), "CARAWAYPITCH_KEY=", "CARAWAYPITCH_OPERATOR_KEY=")
 		out, err := command.CombinedOutput()
 		require.Error(t, err, "%v", args)
--- a/cmd/carawaypitch/requests.go
+++ b/cmd/carawaypitch/requests.go
@@ -78,12 +78,12 @@
 // entryClient makes the client from the flags and, where they are silent, the settings file.
 func (c *requestsCommand) entryClient() (*operator.Client, error) {
 	if c.settings != "" {
-		read, err := settings.Load[settings.Operator](c.settings)
+		loaded, err := settings.Load[settings.Operator](c.settings)
 		if err != nil {
 			return nil, err
 		}
-		c.entry = orDefault(c.entry, read.Entry)
-		c.key = orDefault(c.key, read.Key)
+		c.entry = orDefault(c.entry, loaded.Entry)
+		c.key = orDefault(c.key, loaded.Key)
 	}
 	if c.key == "" {
 		return nil, errors.Errorf("no key: give -key, -settings, %s or %s", keyEnv, callerKeyEnv)
@@ -130,7 +130,7 @@
 	}
 	fmt.Fprintf(w, "time\tarrived %s, deadline after %s\n", r.Arrived.Format(time.RFC3339Nano), r.Deadline.Sub(r.Arrived))
 	if r.Queued {
-		fmt.Fprintf(w, "queued\tabout %d ahead, waits at %s\n", r.Ahead, orNone(strings.Join(r.Reservations, ", ")))
+		fmt.Fprintf(w, "queued\tabout %d ahead, waits at %s\n", r.Ahead, orDash(strings.Join(r.Reservations, ", ")))
 	}
 	for _, p := range r.PassedOver {
 		fmt.Fprintf(w, "passed over\t%s: %s\n", p.Server, p.Reason)
--- a/cmd/carawaypitch/servers.go
+++ b/cmd/carawaypitch/servers.go
@@ -33,7 +33,7 @@
 `
 }
 
-func (c *serversCommand) SetFlags(flags *flag.FlagSet) { c.set(flags) }
+func (c *serversCommand) SetFlags(flags *flag.FlagSet) { c.register(flags) }
 
 func (c *serversCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() > 0 {
--- a/cmd/carawaypitch/status.go
+++ b/cmd/carawaypitch/status.go
@@ -34,7 +34,7 @@
 `
 }
 
-func (c *statusCommand) SetFlags(flags *flag.FlagSet) { c.set(flags) }
+func (c *statusCommand) SetFlags(flags *flag.FlagSet) { c.register(flags) }
 
 func (c *statusCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() > 0 {
@@ -57,7 +57,7 @@
 		confirmed = "NOT confirmed: no quorum answered"
 	}
 	fmt.Fprintf(w, "configuration\tversion %d, %s\n", s.ConfigVersion, confirmed)
-	fmt.Fprintf(w, "leader\t%s (term %d)\n", orNone(s.Leader), s.Term)
+	fmt.Fprintf(w, "leader\t%s (term %d)\n", orDash(s.Leader), s.Term)
 	fmt.Fprintf(w, "directory\tversion %d\n", s.DirectoryVersion)
 	fmt.Fprintf(w, "operations\t%d records, %d bytes of answers, %d expired keys\n",
 		s.Operations.Records, s.Operations.AnswerBytes, s.Operations.ExpiredKeys)
@@ -79,7 +79,7 @@
 }
 
 func instanceRow(w io.Writer, role string, i operator.Instance, version uint64) {
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", i.Instance, role, orNone(i.AvailabilityZone), i.ConfigVersion, instanceState(i, version))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", i.Instance, role, orDash(i.AvailabilityZone), i.ConfigVersion, instanceState(i, version))
 }
 
 func instanceState(i operator.Instance, version uint64) string {
@@ -96,7 +96,7 @@
 	return "ok"
 }
 
-func orNone(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/cmd/carawaypitch/status_advice_test.go
+++ b/cmd/carawaypitch/status_advice_test.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-func TestStatusShowsWhatServersAsk(t *testing.T) {
+func TestStatusShowsServerAdvice(t *testing.T) {
 	var out bytes.Buffer
 	adviceTable(&out, operator.Status{})
 	require.Empty(t, out.String())
--- a/cmd/carawaypitch/status_classes.go
+++ b/cmd/carawaypitch/status_classes.go
@@ -19,7 +19,7 @@
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\n", c.Name, c.Tier, meetsText(c),
 			c.Good, c.Late, c.Lost, percent(c.LateShare), percent(c.LateMax), percent(c.LostShare), percent(c.LostMax),
-			orNone(groupsText(c.RefusedByGroup)))
+			orDash(groupsText(c.RefusedByGroup)))
 	}
 }
 
@@ -53,7 +53,7 @@
 		}
 		oldest := time.Duration(t.OldestWaitMS) * time.Millisecond
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", t.Name, t.Kind, t.ReadyServers, servers,
-			queuedText(t.QueuedByTier), oldest, orNone(t.ShortBecause))
+			queuedText(t.QueuedByTier), oldest, orDash(t.ShortBecause))
 	}
 }
 
--- a/cmd/carawaypitch/status_poison.go
+++ b/cmd/carawaypitch/status_poison.go
@@ -16,7 +16,7 @@
 	}
 	fmt.Fprintln(w, "\nREQUEST\tORGANISATION\tSTANDING\tFOR\tSERVERS THAT CRASHED")
 	for _, p := range s.Poison {
-		left := (time.Duration(p.LeftMS) * time.Millisecond).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", p.Fingerprint, orNone(p.Organisation), p.Standing, left, strings.Join(p.Servers, ", "))
+		remaining := (time.Duration(p.LeftMS) * time.Millisecond).Round(time.Second)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", p.Fingerprint, orDash(p.Organisation), p.Standing, remaining, strings.Join(p.Servers, ", "))
 	}
 }
--- a/cmd/carawaypitch/target.go
+++ b/cmd/carawaypitch/target.go
@@ -46,19 +46,19 @@
 	if flags.NArg() != 1 {
 		return usage("target: one CLASS; flags come first")
 	}
-	if !c.given(flags) {
+	if !c.anyTargetFlag(flags) {
 		return usage("target: give at least one of -deadline, -late-max and -lost-max")
 	}
 	client, err := c.client()
 	if err != nil {
 		return usage("%v", err)
 	}
-	return exit(c.retarget(ctx, client, flags))
+	return exit(c.updateTarget(ctx, client, flags))
 }
 
-// given tells whether a part of the target is to change. Without one a new version would come into force that changes
+// anyTargetFlag tells whether a part of the target is to change. Without one a new version would come into force that changes
 // nothing.
-func (*targetCommand) given(flags *flag.FlagSet) bool {
+func (*targetCommand) anyTargetFlag(flags *flag.FlagSet) bool {
 	given := false
 	flags.Visit(func(f *flag.Flag) {
 		given = given || f.Name == "deadline" || f.Name == "late-max" || f.Name == "lost-max"
@@ -66,16 +66,16 @@
 	return given
 }
 
-func (c *targetCommand) retarget(ctx context.Context, client *operator.Client, flags *flag.FlagSet) error {
+func (c *targetCommand) updateTarget(ctx context.Context, client *operator.Client, flags *flag.FlagSet) error {
 	classes, err := client.Classes(ctx)
 	if err != nil {
 		return err
 	}
-	class, err := find(classes, flags.Arg(0))
+	class, err := findClass(classes, flags.Arg(0))
 	if err != nil {
 		return err
 	}
-	flags.Visit(func(f *flag.Flag) { c.apply(f.Name, &class) })
+	flags.Visit(func(f *flag.Flag) { c.applyFlag(f.Name, &class) })
 	return c.change(ctx, client, func(ifMatch uint64, changeID string) (operator.Change, error) {
 		if c.ifMatch == "" {
 			ifMatch = classes.Version
@@ -84,7 +84,7 @@
 	})
 }
 
-func find(classes operator.Classes, name string) (operator.Class, error) {
+func findClass(classes operator.Classes, name string) (operator.Class, error) {
 	for _, class := range classes.Classes {
 		if class.Name == name {
 			return class, nil
@@ -93,7 +93,7 @@
 	return operator.Class{}, errors.Errorf("no class %q", name)
 }
 
-func (c *targetCommand) apply(flagName string, class *operator.Class) {
+func (c *targetCommand) applyFlag(flagName string, class *operator.Class) {
 	switch flagName {
 	case "deadline":
 		class.DeadlineMS = uint32(c.deadline.Milliseconds())
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	loopback   = "127.0.0.1:0"
-	operator   = "operator"
-	readyPoll  = 20 * time.Millisecond
-	readyBound = 20 * time.Second
+	loopback          = "127.0.0.1:0"
+	operatorName      = "operator"
+	readyPollInterval = 20 * time.Millisecond
+	readyTimeout      = 20 * time.Second
 )
 
 // Dev is a running sample deployment.
@@ -51,7 +51,7 @@
 	if d.log == nil {
 		d.log = &log.Logger{Handler: discard.New()}
 	}
-	d.makeKeys()
+	d.generateKeys()
 	if err := d.startAll(ctx); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
@@ -77,8 +77,8 @@
 	return failed
 }
 
-// makeKeys gives each sample organisation a caller key and makes the operator key.
-func (d *Dev) makeKeys() {
+// generateKeys gives each sample organisation a caller key and makes the operator key.
+func (d *Dev) generateKeys() {
 	d.organisations = sampleOrganisations()
 	for i := range d.organisations {
 		key := newKey()
@@ -122,14 +122,14 @@
 	if err != nil {
 		return "", errors.Wrap(err, "control")
 	}
-	d.stages = append(d.stages, start([]runner{c.Run}))
+	d.stages = append(d.stages, startStage([]runner{c.Run}))
 	d.info.Controls = append(d.info.Controls, "http://"+c.OperatorsAddr())
 	return c.LinkAddr(), nil
 }
 
 func (d *Dev) operators() []settings.OperatorAccount {
 	return []settings.OperatorAccount{{
-		Name:       operator,
+		Name:       operatorName,
 		KeyDigests: []string{settings.NewDigest(d.info.OperatorKey, settings.NewSalt())},
 	}}
 }
@@ -137,7 +137,7 @@
 // startServers starts an agent and a stand-in for each backend server.
 func (d *Dev) startServers(ctx context.Context, controls string) error {
 	var agents, engines []runner
-	var waits []*standin.Server
+	var servers []*standin.Server
 	add := func(options standin.Options, n int) error {
 		a, err := d.newAgent(options.Server, n, controls)
 		if err != nil {
@@ -148,7 +148,7 @@
 		server := standin.New(options)
 		agents = append(agents, a.Run)
 		engines = append(engines, server.Run)
-		waits = append(waits, server)
+		servers = append(servers, server)
 		d.info.Agents = append(d.info.Agents, options.Agent)
 		return nil
 	}
@@ -166,12 +166,12 @@
 			return err
 		}
 	}
-	d.stages = append(d.stages, start(agents), start(engines))
-	return d.engineURLs(ctx, waits)
+	d.stages = append(d.stages, startStage(agents), startStage(engines))
+	return d.waitForEngines(ctx, servers)
 }
 
-// engineURLs waits until the stand-ins listen.
-func (d *Dev) engineURLs(ctx context.Context, servers []*standin.Server) error {
+// waitForEngines waits until the stand-ins listen.
+func (d *Dev) waitForEngines(ctx context.Context, servers []*standin.Server) error {
 	for _, s := range servers {
 		select {
 		case <-s.Ready():
@@ -223,7 +223,7 @@
 		runners = append(runners, e.Run)
 		d.info.Entries = append(d.info.Entries, "http://"+e.CallersAddr())
 	}
-	d.stages = append(d.stages, start(runners))
+	d.stages = append(d.stages, startStage(runners))
 	return nil
 }
 
@@ -235,24 +235,24 @@
 
 // waitReady polls the entries until each may receive work and has room at every backend server.
 func (d *Dev) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
-	var last error
+	var lastErr error
 	for {
-		if last = d.ready(ctx); last == nil {
+		if lastErr = d.checkReady(ctx); lastErr == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(last, "not ready in time")
+			return errors.Wrap(lastErr, "not ready in time")
 		case <-ticker.C:
 		}
 	}
 }
 
-func (d *Dev) ready(ctx context.Context) error {
+func (d *Dev) checkReady(ctx context.Context) error {
 	for _, url := range append(d.info.Entries, d.info.Agents...) {
 		if err := d.probe(ctx, url+"/readyz"); err != nil {
 			return err
--- a/dev/options.go
+++ b/dev/options.go
@@ -54,7 +54,7 @@
 	// SampleService is the sample plain service.
 	SampleService = "registry"
 
-	fastFactor = 2.0
+	slowdownFactor = 2.0
 )
 
 // sampleOrganisations are the members of the sample consortium with their default class.
@@ -85,8 +85,8 @@
 	options.CacheGap = 0.1
 	options.LeaveTimeout = leaveTimeout
 	if i%2 == 1 {
-		options.PrefillRate /= fastFactor
-		options.DecodePace *= fastFactor
+		options.PrefillRate /= slowdownFactor
+		options.DecodePace *= slowdownFactor
 		options.Capabilities.Fencing = engine.FencingIgnores
 	}
 	return options
--- a/dev/stage.go
+++ b/dev/stage.go
@@ -17,8 +17,8 @@
 	done   chan error
 }
 
-// start runs the daemons; the first that ends stops the others of the stage.
-func start(runners []runner) *stage {
+// startStage runs the daemons; the first that ends stops the others of the stage.
+func startStage(runners []runner) *stage {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group run.Group
 	group.Add(func() error {
--- a/operator/client.go
+++ b/operator/client.go
@@ -30,8 +30,8 @@
 	MaxRounds = 3
 	// RoundDelay is waited between two rounds.
 	RoundDelay = 500 * time.Millisecond
-	// maxReply bounds a reply's size in bytes.
-	maxReply = 64 << 20
+	// maxReplyBytes bounds a reply's size in bytes.
+	maxReplyBytes = 64 << 20
 )
 
 // Client calls the control instances in turn until one answers.
@@ -125,7 +125,7 @@
 
 // Get reads a path into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
-	return c.call(ctx, call{method: http.MethodGet, path: path}, out)
+	return c.call(ctx, apiCall{method: http.MethodGet, path: path}, out)
 }
 
 func classPath(name string) string {
@@ -134,7 +134,7 @@
 
 func (c *Client) change(ctx context.Context, method, path string, body []byte, ifMatch uint64, changeID string) (Change, error) {
 	var out Change
-	err := c.call(ctx, call{
+	err := c.call(ctx, apiCall{
 		method:   method,
 		path:     path,
 		body:     body,
@@ -144,8 +144,8 @@
 	return out, err
 }
 
-// call is one call, the same at every try.
-type call struct {
+// apiCall is one apiCall, the same at every try.
+type apiCall struct {
 	method   string
 	path     string
 	body     []byte
@@ -155,29 +155,29 @@
 
 // call tries every control instance, a few rounds long. A reply that another instance could better is not final:
 // the instance may be starting, cut off, or without a leader just now.
-func (c *Client) call(ctx context.Context, what call, out any) error {
-	var last error
+func (c *Client) call(ctx context.Context, request apiCall, out any) error {
+	var lastErr error
 	for round := range MaxRounds {
 		if round > 0 {
 			if !pause.For(ctx, RoundDelay) {
 				return ctx.Err()
 			}
 		}
-		for _, base := range c.controls {
-			last = c.try(ctx, base, what, out)
-			if last == nil || final(last) {
-				return last
+		for _, baseURL := range c.controls {
+			lastErr = c.attempt(ctx, baseURL, request, out)
+			if lastErr == nil || isFinal(lastErr) {
+				return lastErr
 			}
 		}
 	}
-	if last == nil {
+	if lastErr == nil {
 		return errors.New("no control instance given")
 	}
-	return last
+	return lastErr
 }
 
-// final tells whether another control instance would say the same.
-func final(err error) bool {
+// isFinal tells whether another control instance would say the same.
+func isFinal(err error) bool {
 	var coded *result.Error
 	if !errors.As(err, &coded) {
 		return false
@@ -185,27 +185,27 @@
 	return coded.Code.Info().Status < http.StatusInternalServerError
 }
 
-func (c *Client) try(ctx context.Context, base string, what call, out any) error {
-	request, err := http.NewRequestWithContext(ctx, what.method, base+what.path, bytes.NewReader(what.body))
+func (c *Client) attempt(ctx context.Context, baseURL string, call apiCall, out any) error {
+	request, err := http.NewRequestWithContext(ctx, call.method, baseURL+call.path, bytes.NewReader(call.body))
 	if err != nil {
 		return errors.Wrap(err, "make request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.key)
-	if what.body != nil {
+	if call.body != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if what.changeID != "" {
-		request.Header.Set("If-Match", what.ifMatch)
-		request.Header.Set("Change-Id", what.changeID)
+	if call.changeID != "" {
+		request.Header.Set("If-Match", call.ifMatch)
+		request.Header.Set("Change-Id", call.changeID)
 	}
 	reply, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrapf(err, "control instance %s", base)
+		return errors.Wrapf(err, "control instance %s", baseURL)
 	}
 	defer func() { _ = reply.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(reply.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxReplyBytes))
 	if err != nil {
-		return errors.Wrapf(err, "read reply of %s", base)
+		return errors.Wrapf(err, "read reply of %s", baseURL)
 	}
 	return decode(reply.StatusCode, body, out)
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -164,8 +164,8 @@
 	return out, err
 }
 
-// waitPoll is the pause between two looks of WaitInForce.
-const waitPoll = 100 * time.Millisecond
+// inForcePollInterval is the pause between two looks of WaitInForce.
+const inForcePollInterval = 100 * time.Millisecond
 
 // WaitInForce returns once every connected instance has applied the configuration version or a later one. An
 // instance that isn't connected admits nothing before it has fetched the version in force.
@@ -178,7 +178,7 @@
 		if inForce(status, version) {
 			return nil
 		}
-		if !pause.For(ctx, waitPoll) {
+		if !pause.For(ctx, inForcePollInterval) {
 			return ctx.Err()
 		}
 	}
