--- a/cmd/carawaypitch/bench.go
+++ b/cmd/carawaypitch/bench.go
@@ -88,7 +88,7 @@
 	return exit(err)
 }
 
-// overrideTimes takes the times of the command line for those of the file.
+// overrideTimes replaces the durations of the plan by those given on the command line; 0 keeps the plan's.
 func (c *benchCommand) overrideTimes(p *plan.Plan) {
 	if c.warmUp > 0 {
 		p.WarmUp = plan.Duration(c.warmUp)
@@ -98,6 +98,7 @@
 	}
 }
 
+// run executes the plan in the mode that the flags select. The report may be non-nil beside an error.
 func (c *benchCommand) run(ctx context.Context, p *plan.Plan) (*report.Report, error) {
 	options := experiment.Options{Scenarios: splitList(c.scenarios), Policies: splitList(c.policies)}
 	if !c.quiet {
@@ -120,6 +121,7 @@
 	}
 }
 
+// splitList splits text at its commas; empty text gives nil.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
@@ -127,6 +129,7 @@
 	return strings.Split(text, ",")
 }
 
+// write saves the report as a page if -page is given, and prints it to standard output.
 func (c *benchCommand) write(r *report.Report) error {
 	if c.page != "" {
 		if err := writeFile(c.page, r.WritePage); err != nil {
@@ -142,7 +145,7 @@
 func writeFile(name string, write func(io.Writer) error) error {
 	file, err := os.Create(name)
 	if err != nil {
-		return errors.Wrap(err, "page")
+		return errors.Wrap(err, "create report page")
 	}
 	return errors.Join(write(file), file.Close())
 }
--- a/cmd/carawaypitch/binary_test.go
+++ b/cmd/carawaypitch/binary_test.go
@@ -12,13 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// binaryPath is the program under test, built once.
+// binaryPath is the path of the program under test, which TestMain builds.
 var binaryPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
+// buildAndRun builds the program in a temporary folder, runs the tests and returns their exit code.
 func buildAndRun(m *testing.M) int {
 	folder, err := os.MkdirTemp("", "carawaypitch-test-")
 	if err != nil {
@@ -36,8 +37,8 @@
 	return m.Run()
 }
 
-// Symptom: on the users' machines the binary resolves nothing, or doesn't start. Sequence: it was built without cgo.
-// Cause: such a binary is static, while their programs are linked to the C library as usual.
+// A binary built without cgo is static. On the users' machines, whose programs are linked dynamically to the C library,
+// it resolves no names or does not start.
 func TestBinaryIsLinkedToLibc(t *testing.T) {
 	file, err := elf.Open(binaryPath)
 	require.NoError(t, err)
@@ -52,8 +53,7 @@
 	require.True(t, interpreter, "no dynamic linker in the ELF header")
 }
 
-// Symptom: CI and a person run different tests. Sequence: one of the two commands was changed. Cause: the README's
-// test command stands in both.
+// CI and a developer run different tests if the test command is changed only in the README or only in the CI script.
 func TestCIRunsReadmeTestCommand(t *testing.T) {
 	const command = "go test ./..."
 	readme, err := os.ReadFile("../../README.md")
@@ -64,7 +64,7 @@
 	require.Contains(t, string(ci), "\n"+command)
 }
 
-// Symptom: a first start from the samples fails. Sequence: a settings type changed. Cause: the samples weren't.
+// Starting the sample deployments fails if a settings type changes and the sample files do not.
 func TestExamplesAreValid(t *testing.T) {
 	for _, deployment := range []string{"compost", "festival"} {
 		files, err := filepath.Glob("../../examples/" + deployment + "/*.jsonc")
--- a/cmd/carawaypitch/caller_test.go
+++ b/cmd/carawaypitch/caller_test.go
@@ -13,23 +13,24 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// callTimeout bounds one call of a test.
+// callTimeout bounds one HTTP or link call of a test.
 const callTimeout = 30 * time.Second
 
-// callerClient never reuses a connection, so that a killed process is noticed by the next call and not by a stale one.
+// callerClient never reuses a connection: the call after a process was killed must fail on a new connection, not on a
+// stale one.
 var callerClient = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true},
 	Timeout:   callTimeout,
 }
 
-// reply is a whole reply of an entry.
+// reply is an HTTP reply with its whole body.
 type reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// resultError reads the numbered error of a reply.
+// resultError decodes the body of a reply as an error with a result code.
 func (r reply) resultError(t testing.TB) *result.Error {
 	t.Helper()
 	coded := new(result.Error)
@@ -37,12 +38,13 @@
 	return coded
 }
 
-// caller calls an entry for one organisation.
+// caller calls one entry with an organisation's key.
 type caller struct {
 	entry string
 	key   string
 }
 
+// post sends a JSON body with additional headers and reads the whole reply.
 func (c caller) post(path string, headers map[string]string, body string) (reply, error) {
 	request, err := http.NewRequest(http.MethodPost, c.entry+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -62,6 +64,7 @@
 	return reply{Status: got.StatusCode, Header: got.Header, Body: data}, err
 }
 
+// mustPost is post for a call that must get a reply.
 func (c caller) mustPost(t testing.TB, path string, headers map[string]string, body string) reply {
 	t.Helper()
 	got, err := c.post(path, headers, body)
@@ -69,7 +72,7 @@
 	return got
 }
 
-// issuePass calls the sample registry to issuePass a pass under a key.
+// issuePass asks the sample registry to issue a pass, with key as the idempotency key and the name of the pass.
 func (c caller) issuePass(key string) (reply, error) {
 	return c.post("/v1/services/registry/issue", map[string]string{
 		"Carawaypitch-Class": "pass-issue",
@@ -77,12 +80,12 @@
 	}, `{"pass": "`+key+`"}`)
 }
 
-// gateCheck calls the sample registry for a gate gateCheck.
+// gateCheck calls the gate check of the sample registry, which is idempotent.
 func (c caller) gateCheck() (reply, error) {
 	return c.post("/v1/services/registry/check", map[string]string{"Carawaypitch-Class": "gate-check"}, `{"pass": "ZG-1"}`)
 }
 
-// getJSON reads a page of any process.
+// getJSON requests a URL, which must return 200, and decodes the JSON reply into out.
 func getJSON(t testing.TB, url string, out any) {
 	t.Helper()
 	got, err := callerClient.Get(url)
@@ -92,7 +95,7 @@
 	require.NoError(t, json.NewDecoder(got.Body).Decode(out))
 }
 
-// returnsOK tells whether a page returnsOK with 200.
+// returnsOK reports whether a GET of the URL returns 200.
 func returnsOK(url string) bool {
 	got, err := callerClient.Get(url)
 	if err != nil {
--- a/cmd/carawaypitch/check.go
+++ b/cmd/carawaypitch/check.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// checkCommand reads settings files and prints every mistake.
+// checkCommand validates settings files and prints every mistake.
 type checkCommand struct{ settings string }
 
 func (*checkCommand) Name() string     { return "check" }
@@ -50,6 +50,7 @@
 	return status
 }
 
+// checkFile prints the role of a valid settings file or every mistake in it, and reports whether it is valid.
 func checkFile(file string) bool {
 	role, err := settings.Check(file)
 	if err == nil {
--- a/cmd/carawaypitch/class.go
+++ b/cmd/carawaypitch/class.go
@@ -20,9 +20,9 @@
 // classCommand lists, shows, changes and removes classes of work.
 type classCommand struct {
 	operatorFlags
-	ifMatch  string
-	changeID string
-	wait     bool
+	ifMatch  string // version that a change is based on; empty: the one in force
+	changeID string // idempotency key of a change; empty: a new one
+	wait     bool   // return only once the change is in force on every instance
 }
 
 func (*classCommand) Name() string     { return "class" }
@@ -129,7 +129,8 @@
 	})
 }
 
-// readClass reads a class as written, so that the interface can name a field that it refuses.
+// readClass reads a class from a file, or from standard input for "-", and returns it as standard JSON without comments.
+// It keeps unknown fields, so that the operators' interface can name a field that it rejects.
 func readClass(file string) ([]byte, error) {
 	var source []byte
 	var err error
@@ -154,7 +155,8 @@
 	})
 }
 
-// change makes a change at the version asked for or in force, and waits for it to be in force everywhere if told to.
+// change calls do with the base version and the change id, prints the accepted version and, with -wait, returns only
+// once that version is in force on every instance. An error of do names both values, so that the change can be resent.
 func (c *classCommand) change(ctx context.Context, client *operator.Client, do func(uint64, string) (operator.Change, error)) error {
 	ifMatch, err := c.baseVersion(ctx, client)
 	if err != nil {
@@ -177,6 +179,7 @@
 	})
 }
 
+// baseVersion returns the version given by -if-match, or the configuration version in force without that flag.
 func (c *classCommand) baseVersion(ctx context.Context, client *operator.Client) (uint64, error) {
 	if c.ifMatch != "" {
 		version, err := strconv.ParseUint(c.ifMatch, 10, 64)
--- a/cmd/carawaypitch/cluster_control_test.go
+++ b/cmd/carawaypitch/cluster_control_test.go
@@ -16,15 +16,16 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
+// testClass returns a valid class with the given name and deadline.
 func testClass(name string, deadlineMS uint32) operator.Class {
 	return operator.Class{
 		Name: name, Tier: 2, DeadlineMS: deadlineMS, LateMax: 0.1, LostMax: 0.1, Repeatable: true, Kind: settings.KindModel,
 	}
 }
 
-// Symptom: a change that was accepted is gone, or the version falls. Sequence: changes are made one after another
-// while the leader is killed again and again; each killed instance restarts from its folder. Cause: a change was
-// answered before a quorum had synced it, or a restarted instance served what it had before it caught up.
+// Changes are made one after another while leaders are killed repeatedly and restart from their folders. An accepted
+// change is lost, or the version decreases, if a change is confirmed before a quorum has synced it, or if a restarted
+// instance serves its old state before it has caught up.
 func TestAcceptedChangesSurviveKilledLeaders(t *testing.T) {
 	c := startCluster(t)
 	client := c.operatorClient()
@@ -39,7 +40,7 @@
 			last = c.putClassUntilAccepted(client, fmt.Sprintf("class-%d-%d", round, i), last)
 		}
 		c.controls[killed].start()
-		c.eventually(func() bool { return c.leader(killed) >= 0 }, "the restarted instance doesn't catch up")
+		c.eventually(func() bool { return c.leader(killed) >= 0 }, "the restarted instance does not catch up")
 	}
 	for i := range c.controls {
 		got, err := c.operatorClient(i).Classes(t.Context())
@@ -58,8 +59,8 @@
 	require.NoError(t, client.WaitInForce(t.Context(), last))
 }
 
-// putClassUntilAccepted creates a class, resending the same change while there is no leader, and returns its version, which
-// must be above the last one.
+// putClassUntilAccepted creates a class, resending the same change until it is accepted, and returns its version, which
+// must be greater than last.
 func (c *cluster) putClassUntilAccepted(client *operator.Client, name string, last uint64) uint64 {
 	c.t.Helper()
 	id := operator.NewChangeID()
@@ -68,13 +69,13 @@
 		change, err := client.PutClass(c.t.Context(), testClass(name, 1000), 0, id)
 		version = change.Version
 		return err == nil
-	}, "class %s isn't accepted", name)
-	require.Greater(c.t, version, last, "the version fell")
+	}, "class %s is not accepted", name)
+	require.Greater(c.t, version, last, "the version did not increase")
 	return version
 }
 
-// Symptom: two operators both hear that their change was accepted, and one is gone. Sequence: several change one
-// class at the same version, at different instances. Cause: the version was compared before the log's order was known.
+// Several operators change one class based on the same version, at different instances. If the version is compared before
+// the changes are ordered in the replicated log, two changes are accepted and one of them is lost.
 func TestOneOfConcurrentChangesIsAccepted(t *testing.T) {
 	c := startCluster(t)
 	created, err := c.operatorClient().PutClass(t.Context(), testClass("raced", 1000), 0, operator.NewChangeID())
@@ -92,20 +93,20 @@
 	accepted := -1
 	for i, err := range errs {
 		if err == nil {
-			require.Negative(t, accepted, "racers %d and %d both won", accepted, i)
+			require.Negative(t, accepted, "changes %d and %d were both accepted", accepted, i)
 			accepted = i
 			continue
 		}
 		require.True(t, result.Is(err, result.VersionConflict), "%v", err)
 	}
-	require.GreaterOrEqual(t, accepted, 0, "nobody won")
+	require.GreaterOrEqual(t, accepted, 0, "no change was accepted")
 	got, err := c.operatorClient().Class(t.Context(), "raced")
 	require.NoError(t, err)
 	require.Equal(t, uint32(2000+accepted), got.DeadlineMS)
 }
 
-// Symptom: a resent change is refused, or made twice. Sequence: its answer is lost; all control instances are killed
-// and restart; the operator resends it. Cause: change ids were remembered in memory only.
+// The reply to a change is lost, all control instances are killed and restart, and the operator resends the change. If
+// change ids were kept in memory only, the resend would be refused or executed again.
 func TestResentChangeReturnsFirstReplyAfterRestart(t *testing.T) {
 	c := startCluster(t)
 	id := operator.NewChangeID()
@@ -125,9 +126,8 @@
 	require.True(t, result.Is(err, result.ChangeIDReused), "%v", err)
 }
 
-// Symptom: accepted changes are gone after a second loss. Sequence: an instance loses its disk and comes back empty;
-// right after its repair another one is lost. Cause: the empty instance voted, or counted towards a quorum, before it
-// held the log.
+// An instance loses its disk and restarts empty, and right after its replacement another instance is lost. Accepted
+// changes are lost if the empty instance votes, or counts towards a quorum, before it holds the log.
 func TestChangesSurviveLossAfterDiskReplacement(t *testing.T) {
 	c := startCluster(t)
 	leader := c.waitLeader(0)
@@ -140,7 +140,7 @@
 	c.eventually(func() bool {
 		id := c.replicaID(leader, wiped)
 		return id != "" && id != oldID
-	}, "the replacement doesn't become the one voter of its instance")
+	}, "the replacement does not become the only replica and a voter of its instance")
 	c.controls[leader].kill()
 	third := (leader + 2) % controlInstances
 	c.waitLeader(third)
@@ -150,7 +150,8 @@
 	c.putClassUntilAccepted(c.operatorClient(third, wiped), "after-loss", last)
 }
 
-// startReplacementControl starts instance i with an empty folder, which must not bootstrap a quorum of its own.
+// startReplacementControl starts instance i with an empty folder and with bootstrap disabled, so that it does not form a
+// quorum of its own.
 func (c *cluster) startReplacementControl(i int) {
 	c.t.Helper()
 	s, err := settings.Load[settings.Control](c.controls[i].file)
@@ -163,7 +164,8 @@
 	c.controls[i].start()
 }
 
-// replicaID gives the identity of instance i's replica if it is its only one and votes, as another instance sees it.
+// replicaID returns the id of instance i's replica as reported by instance seenBy. It returns "" unless the status is
+// confirmed and the instance has exactly one replica, which is a voter.
 func (c *cluster) replicaID(seenBy, i int) string {
 	status, err := c.operatorClient(seenBy).Status(context.Background())
 	if err != nil || !status.Confirmed {
@@ -182,9 +184,8 @@
 	return id
 }
 
-// Symptom: operators read an old configuration from a leader that has been cut off. Sequence: the leader freezes, so
-// that it neither answers nor closes its connections; a new one accepts a change; the old one thaws and is asked.
-// Cause: it answered from its own memory without asking a quorum.
+// The leader freezes, so that it neither answers nor closes its connections, and a new leader accepts a change. When the
+// old leader resumes, it serves an outdated configuration if it answers from memory without asking a quorum.
 func TestResumedLeaderServesNoStaleConfiguration(t *testing.T) {
 	c := startCluster(t)
 	frozen := c.waitLeader(0)
--- a/cmd/carawaypitch/cluster_faults_test.go
+++ b/cmd/carawaypitch/cluster_faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// issuePassWithDeadline issues a pass with a shorter deadline.
+// issuePassWithDeadline is issuePass with a deadline in milliseconds instead of the class's.
 func (c caller) issuePassWithDeadline(key, deadlineMS string) (reply, error) {
 	return c.post("/v1/services/registry/issue", map[string]string{
 		"Carawaypitch-Class":       "pass-issue",
@@ -19,9 +19,9 @@
 	}, `{"pass": "`+key+`"}`)
 }
 
-// Symptom: a resend at another entry waits until its deadline. Sequence: the leading control instance freezes while a
-// key's record is begun; the caller's short deadline passes; the leader wakes, and the caller sends again at the other
-// entry. Cause: the first entry lives, and owns a record for which it has no request.
+// The leading control instance freezes while an operation record is created, and the caller's short deadline passes. The
+// first entry then owns a record but has no request for it. Once the leader resumes, a retry at the other entry must not
+// wait for that record until its deadline.
 func TestRetryAfterFrozenLeader(t *testing.T) {
 	c := startCluster(t)
 	leader := c.waitLeader(0)
--- a/cmd/carawaypitch/cluster_request_test.go
+++ b/cmd/carawaypitch/cluster_request_test.go
@@ -16,9 +16,10 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// registries are the engines of the cluster that are registry services.
+// registries are the indices of the registry services among the engines of the cluster.
 var registries = []int{1, 2}
 
+// passRuns returns how many times the registries ran the issuance of a pass.
 func (c *cluster) passRuns(key string) int {
 	c.t.Helper()
 	total := 0
@@ -28,47 +29,49 @@
 	return total
 }
 
+// setRegistryFaults sets the simulated faults of all registries.
 func (c *cluster) setRegistryFaults(faults any) {
 	for _, i := range registries {
 		c.setFaults(i, faults)
 	}
 }
 
-// requireConsistentReply checks what a caller heard of a pass issuance against how often it ran.
+// requireConsistentReply checks the reply to a pass issuance against the number of runs: at most one, exactly one for a
+// success, and none if the reply says that it did not run.
 func requireConsistentReply(t testing.TB, got reply, runs int) {
 	t.Helper()
 	require.LessOrEqual(t, runs, 1, "a pass was issued %d times", runs)
 	if got.Status == http.StatusOK {
-		require.Equal(t, 1, runs, "an answer without a run")
+		require.Equal(t, 1, runs, "success reported, but the pass was not issued")
 		return
 	}
 	coded := got.resultError(t)
 	if coded.Ran == result.RanNo {
-		require.Zero(t, runs, "told that it did not run: %s", got.Body)
+		require.Zero(t, runs, "reported as not run, but the pass was issued: %s", got.Body)
 	}
 }
 
-// Symptom: a pass is issued twice. Sequence: the entry is killed while the call runs at the registry; the caller sends
-// it again, with the same key, at the other entry. Cause: what the first entry had dispatched was known to it alone.
+// The entry is killed while its call runs at the registry, and the caller retries with the same key at the other entry.
+// If only the first entry knew that it had dispatched the call, the pass would be issued twice.
 func TestEntryKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
 	c.setRegistryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
-	lost := make(chan error, 1)
+	callErr := make(chan error, 1)
 	go func() {
 		_, err := c.caller(0).issuePass("pass-1")
-		lost <- err
+		callErr <- err
 	}()
-	c.eventually(func() bool { return c.passRuns("pass-1") == 1 }, "the call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-1") == 1 }, "the call does not reach a registry")
 	c.entries[0].kill()
-	require.Error(t, <-lost)
+	require.Error(t, <-callErr)
 	got, err := c.caller(1).issuePass("pass-1")
 	require.NoError(t, err)
 	requireConsistentReply(t, got, c.passRuns("pass-1"))
 	require.Equal(t, 1, c.passRuns("pass-1"))
 }
 
-// Symptom: a pass is issued twice, or its caller hears that it was not. Sequence: the registry runs the call and loses
-// the answer; the caller sends it again at both entries. Cause: a lost answer was taken for a call that never ran.
+// The registry runs the call and loses the answer, and the caller retries at both entries. If a lost answer counted as a
+// call that did not run, the pass would be issued twice or reported as not issued.
 func TestLostRegistryAnswerIsUnknown(t *testing.T) {
 	c := startCluster(t)
 	c.setRegistryFaults(map[string]any{"lose_answer": 1.0})
@@ -84,8 +87,8 @@
 	require.Equal(t, 1, c.passRuns("pass-2"))
 }
 
-// Symptom: a caller waits for ever, or is told a lie. Sequence: the agent of each registry is killed while calls run
-// there, and restarts. Cause: the loss of an agent was taken for the end of its attempts.
+// The agent of each registry is killed while calls run there, and restarts. If the loss of an agent counted as the end of
+// its attempts, a caller would get no reply or a false one.
 func TestAgentKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
 	c.setRegistryFaults(map[string]any{"slow": 200}) // about 1 s a call
@@ -119,9 +122,9 @@
 	}
 }
 
-// Symptom: a token is missing from an answer, or a part of it comes twice. Sequence: an engine dies in the middle of
-// streams and whole answers; they go on at another engine. Cause: the other engine was told to go on after as many
-// tokens as events had been delivered, but a chat's first event has none. Found by the checks of bench.
+// An engine crashes during streamed and unstreamed completions, which resume on another engine. The resume position must
+// count tokens and not delivered events, since the first event of a chat has no token; otherwise a token is missing from
+// the answer or a part of it is repeated.
 func TestGenerationResumesOnAnotherEngine(t *testing.T) {
 	c := startCluster(t, "model-2")
 	c.setFaults(0, map[string]any{"die_after_tokens": 5, "down_ms": 500})
@@ -149,7 +152,7 @@
 	}
 }
 
-// completionText puts together the text of a completion, streamed or whole.
+// completionText returns the text of a completion, streamed or not.
 func completionText(t testing.TB, got reply) string {
 	t.Helper()
 	var text strings.Builder
@@ -172,8 +175,8 @@
 	return text.String()
 }
 
-// Symptom: a stream stops in the middle when its backend server leaves. Sequence: the server gets SIGTERM while it
-// streams a long answer. Cause: the leave did not wait for what was in flight.
+// A backend server gets SIGTERM while it streams a long answer. If its graceful leave does not wait for the requests in
+// flight, the stream is truncated.
 func TestServerShutdownFinishesStreams(t *testing.T) {
 	c := startCluster(t)
 	body := `{"model": "sample", "stream": true, "max_tokens": 150, "messages": [{"role": "user", "content": "Long."}]}`
@@ -185,17 +188,17 @@
 		}
 		done <- got
 	}()
-	c.eventually(func() bool { return c.runningStreams(0) > 0 }, "the stream doesn't start")
+	c.eventually(func() bool { return c.runningStreams(0) > 0 }, "the stream does not start")
 	c.engines[0].stop()
 	got := <-done
 	require.Equal(t, http.StatusOK, got.Status)
-	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "cut: %s", tail(string(got.Body)))
+	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "stream truncated: %s", tail(string(got.Body)))
 	after := c.caller(0).mustPost(t, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, `{`+prompt+`}`)
 	require.NotEqual(t, http.StatusOK, after.Status)
 	require.Equal(t, result.RanNo, after.resultError(t).Ran)
 }
 
-// runningStreams counts what runs at a stand-in.
+// runningStreams returns the number of streams in progress at a stand-in.
 func (c *cluster) runningStreams(engine int) int {
 	var list struct {
 		Streams []struct{} `json:"streams"`
@@ -204,21 +207,21 @@
 	return len(list.Streams)
 }
 
-// Symptom: an entry that came back after a long cut looks ready, and every request at it is refused. Sequence: it freezes
-// until control ends its incarnation, then thaws. Cause: it registered the ended incarnation again, which agents refuse
-// for good. Found by the specification (docs/SPEC.md, ended_stays_ended).
+// An entry freezes until control ends its incarnation, and then resumes. If it registered the ended incarnation again,
+// which agents reject permanently, it would look ready while every request at it is refused. The specification calls the
+// rule ended_stays_ended.
 func TestEntryServesAfterIncarnationEnded(t *testing.T) {
 	c := startCluster(t)
 	c.entries[0].signal(syscall.SIGSTOP)
-	c.eventually(func() bool { return !c.isRegistered("entry-1") }, "the silent entry stays in the directory")
+	c.eventually(func() bool { return !c.isRegistered("entry-1") }, "the frozen entry stays in the directory")
 	c.entries[0].signal(syscall.SIGCONT)
 	c.eventually(func() bool {
 		got, err := c.caller(0).gateCheck()
 		return err == nil && got.Status == http.StatusOK
-	}, "the entry doesn't serve again")
+	}, "the resumed entry does not serve")
 }
 
-// isRegistered tells whether an entry is in the directory.
+// isRegistered reports whether an entry is in the directory.
 func (c *cluster) isRegistered(entry string) bool {
 	status, err := c.operatorClient().Status(c.t.Context())
 	require.NoError(c.t, err)
@@ -230,8 +233,8 @@
 	return false
 }
 
-// Symptom: an entry that is cut off goes on by an old configuration without an end. Sequence: all control instances
-// freeze, which is silence and not a refusal. Cause: silence was taken for "nothing has changed".
+// All control instances freeze, so that the entry gets no messages but no refused connections either. If it took that for
+// an unchanged configuration, it would admit requests under an outdated one indefinitely.
 func TestEntryCutOffStopsAdmitting(t *testing.T) {
 	c := startCluster(t)
 	for _, p := range c.controls {
@@ -245,20 +248,20 @@
 	for _, p := range c.controls {
 		p.signal(syscall.SIGCONT)
 	}
-	c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
+	c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry does not become ready again")
 	got, err = c.caller(0).gateCheck()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 }
 
-// Symptom: gate checks fail although only control is gone. Sequence: all control instances are killed: their ports
-// refuse connections. Cause: a refused connection was taken for silence, though nobody can accept a change there.
+// All control instances are killed, so that their ports refuse connections. No change can be accepted then; if the entry
+// treated a refused connection like a missing message, gate checks would fail although only control is down.
 func TestEntryServesWhileControlIsDown(t *testing.T) {
 	c := startCluster(t)
 	for _, p := range c.controls {
 		p.kill()
 	}
-	observation := 4 * time.Second // above the bound of the settings
+	observation := 4 * time.Second // longer than the entry's cut-off bound in the settings
 	deadline := time.Now().Add(observation)
 	for time.Now().Before(deadline) {
 		got, err := c.caller(0).gateCheck()
--- a/cmd/carawaypitch/cluster_rolling_test.go
+++ b/cmd/carawaypitch/cluster_rolling_test.go
@@ -15,12 +15,12 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// callRecord is a call and what its caller heard in the end.
+// callRecord is a call and its final result for the caller.
 type callRecord struct {
 	key   string // empty for a gate check
-	entry int    // that replied
+	entry int    // index of the entry that was tried last, which replied if err is nil
 	reply reply
-	err   error // no entry replied
+	err   error // not nil if no entry replied
 }
 
 // issuePasses issues passes one after another, alternating between the entries.
@@ -32,7 +32,8 @@
 	return all
 }
 
-// callWithFailover sends a call as a balancer does: to one entry, and to the other if that doesn't reply.
+// callWithFailover sends a call like a load balancer: to one entry and, if that does not reply, to the other, six times in
+// all. An empty key stands for a gate check, any other one for a pass issuance.
 func (c *cluster) callWithFailover(first int, key string) callRecord {
 	const tries = 6
 	s := callRecord{key: key}
@@ -50,9 +51,9 @@
 	return s
 }
 
-// Symptom: a pass is issued twice, or a caller hears a lie, or another answer when it sends again. Sequence: the leading
-// control instance is killed while passes are issued, with records on their way to be begun and completed; each caller
-// sends again at the other entry. Cause: a begin or an outcome that was lost with the leader taken for one that never was.
+// The leading control instance is killed while passes are issued and operation records are being created and completed.
+// Each caller then retries at the other entry. If a creation or an outcome lost with the leader counted as one that never
+// happened, a pass would be issued twice, or a caller would get a false reply or a different one on its retry.
 func TestControlLeaderKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
 	c.setRegistryFaults(map[string]any{"slow": 40}) // about 0.2 s a call
@@ -66,7 +67,7 @@
 		}
 		wait.Go(func() { records[w] = c.issuePasses(keys) })
 	}
-	c.eventually(func() bool { return c.passRuns("pass-l-0-0") == 1 }, "the first call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-l-0-0") == 1 }, "the first call does not reach a registry")
 	leader := c.waitLeader(0)
 	c.controls[leader].kill()
 	wait.Wait()
@@ -85,7 +86,8 @@
 	require.Positive(t, answered)
 }
 
-// resend sends an issuance until the entry could ask control about its record. Each reply must be true.
+// resend retries an issuance until the reply shows that the entry could read its record from control. Each reply must be
+// consistent with the number of runs.
 func (c *cluster) resend(entry int, key string) reply {
 	c.t.Helper()
 	var got reply
@@ -101,7 +103,7 @@
 		}
 		code := got.resultError(c.t).Code
 		return code != result.CutOffFromControl && code != result.ControlUnavailable
-	}, "entry %d can't ask control about %s", entry, key)
+	}, "entry %d cannot read the record of %s from control", entry, key)
 	return got
 }
 
@@ -113,7 +115,7 @@
 	return all
 }
 
-// traffic keeps calls coming from several callers until it is stopped.
+// traffic sends calls from several concurrent callers until it is stopped.
 type traffic struct {
 	cluster *cluster
 	stopped atomic.Bool
@@ -122,6 +124,7 @@
 	all     []callRecord
 }
 
+// startTraffic starts the given number of callers.
 func (c *cluster) startTraffic(callers int) *traffic {
 	s := &traffic{cluster: c}
 	for i := range callers {
@@ -130,7 +133,7 @@
 	return s
 }
 
-// run alternates gate checks and issuances.
+// run sends gate checks and pass issuances alternately.
 func (s *traffic) run(caller int) {
 	for n := 0; !s.stopped.Load(); n++ {
 		key := ""
@@ -144,22 +147,23 @@
 	}
 }
 
+// stop waits for the calls in flight and returns the records of all calls.
 func (s *traffic) stop() []callRecord {
 	s.stopped.Store(true)
 	s.wait.Wait()
 	return s.all
 }
 
-// Symptom: a pass is issued twice, a caller hears a lie, or a gate check fails without a code. Sequence: every process is
-// restarted gracefully, one after another, while gate checks and issuances go on. Cause: a process that cuts off what is
-// in flight, forgets what it must not, or says that it may receive work before it can.
+// Every process is restarted gracefully, one after another, during gate checks and issuances. If a process aborts requests
+// in flight, loses state that it must keep, or reports ready before it can serve, a pass is issued twice, a caller gets a
+// false reply, or a gate check fails without a result code.
 func TestRollingRestart(t *testing.T) {
 	c := startCluster(t)
-	calls := c.startTraffic(4)
+	load := c.startTraffic(4)
 	for i := range c.controls {
 		c.controls[i].stop()
 		c.controls[i].start()
-		c.eventually(func() bool { return c.leader(i) >= 0 }, "control-%d doesn't come back", i+1)
+		c.eventually(func() bool { return c.leader(i) >= 0 }, "control-%d does not serve again", i+1)
 	}
 	for i := range c.entries {
 		c.restartProcess(c.entries[i], c.entryURLs[i])
@@ -167,29 +171,30 @@
 	for i := range c.agents {
 		c.restartProcess(c.agents[i], c.agentURLs[i])
 	}
-	before := map[string]int{} // runs at the engines that are gone
+	runs := map[string]int{} // by key; first those that engines counted before their restart
 	for i := range c.engines {
 		c.drainEngine(i)
-		c.addRegistryRuns(before, i)
+		c.addRegistryRuns(runs, i)
 		c.engines[i].stop()
 		c.engines[i].start()
-		c.eventually(func() bool { return returnsOK(c.agentURLs[i] + "/readyz") }, "the agent of engine %d isn't ready", i)
+		c.eventually(func() bool { return returnsOK(c.agentURLs[i] + "/readyz") }, "the agent of engine %d is not ready", i)
 	}
-	all := calls.stop()
+	all := load.stop()
 	for _, i := range registries {
-		c.addRegistryRuns(before, i)
+		c.addRegistryRuns(runs, i)
 	}
-	requireConsistentReplies(t, all, before)
+	requireConsistentReplies(t, all, runs)
 }
 
+// restartProcess stops a process gracefully, starts it again and waits until it is ready.
 func (c *cluster) restartProcess(p *process, url string) {
 	c.t.Helper()
 	p.stop()
 	p.start()
-	c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s doesn't come back", url)
+	c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s is not ready after the restart", url)
 }
 
-// drainEngine has a backend server drainEngine, and waits until it is drained.
+// drainEngine asks an engine's agent for a graceful leave of its backend server and waits until that is drained.
 func (c *cluster) drainEngine(engine int) {
 	c.t.Helper()
 	server := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(c.engines[engine].file), "engine-"), ".jsonc")
@@ -206,10 +211,10 @@
 		defer func() { _ = state.Body.Close() }()
 		text, err := io.ReadAll(state.Body)
 		return err == nil && strings.Contains(string(text), "drained")
-	}, "%s isn't drained", server)
+	}, "%s is not drained", server)
 }
 
-// addRegistryRuns adds what a registry ran; other engines have no such page.
+// addRegistryRuns adds the runs of a registry to total, by key. Model engines do not serve /v1/runs and add nothing.
 func (c *cluster) addRegistryRuns(total map[string]int, engine int) {
 	c.t.Helper()
 	if !returnsOK(c.engineURLs[engine] + "/v1/runs") {
@@ -222,7 +227,8 @@
 	}
 }
 
-// requireConsistentReplies checks every call of a stream: issuances against the runs, and that gate checks failed by a code only.
+// requireConsistentReplies checks that every call got a reply, that replies to issuances are consistent with the runs, and
+// that every failure has a result code.
 func requireConsistentReplies(t testing.TB, all []callRecord, runs map[string]int) {
 	t.Helper()
 	answered := 0
--- a/cmd/carawaypitch/cluster_test.go
+++ b/cmd/carawaypitch/cluster_test.go
@@ -20,13 +20,14 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// Bounds of waiting in process tests. They only bound a failing test: nothing is concluded from how long it took.
+// Timeout and poll interval of eventually. The timeout only limits how long a failing test takes; no assertion depends on
+// elapsed time.
 const (
 	waitTimeout  = 60 * time.Second
 	pollInterval = 20 * time.Millisecond
 )
 
-// process is one daemon as a process of its own, with its settings file.
+// process is a daemon that runs as a separate process, with its settings file.
 type process struct {
 	t    testing.TB
 	role string
@@ -37,7 +38,7 @@
 	log lockedBuffer
 }
 
-// lockedBuffer collects the log of a process, which writes while the test reads.
+// lockedBuffer holds the log of a process, which writes while the test reads.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -55,6 +56,7 @@
 	return b.text.String()
 }
 
+// start starts the process without waiting until it is ready.
 func (p *process) start() {
 	p.t.Helper()
 	p.mu.Lock()
@@ -64,13 +66,13 @@
 	require.NoError(p.t, p.cmd.Start())
 }
 
-// signal sends a signal to the process; it must run.
+// signal sends a signal to the process, which must be running.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	require.NoError(p.t, p.cmd.Process.Signal(s))
 }
 
-// kill ends the process at once, as a crash does, and waits until it is gone.
+// kill terminates the process with SIGKILL, like a crash, and waits for its exit. It does nothing if none is running.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +84,7 @@
 	p.cmd = nil
 }
 
-// stop ends the process gracefully; its exit code must be 0.
+// stop sends SIGTERM and waits for the exit, whose code must be 0.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -91,8 +93,8 @@
 	require.NoError(p.t, err, "%s", p.log.String())
 }
 
-// cluster is a small deployment as separate processes: three control instances, two entries, two registry services and
-// one model engine, or as many as a test asks for, each with its agent.
+// cluster is a small deployment of separate processes: three control instances, two entries, and two registry services
+// and at least one model engine, each with its agent.
 type cluster struct {
 	t        testing.TB
 	folder   string
@@ -110,6 +112,7 @@
 
 const controlInstances = 3
 
+// startCluster starts a cluster with the named model engines in addition to model-1, and waits until it is ready.
 func startCluster(t testing.TB, extraModels ...string) *cluster {
 	t.Helper()
 	c := newCluster(t)
@@ -117,6 +120,7 @@
 	return c
 }
 
+// newCluster returns a cluster without processes; those started later are killed at the end of the test.
 func newCluster(t testing.TB) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir(), operatorKey: "operator-key", callerKey: "caller-key"}
@@ -124,7 +128,7 @@
 	return c
 }
 
-// startAll starts the processes and waits until they are ready.
+// startAll starts all processes and waits until the entries and agents are ready.
 func (c *cluster) startAll(extraModels ...string) {
 	c.t.Helper()
 	for range controlInstances {
@@ -151,6 +155,7 @@
 	}
 }
 
+// killAll kills all processes and, if the test has failed, prints the ends of their logs.
 func (c *cluster) killAll() {
 	for _, group := range [][]*process{c.entries, c.engines, c.agents, c.controls} {
 		for _, p := range group {
@@ -166,6 +171,7 @@
 	}
 }
 
+// tail returns at most the last 6000 bytes of text.
 func tail(text string) string {
 	const maxBytes = 6000
 	if len(text) > maxBytes {
@@ -174,19 +180,20 @@
 	return text
 }
 
+// eventually polls the condition and fails the test with the message if it does not hold within waitTimeout.
 func (c *cluster) eventually(condition func() bool, format string, args ...any) {
 	c.t.Helper()
 	require.Eventually(c.t, condition, waitTimeout, pollInterval, append([]any{format}, args...)...)
 }
 
-// addressCounter counts the loopback addressCounter handed out to the processes of this test run.
+// addressCounter counts the loopback addresses assigned to the processes of this test run.
 var addressCounter atomic.Uint32
 
-// freeAddress gives an IP number in 127.0.0.0/8 that no other process of this machine's tests uses, with a port below
-// the ephemeral ones.
+// freeAddress returns an address in 127.0.0.0/8 that no other test process on this machine uses, with a port below the
+// ephemeral range.
 //
-// A port found free at 127.0.0.1 may be taken by an outgoing connection before the daemon listens there; the daemon
-// then fails at its start, now and then.
+// A free ephemeral port at 127.0.0.1 is no alternative: an outgoing connection may take it before the daemon listens
+// there, so that the daemon occasionally fails to start.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	const port = 7000
@@ -197,7 +204,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{byte(ip >> 24), byte(ip >> 16), byte(ip >> 8), byte(ip)}), port).String()
 }
 
-// writeSettings puts a settings file into the folder and makes the process for it.
+// writeSettings writes a settings file into the cluster's folder and returns the process for it, not started.
 func (c *cluster) writeSettings(role, name string, value any) *process {
 	c.t.Helper()
 	data, err := settings.Marshal(value)
@@ -207,6 +214,7 @@
 	return &process{t: c.t, role: role, file: file}
 }
 
+// keyDigests returns the digest of a key as settings files list it.
 func keyDigests(key string) []string {
 	return []string{settings.NewDigest(key, settings.NewSalt())}
 }
@@ -258,7 +266,7 @@
 	c.entryURLs = append(c.entryURLs, "http://"+s.Listen.Callers)
 }
 
-// addServer adds a stand-in with its agent.
+// addServer adds a stand-in for a backend server, with its agent.
 func (c *cluster) addServer(name, kind string, models []string) {
 	a := settings.DefaultAgent()
 	a.Instance = "agent-" + name
@@ -281,7 +289,7 @@
 	c.engineURLs = append(c.engineURLs, "http://"+e.Listen)
 }
 
-// setFaults switches the setFaults of a stand-in while it runs.
+// setFaults sets the simulated faults of a running stand-in.
 func (c *cluster) setFaults(engine int, faults any) {
 	c.t.Helper()
 	body, err := json.Marshal(faults)
@@ -294,7 +302,7 @@
 	return caller{c.entryURLs[entry], c.callerKey}
 }
 
-// operatorClient gives an operator's client of the given control instances, or of all.
+// operatorClient returns an operator's client for the given control instances, or for all if none is given.
 func (c *cluster) operatorClient(controls ...int) *operator.Client {
 	urls := c.controlURLs
 	if len(controls) > 0 {
@@ -306,7 +314,8 @@
 	return operator.New(urls, c.operatorKey, nil)
 }
 
-// leader gives the index of the leading control instance as instance i sees it, or -1.
+// leader returns the index of the leading control instance as reported by instance seenBy, or -1 if that does not answer,
+// is not confirmed by a quorum or reports no leader.
 func (c *cluster) leader(seenBy int) int {
 	status, err := c.operatorClient(seenBy).Status(c.t.Context())
 	if err != nil || !status.Confirmed {
@@ -320,7 +329,7 @@
 	return -1
 }
 
-// waitLeader waits until one of the given control instances knows a leader, confirmed by a quorum.
+// waitLeader waits until control instance seenBy reports a leader, confirmed by a quorum, and returns the leader's index.
 func (c *cluster) waitLeader(seenBy int) int {
 	c.t.Helper()
 	leader := -1
--- a/cmd/carawaypitch/cluster_tls_test.go
+++ b/cmd/carawaypitch/cluster_tls_test.go
@@ -25,10 +25,10 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// linkName is the name in the certificates of all processes of a deployment.
+// linkName is the DNS name in the certificates of all processes of a deployment.
 const linkName = "link.internal"
 
-// certificateAuthority signs the certificates of one deployment.
+// certificateAuthority signs the certificates of one deployment and stores them as PEM files.
 type certificateAuthority struct {
 	t           testing.TB
 	folder      string
@@ -65,7 +65,7 @@
 	return path
 }
 
-// issue gives the settings of a process with a certificate of this authority, which trusts those of another.
+// issue returns TLS settings with a certificate of this authority, which trust the certificates of another one.
 func (a *certificateAuthority) issue(trusted *certificateAuthority) settings.TLS {
 	a.t.Helper()
 	key := newPrivateKey(a.t)
@@ -85,10 +85,9 @@
 	}
 }
 
-// Symptom: a process of somebody else takes part in the deployment, or a member is shut out and nobody knows why.
-// Sequence: all links use TLS, and requests are served; a process with the right name in a certificate of another
-// authority connects to control and to the agents. Cause: a link service that doesn't check its peer, or that refuses
-// it without a word.
+// All links use TLS. A process with the right name in a certificate of another authority connects to control and to the
+// agents. If a link service does not verify its peer, a foreign process joins the deployment; if it refuses a peer without
+// a log line and a metric, operators cannot find out why a member is excluded.
 func TestLinksWithTLS(t *testing.T) {
 	c := newCluster(t)
 	deploymentCA, foreignCA := newAuthority(t), newAuthority(t)
@@ -105,7 +104,7 @@
 	untrusted := foreignCA.issue(deploymentCA)
 	for _, address := range c.controlLinks {
 		c.requireLinksRefused(address, untrusted)
-		require.NoError(t, callForward(t, address, c.tls), "a member is heard")
+		require.NoError(t, callForward(t, address, c.tls), "a member of the deployment must be accepted")
 	}
 	for _, address := range c.agentLinks {
 		c.requireLinksRefused(address, untrusted)
@@ -120,21 +119,22 @@
 	c.addEntry(len(c.entries))
 	last := len(c.entries) - 1
 	c.entries[last].start()
-	c.eventually(func() bool { return returnsOK(c.entryURLs[last] + "/healthz") }, "the strange entry doesn't start")
+	c.eventually(func() bool { return returnsOK(c.entryURLs[last] + "/healthz") }, "the entry with the foreign certificate does not start")
 	refused, err := c.caller(last).gateCheck()
 	require.NoError(t, err)
 	require.NotEqual(t, http.StatusOK, refused.Status, "%s", refused.Body)
 }
 
-// requireLinksRefused calls the link services of a process with a certificate that it must not accept. Why they fail
-// here is left open: the alert may get lost when the server closes the connection.
+// requireLinksRefused calls the link services of a process with a certificate that it must reject. It accepts any error,
+// since the TLS alert may get lost when the server closes the connection.
 func (c *cluster) requireLinksRefused(address string, untrusted settings.TLS) {
 	c.t.Helper()
 	require.Error(c.t, callForward(c.t, address, untrusted))
 	require.Error(c.t, callSession(c.t, address, untrusted))
 }
 
-// callForward calls the service of the replicas. A refusal of the command itself is an answer too.
+// callForward calls the replica link service with an empty command. It returns an error only if the call fails; a rejected
+// command is a reply.
 func callForward(t testing.TB, address string, credentials settings.TLS) error {
 	return callLink(t, address, credentials, func(ctx context.Context, conn drpc.Conn) error {
 		_, err := wire.NewDRPCReplicaLinkClient(conn).Forward(ctx, &wire.Propose{Command: &wire.Command{}})
@@ -142,7 +142,7 @@
 	})
 }
 
-// callSession calls the service of entries and agents and waits for a word.
+// callSession opens a session at the control link service, which entries and agents use, and waits for the first message.
 func callSession(t testing.TB, address string, credentials settings.TLS) error {
 	return callLink(t, address, credentials, func(ctx context.Context, conn drpc.Conn) error {
 		stream, err := wire.NewDRPCControlLinkClient(conn).Session(ctx)
@@ -154,6 +154,7 @@
 	})
 }
 
+// callLink connects to a link address with the given credentials and runs call on the connection.
 func callLink(t testing.TB, address string, credentials settings.TLS, call func(context.Context, drpc.Conn) error) error {
 	t.Helper()
 	config, err := credentials.ClientConfig()
@@ -168,13 +169,13 @@
 	return call(ctx, conn)
 }
 
-// requireRefusalsReported looks for the refusals in a process's log and metrics.
+// requireRefusalsReported requires that a process reports refused peers in its log and in its metrics.
 func (c *cluster) requireRefusalsReported(p *process, url string) {
 	c.t.Helper()
 	c.eventually(func() bool {
 		text := p.log.String()
 		return strings.Contains(text, "link_peer_refused") && strings.Contains(text, "unknown authority")
-	}, "%s doesn't say whom it refuses", url)
+	}, "%s does not log the refused peer", url)
 	got, err := callerClient.Get(url + "/metrics")
 	require.NoError(c.t, err)
 	defer func() { _ = got.Body.Close() }()
--- a/cmd/carawaypitch/cutoff_bench_test.go
+++ b/cmd/carawaypitch/cutoff_bench_test.go
@@ -9,15 +9,16 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// outageDuration is how long control is away in each round.
+// outageDuration is how long control is unavailable in each iteration.
 const outageDuration = 10 * time.Second
 
-// checkCounts counts gate checks at an entry, one after another, until a moment.
+// checkCounts counts gate checks by outcome.
 type checkCounts struct {
-	good, refused, other int
+	good, refused, other int           // refused: with result.CutOffFromControl
 	lastGood             time.Duration // since the start
 }
 
+// gateChecksUntil sends gate checks to the first entry, one after another, until end.
 func (c *cluster) gateChecksUntil(end time.Time) checkCounts {
 	var s checkCounts
 	start := time.Now()
@@ -45,8 +46,9 @@
 	b.ReportMetric(float64(s.lastGood.Milliseconds()), "ms-to-last-good")
 }
 
-// BenchmarkCutOffFrozen measures what the cut-off rule costs: control as a whole is silent for a while, which to an
-// entry looks as if it were cut off alone, and it stops admitting although nothing changed.
+// BenchmarkCutOffFrozen measures the cost of the cut-off rule. All control instances are frozen for a while, which an
+// entry cannot distinguish from its own isolation, so it stops admitting requests although the configuration is
+// unchanged.
 func BenchmarkCutOffFrozen(b *testing.B) {
 	for b.Loop() {
 		c := startCluster(b)
@@ -58,15 +60,15 @@
 			p.signal(syscall.SIGCONT)
 		}
 		resumed := time.Now()
-		c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
+		c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry does not become ready again")
 		b.ReportMetric(float64(time.Since(resumed).Milliseconds()), "ms-to-return")
 		s.report(b)
 		c.killAll()
 	}
 }
 
-// BenchmarkCutOffKilled measures the other side of the rule: control as a whole is dead, its ports refuse, nobody can
-// accept a change, and entries go on.
+// BenchmarkCutOffKilled measures the case in which the cut-off rule does not apply. All control instances are killed and
+// their ports refuse connections, so no change can be accepted and entries continue to serve.
 func BenchmarkCutOffKilled(b *testing.B) {
 	for b.Loop() {
 		c := startCluster(b)
--- a/cmd/carawaypitch/daemons.go
+++ b/cmd/carawaypitch/daemons.go
@@ -12,20 +12,21 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// settingsFlag is the flag that all daemons have.
+// settingsFlag is the -settings flag, which all daemons share.
 type settingsFlag struct{ file string }
 
 func (f *settingsFlag) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&f.file, "settings", "", "settings file")
 }
 
-// daemon is a thing to run until its context ends.
+// daemon is a long-running component.
 type daemon interface {
+	// Run blocks until ctx is cancelled or the daemon fails.
 	Run(ctx context.Context) error
 }
 
-// runDaemon loads the settings, makes the daemon with a log at the settings' level and runs it. Mistakes in the
-// settings are printed all at once, and nothing is started.
+// runDaemon loads the settings file, creates the daemon with a logger at the configured level and runs it until ctx is
+// cancelled. If the settings are invalid, it prints all mistakes and starts nothing.
 func runDaemon[T any, D daemon](ctx context.Context, file string, level func(*T) log.Level, newDaemon func(*T, log.Interface) (D, error)) subcommands.ExitStatus {
 	if file == "" {
 		return usage("give -settings FILE; examples/ has one for each daemon")
--- a/cmd/carawaypitch/dev.go
+++ b/cmd/carawaypitch/dev.go
@@ -15,7 +15,7 @@
 	"github.com/carawaypitch/carawaypitch/logging"
 )
 
-// devCommand runs everything in one process.
+// devCommand runs a sample deployment in one process.
 type devCommand struct {
 	options dev.Options
 	json    bool
@@ -62,11 +62,13 @@
 	return exit(c.run(ctx))
 }
 
+// run starts the deployment, prints its addresses and stops it when ctx is cancelled or a daemon fails. Without a data
+// directory it uses a temporary one, which it removes.
 func (c *devCommand) run(ctx context.Context) (err error) {
 	if c.options.DataDir == "" {
 		folder, err := os.MkdirTemp("", "carawaypitch-dev-")
 		if err != nil {
-			return errors.Wrap(err, "data folder")
+			return errors.Wrap(err, "create data directory")
 		}
 		defer func() { _ = os.RemoveAll(folder) }()
 		c.options.DataDir = folder
@@ -92,11 +94,11 @@
 	return d.Stop()
 }
 
-// shutdownLogFilter drops what is below an error once the stop was asked for. Every process then loses its links to all the
-// others, and who presses Ctrl-C would take the warnings of it for faults.
+// shutdownLogFilter drops log entries below error level once a shutdown has been requested. During a shutdown every
+// daemon loses its links to the others, and the resulting warnings would look like faults.
 type shutdownLogFilter struct {
 	next     log.Handler
-	stopping atomic.Bool
+	stopping atomic.Bool // set when the shutdown begins
 }
 
 // HandleLog implements log.Handler.
--- a/cmd/carawaypitch/dev_lines_test.go
+++ b/cmd/carawaypitch/dev_lines_test.go
@@ -14,8 +14,8 @@
 	"github.com/carawaypitch/carawaypitch/link"
 )
 
-// Symptom: a newcomer copies a line that dev printed, and it fails. Sequence: a path, a flag or a class of the sample
-// changed. Cause: the lines are text that nothing runs.
+// The sample commands that dev prints are plain text. They fail for the user who copies them if a path, a flag or a class
+// of the sample changes and the text does not.
 func TestCommandsPrintedByDevSucceed(t *testing.T) {
 	command := exec.Command(binaryPath, "dev", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
 	out, err := command.StdoutPipe()
@@ -35,7 +35,7 @@
 			continue
 		}
 		commands++
-		text = strings.Replace(text, "curl -s", "curl -sf", 1) // so that a refusal fails
+		text = strings.Replace(text, "curl -s", "curl -sf", 1) // makes curl fail on an HTTP error
 		shell := exec.Command("bash", "-c", text)
 		shell.Env = append(os.Environ(), "PATH="+filepath.Dir(binaryPath)+":"+os.Getenv("PATH"))
 		answer, err := shell.CombinedOutput()
@@ -45,15 +45,15 @@
 	require.Equal(t, 6, commands)
 }
 
-// requireNoLinkFaults fails if a link went down otherwise than by silence. All processes of dev share one machine; while
-// that is busy, heartbeats may truly come too late at any time before the stop. A stop that is taken for a fault closes
-// links instead.
+// requireNoLinkFaults fails if a link went down for another reason than missing heartbeats. Heartbeats may be late at any
+// time before the stop, since all daemons of dev share one machine that may be busy. Links that are closed during the stop
+// must not be logged as faults.
 func requireNoLinkFaults(t *testing.T, log string) {
 	t.Helper()
 	for line := range strings.Lines(log) {
 		down := strings.Contains(line, "event=link_down")
 		if down && !strings.Contains(line, link.ErrSilent.Error()) {
-			require.Fail(t, "the stop looks like a fault", line)
+			require.Fail(t, "the stop is logged as a link fault", line)
 		}
 	}
 }
--- a/cmd/carawaypitch/dev_test.go
+++ b/cmd/carawaypitch/dev_test.go
@@ -16,7 +16,8 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// startDev runs `dev -json` as a process and stops it by SIGTERM at the end, which must be clean.
+// startDev runs `dev -json` as a process and returns its addresses and keys. At the end of the test it sends SIGTERM; the
+// exit code must be 0.
 func startDev(t *testing.T) dev.Info {
 	t.Helper()
 	command := exec.Command(binaryPath, "dev", "-json", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
@@ -36,6 +37,8 @@
 	return info
 }
 
+// A fresh `dev` must serve completions, streams, gate checks and pass issuances at each entry, and refuse invalid calls
+// with their result codes.
 func TestDevServesEachKindOfCall(t *testing.T) {
 	info := startDev(t)
 	require.Len(t, info.Entries, 2)
@@ -84,7 +87,8 @@
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 }
 
-// requireIssueOnce issues a pass twice with one key, at both entries: the answers are the same, and it ran once.
+// requireIssueOnce issues a pass at the caller's entry and again, with the same key, at every entry. All replies must be
+// equal, and the pass must be issued once.
 func requireIssueOnce(t testing.TB, c caller, info dev.Info, key string) {
 	t.Helper()
 	first, err := c.issuePass(key)
@@ -99,13 +103,13 @@
 	require.Equal(t, 1, totalRuns(t, info.Engines, key))
 }
 
-// totalRuns adds up how often a key ran at all stand-in services.
+// totalRuns returns how many times the issuance with a key ran, over all given stand-ins.
 func totalRuns(t testing.TB, engines []string, key string) int {
 	t.Helper()
 	total := 0
 	for _, engine := range engines {
 		if !returnsOK(engine + "/v1/runs") {
-			continue // a model engine has no such page
+			continue // a model engine does not serve /v1/runs
 		}
 		runs := map[string]int{}
 		getJSON(t, engine+"/v1/runs", &runs)
@@ -114,7 +118,7 @@
 	return total
 }
 
-// requireRefusals sends calls that can't be understood or aren't allowed. Each gets its code, and ran is no.
+// requireRefusals sends invalid and forbidden calls. Each must be refused with its result code and ran=no.
 func requireRefusals(t *testing.T, info dev.Info) {
 	t.Helper()
 	valid := caller{info.Entries[0], info.Organisations[0].Key}
--- a/cmd/carawaypitch/digest.go
+++ b/cmd/carawaypitch/digest.go
@@ -14,7 +14,7 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// digestCommand makes the salted digest of a key for a settings file.
+// digestCommand prints the salted digest of a key for a settings file.
 type digestCommand struct{}
 
 func (*digestCommand) Name() string { return "digest" }
@@ -36,7 +36,7 @@
 func (*digestCommand) SetFlags(*flag.FlagSet) {}
 
 func (*digestCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	// A key without a newline behind it is whole too, so the end of the input is no error of its own.
+	// io.EOF is ignored: a key need not end with a newline.
 	line, _ := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimSpace(line)
 	if key == "" {
--- a/cmd/carawaypitch/drain.go
+++ b/cmd/carawaypitch/drain.go
@@ -11,10 +11,10 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// drainCommand starts the graceful leave of a backend server.
+// drainCommand starts the drain of a backend server.
 type drainCommand struct {
 	operatorFlags
-	changeID string
+	changeID string // idempotency key of the change; empty: a new one
 }
 
 func (*drainCommand) Name() string     { return "drain" }
--- a/cmd/carawaypitch/exit.go
+++ b/cmd/carawaypitch/exit.go
@@ -7,7 +7,7 @@
 	"github.com/google/subcommands"
 )
 
-// exit reports how a subcommand ended: 0 ok, 1 failed with the error on standard error.
+// exit returns exit status 0 for a nil error; otherwise it prints the error to standard error and returns 1.
 func exit(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
@@ -16,7 +16,7 @@
 	return subcommands.ExitFailure
 }
 
-// usage reports a command line that can't be understood, with exit code 2.
+// usage prints why the command line is invalid to standard error and returns exit status 2.
 func usage(format string, args ...any) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "carawaypitch: "+format+"\n", args...)
 	return subcommands.ExitUsageError
--- a/cmd/carawaypitch/explain.go
+++ b/cmd/carawaypitch/explain.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/story"
 )
 
-// explainCommand tells what became of one request from the logs of processes.
+// explainCommand reconstructs the history of one request from the log files of several processes.
 type explainCommand struct{}
 
 func (*explainCommand) Name() string             { return "explain" }
@@ -48,6 +48,7 @@
 	return exit(story.Write(os.Stdout, logs))
 }
 
+// readLog reads the log lines about a request from the named file; "-" is standard input.
 func readLog(name, request string) (l *story.Log, err error) {
 	err = withLogFile(name, func(r io.Reader) error {
 		l, err = story.Read(name, r, request)
--- a/cmd/carawaypitch/losses.go
+++ b/cmd/carawaypitch/losses.go
@@ -13,9 +13,9 @@
 	"github.com/carawaypitch/carawaypitch/story"
 )
 
-// lossesCommand sorts what was refused, failed or late by its cause, from the logs of entries.
+// lossesCommand groups refused, failed and late requests by cause, from the log files of entries.
 type lossesCommand struct {
-	pause          time.Duration
+	pause          time.Duration // an answer counts as late if two of its events are further apart; 0: no limit
 	byOrganisation bool
 }
 
@@ -55,14 +55,14 @@
 	return exit(losses.Write(os.Stdout))
 }
 
-// withLogFile opens a log file for a reader; - is the standard input.
+// withLogFile opens the named log file, or standard input for "-", and calls read with it.
 func withLogFile(name string, read func(io.Reader) error) error {
 	if name == "-" {
 		return read(os.Stdin)
 	}
 	file, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log file")
 	}
 	defer file.Close()
 	return read(file)
--- a/cmd/carawaypitch/main.go
+++ b/cmd/carawaypitch/main.go
@@ -1,5 +1,6 @@
-// Command carawaypitch is the one binary of the project: the daemons, the operators' commands and the tools for a
-// first try and for experiments. Each subcommand has a file of its own; what it does is in a library package.
+// Command carawaypitch is the single binary of the project. Its subcommands run the daemons, the operators' tools, a
+// sample deployment in one process, and experiments. Each subcommand is defined in its own file, on top of a library
+// package.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	os.Exit(int(status))
 }
 
-// run registers the subcommands by group and runs the one named on the command line.
+// run registers the subcommands by group, executes the one named on the command line and returns its exit status.
 func run(ctx context.Context) subcommands.ExitStatus {
 	subcommands.Register(subcommands.HelpCommand(), "help")
 	subcommands.Register(subcommands.FlagsCommand(), "help")
@@ -33,12 +34,13 @@
 	return subcommands.Execute(ctx)
 }
 
-// group is a heading of the help page with its subcommands.
+// group is a heading of the help text with its subcommands.
 type group struct {
 	name     string
 	commands []subcommands.Command
 }
 
+// groups returns all groups of subcommands in the order in which the help text lists them.
 func groups() []group {
 	return []group{
 		{"first try", []subcommands.Command{&devCommand{}}},
--- a/cmd/carawaypitch/operators.go
+++ b/cmd/carawaypitch/operators.go
@@ -15,22 +15,24 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// Environment variables that stand in for flags of the operators' commands.
+// Environment variables that set the defaults of the operators' flags.
 const (
 	controlEnv = "CARAWAYPITCH_CONTROL"
 	keyEnv     = "CARAWAYPITCH_OPERATOR_KEY"
 )
 
+// defaultControl is the control URL used when neither a flag, the environment nor the settings file gives one.
 const defaultControl = "http://127.0.0.1:8090"
 
-// operatorFlags are the flags that all operators' commands share.
+// operatorFlags are the flags that the operators' commands share.
 type operatorFlags struct {
-	settings string
-	control  string
-	key      string
-	json     bool
+	settings string // settings file of role operator
+	control  string // URLs of control instances, separated by commas
+	key      string // operator key
+	json     bool   // print JSON instead of a table
 }
 
+// register defines the flags, with the environment variables as defaults.
 func (f *operatorFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&f.settings, "settings", "", "settings file of role operator: control instances and key")
 	flags.StringVar(&f.control, "control", os.Getenv(controlEnv), "URLs of control instances, separated by commas (default "+defaultControl+")")
@@ -38,7 +40,8 @@
 	flags.BoolVar(&f.json, "json", false, "print JSON instead of a table")
 }
 
-// client makes the client from the flags and, where they are silent, the settings file.
+// client returns a client for the control instances. Values missing from the flags come from the settings file; it is an
+// error if neither has an operator key.
 func (f *operatorFlags) client() (*operator.Client, error) {
 	if f.settings != "" {
 		loaded, err := settings.Load[settings.Operator](f.settings)
@@ -61,7 +64,7 @@
 	return operator.New(strings.Split(f.control, ","), f.key, nil), nil
 }
 
-// print writes v as JSON or, for people, by the table function.
+// print writes v to standard output as JSON, or as a table of tab-separated cells written by the given function.
 func (f *operatorFlags) print(v any, table func(w io.Writer)) error {
 	if f.json {
 		return printJSON(os.Stdout, v)
@@ -77,7 +80,7 @@
 	return encoder.Encode(v)
 }
 
-// percent shows a share for people.
+// percent formats a share between 0 and 1 as a percentage with three significant digits.
 func percent(share float64) string {
 	return fmt.Sprintf("%.3g%%", share*100)
 }
--- a/cmd/carawaypitch/operators_page_test.go
+++ b/cmd/carawaypitch/operators_page_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// docCommand is one command line of a page.
+// docCommand is one command line of a documentation page.
 type docCommand struct {
 	page string
 	line int
@@ -22,14 +22,15 @@
 }
 
 var (
+	// shBlock is a fenced block of shell commands.
 	shBlock = regexp.MustCompile("(?ms)^```sh\n(.*?)^```$")
-	// documentedExit is the comment behind a command that fails as the page says.
+	// documentedExit is the trailing comment that documents a non-zero exit code of a command.
 	documentedExit = regexp.MustCompile(`\s+# exits with (\d+): .*$`)
-	// daemonCommand starts one daemon, or one for each file of a pattern.
+	// daemonCommand is a command that starts one daemon, or one for each file that matches a pattern.
 	daemonCommand = regexp.MustCompile(`^(?:for f in (\S+); do )?bin/carawaypitch (control|agent|engine|entry) -settings (\S+) &(?: done)?$`)
 )
 
-// readCommands gives the lines of all sh blocks of a page.
+// readCommands returns the lines of all sh blocks of a page, of which there must be at least one.
 func readCommands(t *testing.T, page string) []docCommand {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("../..", page))
@@ -54,14 +55,14 @@
 	return command
 }
 
-// workspace is a folder like the root of the repository, with the binary and the examples.
+// workspace is a folder laid out like the root of the repository, with the binary and the examples.
 type workspace struct {
 	t       testing.TB
 	folder  string
-	replace *strings.Replacer
+	replace *strings.Replacer // from the addresses, keys and names in the pages to those of the cluster
 }
 
-// newWorkspace makes the folder. What the pages call the processes of the sample deployment are those of the cluster.
+// newWorkspace creates the folder. Addresses, keys and names of the sample deployment are mapped to those of the cluster.
 func newWorkspace(c *cluster) *workspace {
 	c.t.Helper()
 	p := &workspace{t: c.t, folder: c.t.TempDir()}
@@ -85,6 +86,7 @@
 	return p
 }
 
+// rewrite applies the replacements to a file of the workspace.
 func (p *workspace) rewrite(name string) {
 	file := filepath.Join(p.folder, name)
 	data, err := os.ReadFile(file)
@@ -92,7 +94,8 @@
 	require.NoError(p.t, os.WriteFile(file, []byte(p.replace.Replace(string(data))), 0o600))
 }
 
-// run runs a command and requires the documented exit code. Of one that starts daemons it checks the settings files.
+// run runs a command and requires the documented exit code. If the command starts daemons, it only validates their
+// settings files.
 func (p *workspace) run(command docCommand) {
 	p.t.Helper()
 	if found := daemonCommand.FindStringSubmatch(command.text); found != nil {
@@ -107,7 +110,7 @@
 	require.Equal(p.t, command.exit, fmt.Sprint(shell.ProcessState.ExitCode()), "%s:%d: %s\n%s", command.page, command.line, command.text, out)
 }
 
-// checkDaemons requires that each settings file of a daemon exists and is one of its role.
+// checkDaemons requires that the settings files of a daemon command exist, are valid and have the daemon's role.
 func (p *workspace) checkDaemons(command docCommand, found []string) {
 	p.t.Helper()
 	pattern, role := found[1], found[2]
@@ -124,7 +127,8 @@
 	}
 }
 
-// startWorkspace starts a cluster as the pages expect it, with its backend servers announced.
+// startWorkspace starts a cluster as the pages expect it, waits until all its backend servers are ready and both entries
+// serve, and returns a workspace for it.
 func startWorkspace(t *testing.T) *workspace {
 	c := startCluster(t, "model-2")
 	c.eventually(func() bool {
@@ -134,18 +138,17 @@
 			ready += target.ReadyServers
 		}
 		return err == nil && status.Confirmed && ready == len(c.engines)
-	}, "the backend servers aren't ready")
+	}, "the backend servers are not ready")
 	for entry := range c.entries {
 		c.eventually(func() bool {
 			got, err := c.caller(entry).gateCheck()
 			return err == nil && got.Status == 200
-		}, "entry %d doesn't serve", entry)
+		}, "entry %d does not serve", entry)
 	}
 	return newWorkspace(c)
 }
 
-// Symptom: an operator follows the page and a command fails. Sequence: a flag, a name or an answer changed.
-// Cause: the page wasn't changed with it.
+// A command of the operators' page fails if a flag, a name or an exit code changes and the page does not.
 func TestCommandsOfTheOperatorsPage(t *testing.T) {
 	p := startWorkspace(t)
 	for _, command := range readCommands(t, "docs/OPERATORS.md") {
@@ -153,8 +156,8 @@
 	}
 }
 
-// Symptom: the first start by the examples' page fails. Sequence: as above. Cause: as above. The binary is the one that
-// TestMain builds by the page's first command.
+// A command of the examples' page fails if a flag, a name or an exit code changes and the page does not. The first command
+// is the build, which is not run: the workspace has the binary that TestMain built.
 func TestCommandsOfTheExamplesPage(t *testing.T) {
 	p := startWorkspace(t)
 	const build = "go build -o bin/carawaypitch ./cmd/carawaypitch"
@@ -165,8 +168,7 @@
 	}
 }
 
-// Symptom: a new subcommand's help doesn't say how to use it. Sequence: it was added without examples or exit codes.
-// Cause: nothing asked for them.
+// The help text of a subcommand that is added without examples or exit codes does not say how to use it.
 func TestEachSubcommandHasHelpExamplesAndExitCodes(t *testing.T) {
 	for _, group := range groups() {
 		for _, command := range group.commands {
@@ -179,6 +181,7 @@
 	}
 }
 
+// A script tells an invalid command line from a failed command by exit code 2.
 func TestUsageErrorsExitWith2(t *testing.T) {
 	for _, args := range [][]string{
 		{"status", "extra"},
--- a/cmd/carawaypitch/platform.go
+++ b/cmd/carawaypitch/platform.go
@@ -13,7 +13,7 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// platformCommand runs a daemon on the users' platform.
+// platformCommand runs a daemon with settings supplied by the users' platform.
 type platformCommand struct{}
 
 func (*platformCommand) Name() string             { return "platform" }
@@ -38,7 +38,7 @@
 	if flags.NArg() != 1 {
 		return usage("platform: name one of entry, agent, control")
 	}
-	// A write to a connection that is closed must not end the process.
+	// A write to a closed connection must not terminate the process.
 	signal.Ignore(syscall.SIGPIPE)
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
--- a/cmd/carawaypitch/requests.go
+++ b/cmd/carawaypitch/requests.go
@@ -22,12 +22,13 @@
 	callerKeyEnv = "CARAWAYPITCH_KEY"
 )
 
+// defaultEntry is the entry URL used when neither a flag, the environment nor the settings file gives one.
 const defaultEntry = "http://127.0.0.1:8080"
 
-// requestsCommand explains requests at an entry.
+// requestsCommand lists the requests in progress at one entry, or explains one of them.
 type requestsCommand struct {
 	operatorFlags
-	entry string
+	entry string // URL of the entry
 }
 
 func (*requestsCommand) Name() string { return "requests" }
@@ -75,7 +76,8 @@
 	return exit(c.list(ctx, client))
 }
 
-// entryClient makes the client from the flags and, where they are silent, the settings file.
+// entryClient returns a client for the entry. Values missing from the flags come from the settings file; it is an error
+// if neither has a key.
 func (c *requestsCommand) entryClient() (*operator.Client, error) {
 	if c.settings != "" {
 		loaded, err := settings.Load[settings.Operator](c.settings)
@@ -91,6 +93,7 @@
 	return operator.New([]string{orDefault(c.entry, defaultEntry)}, c.key, nil), nil
 }
 
+// orDefault returns text, or fallback if text is empty.
 func orDefault(text, fallback string) string {
 	if text == "" {
 		return fallback
@@ -121,6 +124,7 @@
 	return c.print(r, func(w io.Writer) { requestTable(w, r) })
 }
 
+// requestTable writes the explanation of one request, one tab-separated fact a line.
 func requestTable(w io.Writer, r operator.Request) {
 	fmt.Fprintf(w, "request\t%s of %s\n", r.Request, r.Organisation)
 	fmt.Fprintf(w, "class\t%s, tier %d, %s %s\n", r.Class, r.Tier, r.Kind, r.Target)
--- a/cmd/carawaypitch/servers.go
+++ b/cmd/carawaypitch/servers.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// serversCommand lists the backend servers.
+// serversCommand lists the backend servers in the directory.
 type serversCommand struct{ operatorFlags }
 
 func (*serversCommand) Name() string { return "servers" }
@@ -56,6 +56,7 @@
 	}))
 }
 
+// orderText formats the order in progress at a backend server; nil, which is no order, gives "-".
 func orderText(o *operator.Order) string {
 	if o == nil {
 		return "-"
--- a/cmd/carawaypitch/status.go
+++ b/cmd/carawaypitch/status.go
@@ -51,6 +51,7 @@
 	return exit(c.print(status, func(w io.Writer) { statusTable(w, status) }))
 }
 
+// statusTable writes the status as tables of tab-separated cells.
 func statusTable(w io.Writer, s operator.Status) {
 	confirmed := "confirmed by a quorum"
 	if !s.Confirmed {
@@ -82,6 +83,7 @@
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", i.Instance, role, orDash(i.AvailabilityZone), i.ConfigVersion, instanceState(i, version))
 }
 
+// instanceState describes an instance relative to the configuration version in force.
 func instanceState(i operator.Instance, version uint64) string {
 	switch {
 	case !i.Connected && i.SilentMS < 0:
@@ -96,6 +98,7 @@
 	return "ok"
 }
 
+// orDash returns text, or "-" if text is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/cmd/carawaypitch/status_advice.go
+++ b/cmd/carawaypitch/status_advice.go
@@ -7,7 +7,8 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// adviceTable shows what backend servers ask of their senders, if any does.
+// adviceTable writes the rate limits and drain announcements that backend servers send with their answers. It writes
+// nothing if there are none.
 func adviceTable(w io.Writer, s operator.Status) {
 	if len(s.Advice) == 0 {
 		return
@@ -18,6 +19,7 @@
 	}
 }
 
+// rateText formats the rate limit of a backend server in requests a second, or "-" if it sets none.
 func rateText(a operator.Advice) string {
 	if !a.RateLimited {
 		return "-"
--- a/cmd/carawaypitch/status_advice_test.go
+++ b/cmd/carawaypitch/status_advice_test.go
@@ -9,6 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
+// Rate limits of backend servers must be listed; without any, there must be no empty table.
 func TestStatusShowsServerAdvice(t *testing.T) {
 	var out bytes.Buffer
 	adviceTable(&out, operator.Status{})
--- a/cmd/carawaypitch/status_classes.go
+++ b/cmd/carawaypitch/status_classes.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// classesTable shows each class against its targets.
+// classesTable writes the counts and shares of each class beside its targets.
 func classesTable(w io.Writer, s operator.Status) {
 	window := time.Duration(s.WindowMS) * time.Millisecond
 	fmt.Fprintf(w, "\nClasses over the last %s, as heard from %d of %d entries:\n", window, s.EntriesHeard, len(s.Entries))
@@ -23,7 +23,7 @@
 	}
 }
 
-// meetsText sets a class without work apart from one that meets its targets.
+// meetsText tells whether a class meets its targets: "yes", "NO", or "-" for a class without requests in the window.
 func meetsText(c operator.ClassStatus) string {
 	switch {
 	case c.Good+c.Late+c.Lost == 0:
@@ -34,7 +34,7 @@
 	return "NO"
 }
 
-// groupsText gives such as "12xx: 3, 13xx: 1".
+// groupsText formats counts by group of result codes, sorted by group, such as "12xx: 3, 13xx: 1".
 func groupsText(groups map[string]uint64) string {
 	var parts []string
 	for _, group := range slices.Sorted(maps.Keys(groups)) {
@@ -43,7 +43,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// targetsTable shows what waits for each model and service, and why it is short of room.
+// targetsTable writes the queue of each model and service, and why it lacks capacity.
 func targetsTable(w io.Writer, s operator.Status) {
 	fmt.Fprintln(w, "\nTARGET\tKIND\tREADY\tSERVERS\tQUEUED BY TIER\tOLDEST WAIT\tSHORT BECAUSE")
 	for _, t := range s.Targets {
@@ -57,7 +57,7 @@
 	}
 }
 
-// queuedText gives such as "0/2/14", tier 1 first.
+// queuedText formats queue lengths by tier, tier 1 first, such as "0/2/14".
 func queuedText(queued []uint32) string {
 	parts := make([]string, len(queued))
 	for i, n := range queued {
--- a/cmd/carawaypitch/status_poison.go
+++ b/cmd/carawaypitch/status_poison.go
@@ -9,7 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// poisonTable shows the requests under which backend servers crashed, if there are any.
+// poisonTable writes the requests during which backend servers crashed. It writes nothing if there are none.
 func poisonTable(w io.Writer, s operator.Status) {
 	if len(s.Poison) == 0 {
 		return
--- a/cmd/carawaypitch/status_poison_test.go
+++ b/cmd/carawaypitch/status_poison_test.go
@@ -9,6 +9,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
+// Requests during which servers crashed must be listed; without any, there must be no empty table.
 func TestStatusShowsPoisonRequests(t *testing.T) {
 	var out bytes.Buffer
 	poisonTable(&out, operator.Status{})
--- a/cmd/carawaypitch/target.go
+++ b/cmd/carawaypitch/target.go
@@ -11,7 +11,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// targetCommand changes the target of one class and leaves the rest of it.
+// targetCommand changes the target of one class and keeps its other fields.
 type targetCommand struct {
 	classCommand
 	deadline time.Duration
@@ -56,8 +56,8 @@
 	return exit(c.updateTarget(ctx, client, flags))
 }
 
-// anyTargetFlag tells whether a part of the target is to change. Without one a new version would come into force that changes
-// nothing.
+// anyTargetFlag reports whether at least one flag of the target is set. A change without one would create a configuration
+// version that equals the version before.
 func (*targetCommand) anyTargetFlag(flags *flag.FlagSet) bool {
 	given := false
 	flags.Visit(func(f *flag.Flag) {
@@ -66,6 +66,8 @@
 	return given
 }
 
+// updateTarget applies the given flags to the class in force and puts the result. Without -if-match the change is based
+// on the version that was read, so that a concurrent change makes it fail.
 func (c *targetCommand) updateTarget(ctx context.Context, client *operator.Client, flags *flag.FlagSet) error {
 	classes, err := client.Classes(ctx)
 	if err != nil {
@@ -84,6 +86,7 @@
 	})
 }
 
+// findClass returns the named class, or an error if there is none.
 func findClass(classes operator.Classes, name string) (operator.Class, error) {
 	for _, class := range classes.Classes {
 		if class.Name == name {
@@ -93,6 +96,7 @@
 	return operator.Class{}, errors.Errorf("no class %q", name)
 }
 
+// applyFlag sets the field of the class that the named flag stands for; other flags change nothing.
 func (c *targetCommand) applyFlag(flagName string, class *operator.Class) {
 	switch flagName {
 	case "deadline":
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -19,6 +19,8 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
+// loopback is the listen address of every daemon without a configured one; port 0 takes a free one. readyPollInterval and
+// readyTimeout are the poll interval and the bound of the wait for readiness at start.
 const (
 	loopback          = "127.0.0.1:0"
 	operatorName      = "operator"
@@ -26,7 +28,7 @@
 	readyTimeout      = 20 * time.Second
 )
 
-// Dev is a running sample deployment.
+// Dev is a sample deployment that runs in this process.
 type Dev struct {
 	options       Options
 	log           log.Interface
@@ -37,7 +39,8 @@
 	client        *http.Client
 }
 
-// Start starts everything and returns once callers can be served. Stop must follow.
+// Start starts all daemons and returns once callers can be served. If it fails, it stops what it has started; otherwise
+// the caller must call Stop.
 func Start(ctx context.Context, options Options) (*Dev, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -58,13 +61,13 @@
 	return d, nil
 }
 
-// Info tells how to reach what runs.
+// Info returns the addresses and keys of the deployment.
 func (d *Dev) Info() Info { return d.info }
 
-// Stop stops everything gracefully, entries first.
+// Stop stops all daemons gracefully, entries first, and returns their joined errors.
 func (d *Dev) Stop() error { return stopAll(d.stages) }
 
-// Failed returns a channel that gets the error of a stage that ended by itself.
+// Failed returns a channel that receives the result of each stage when it ends, also when it ends without Stop.
 func (d *Dev) Failed() <-chan error {
 	failed := make(chan error, len(d.stages))
 	for _, s := range d.stages {
@@ -77,7 +80,7 @@
 	return failed
 }
 
-// generateKeys gives each sample organisation a caller key and makes the operator key.
+// generateKeys creates a caller key for each sample organisation, and the operator key.
 func (d *Dev) generateKeys() {
 	d.organisations = sampleOrganisations()
 	for i := range d.organisations {
@@ -92,15 +95,17 @@
 	return "cwp-" + uuid.NewString()
 }
 
+// startAll starts the stages in order: control, agents, engines, entries. It returns once the entries and the agents are
+// ready.
 func (d *Dev) startAll(ctx context.Context) error {
-	links, err := d.startControl()
+	controlLink, err := d.startControl()
 	if err != nil {
 		return err
 	}
-	if err := d.startServers(ctx, links); err != nil {
+	if err := d.startServers(ctx, controlLink); err != nil {
 		return err
 	}
-	if err := d.startEntries(links); err != nil {
+	if err := d.startEntries(controlLink); err != nil {
 		return err
 	}
 	return d.waitReady(ctx)
@@ -134,12 +139,12 @@
 	}}
 }
 
-// startServers starts an agent and a stand-in for each backend server.
-func (d *Dev) startServers(ctx context.Context, controls string) error {
+// startServers starts an agent and a stand-in for each backend server; controlLink is the control replica's link address.
+func (d *Dev) startServers(ctx context.Context, controlLink string) error {
 	var agents, engines []runner
 	var servers []*standin.Server
 	add := func(options standin.Options, n int) error {
-		a, err := d.newAgent(options.Server, n, controls)
+		a, err := d.newAgent(options.Server, n, controlLink)
 		if err != nil {
 			return err
 		}
@@ -170,7 +175,7 @@
 	return d.waitForEngines(ctx, servers)
 }
 
-// waitForEngines waits until the stand-ins listen.
+// waitForEngines waits until the stand-ins listen and records their URLs and the names of the models and services.
 func (d *Dev) waitForEngines(ctx context.Context, servers []*standin.Server) error {
 	for _, s := range servers {
 		select {
@@ -189,13 +194,13 @@
 	return nil
 }
 
-func (d *Dev) newAgent(server string, n int, controls string) (*agent.Agent, error) {
+func (d *Dev) newAgent(server string, n int, controlLink string) (*agent.Agent, error) {
 	s := settings.DefaultAgent()
 	s.Instance = "agent-" + server
 	s.AvailabilityZone = zone(n)
 	s.Listen = settings.AgentListen{HTTP: loopback, Links: loopback}
 	s.Advertise = loopback
-	s.Controls = []string{controls}
+	s.Controls = []string{controlLink}
 	a, err := agent.New(s, agent.Options{Log: d.log})
 	if err != nil {
 		return nil, errors.Wrap(err, "agent")
@@ -203,7 +208,7 @@
 	return a, nil
 }
 
-func (d *Dev) startEntries(controls string) error {
+func (d *Dev) startEntries(controlLink string) error {
 	var runners []runner
 	for i := range d.options.Entries {
 		s := settings.DefaultEntry()
@@ -213,7 +218,7 @@
 		if i == 0 {
 			s.Listen.Callers = d.options.Entry
 		}
-		s.Controls = []string{controls}
+		s.Controls = []string{controlLink}
 		s.Organisations = d.organisations
 		s.Operators = d.operators()
 		e, err := entry.New(s, entry.Options{Log: d.log})
@@ -227,13 +232,14 @@
 	return nil
 }
 
-// zone spreads the sample instances over three availability zones.
+// zone returns the availability zone of the i-th instance; there are three.
 func zone(i int) string {
 	const zones = 3
 	return fmt.Sprintf("zone-%d", i%zones+1)
 }
 
-// waitReady polls the entries until each may receive work and has room at every backend server.
+// waitReady polls /readyz for up to readyTimeout, until every entry may receive requests and every agent's backend server
+// has announced itself.
 func (d *Dev) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -252,6 +258,7 @@
 	}
 }
 
+// checkReady returns the error of the first entry or agent that is not ready.
 func (d *Dev) checkReady(ctx context.Context) error {
 	for _, url := range append(d.info.Entries, d.info.Agents...) {
 		if err := d.probe(ctx, url+"/readyz"); err != nil {
--- a/dev/info.go
+++ b/dev/info.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Info tells how to reach what runs. Its JSON form is one line of `dev -json`.
+// Info holds the addresses and keys of a sample deployment. `dev -json` prints its JSON form on one line.
 type Info struct {
 	Entries       []string           `json:"entries"`  // URLs for callers
 	Controls      []string           `json:"controls"` // URLs for operators
@@ -17,13 +17,13 @@
 	Services      []string           `json:"services"`
 }
 
-// OrganisationInfo is a sample organisation with a key of its own.
+// OrganisationInfo is a sample organisation with its caller key.
 type OrganisationInfo struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
 }
 
-// Print writes the addresses, the keys and calls to try, for people.
+// Print writes the addresses, the keys and sample commands as text.
 func (i Info) Print(w io.Writer) error {
 	p := printer{w: w}
 	p.line("carawaypitch dev: ready")
@@ -63,7 +63,7 @@
 	return p.err
 }
 
-// printer keeps the first error of a series of lines.
+// printer writes lines until the first error, which it keeps.
 type printer struct {
 	w   io.Writer
 	err error
--- a/dev/options.go
+++ b/dev/options.go
@@ -1,6 +1,6 @@
-// Package dev runs everything in one process on loopback for a first try: one control replica, entry instances,
-// agents, stand-in model engines of two speeds and stand-in registry services. The daemons are the same library that
-// the separate processes use; only the settings come from here instead of files.
+// Package dev runs a sample deployment in one process on loopback: one control replica, entry instances, agents,
+// stand-in model engines of two speeds and stand-in registry services. It uses the same daemon packages as the separate
+// processes, with settings built in code instead of read from files.
 package dev
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// Options say what to start. Zero counts start none of the kind.
+// Options describe the deployment to start. A count of zero starts none of its kind.
 type Options struct {
 	// Entry and Control are the addresses of the first entry and of the control instance; port 0 takes a free one.
 	Entry   string
 	Control string
-	// DataDir is the control instance's data folder. It must exist.
+	// DataDir is the control instance's data directory. It must exist.
 	DataDir string
-	// Entries, Servers and Services are how many entries, model engines and registry services are started.
+	// Entries, Servers and Services are the numbers of entries, model engines and registry services. Entries must be at
+	// least 1.
 	Entries  int
 	Servers  int
 	Services int
-	// Log receives the daemons' events; nil drops them.
+	// Log receives the daemons' log entries; nil discards them.
 	Log log.Interface
 }
 
-// maxInstances bounds each count: dev is for one machine.
+// maxInstances bounds each count, since all instances run on one machine.
 const maxInstances = 200
 
-// Validate returns the first mistake.
+// Validate returns an error for the first count that is out of range.
 func (o Options) Validate() error {
 	counts := []struct {
 		name string
@@ -49,15 +50,16 @@
 
 // Names of the sample deployment.
 const (
-	// SampleModel is the model that every sample engine has ready.
+	// SampleModel is the model that every sample engine serves.
 	SampleModel = "sample"
 	// SampleService is the sample plain service.
 	SampleService = "registry"
 
+	// slowdownFactor is how many times slower the older engines prefill and decode.
 	slowdownFactor = 2.0
 )
 
-// sampleOrganisations are the members of the sample consortium with their default class.
+// sampleOrganisations returns the organisations of the sample deployment with their default class, without keys.
 func sampleOrganisations() []settings.Organisation {
 	names := []string{"zagreb", "split", "rijeka", "osijek", "zadar"}
 	organisations := make([]settings.Organisation, len(names))
@@ -67,7 +69,7 @@
 	return organisations
 }
 
-// SampleClasses are the classes of the sample deployment.
+// SampleClasses returns the classes of the sample deployment.
 func SampleClasses() []settings.Class {
 	return []settings.Class{
 		{Name: "gate-check", Tier: 1, DeadlineMS: 1000, LateMax: 0.005, LostMax: 0.005, Repeatable: true, Kind: settings.KindService},
@@ -77,7 +79,8 @@
 	}
 }
 
-// modelOptions are the settings of the i-th sample engine; every other one is of the older, slower generation.
+// modelOptions returns the options of the i-th sample engine. Engines with odd i simulate an older generation that is
+// slower and ignores the fence numbers of orders.
 func modelOptions(i int) standin.Options {
 	options := standin.ModelDefaults()
 	options.Models = []string{SampleModel}
@@ -92,6 +95,7 @@
 	return options
 }
 
+// serviceOptions returns the options of the i-th sample registry service.
 func serviceOptions(i int) standin.Options {
 	options := standin.ServiceDefaults()
 	options.Models = []string{SampleService}
@@ -100,5 +104,5 @@
 	return options
 }
 
-// leaveTimeout bounds the graceful leave of an engine when dev stops.
+// leaveTimeout bounds each wait of an engine's graceful leave when dev stops.
 const leaveTimeout = 5 * time.Second
--- a/dev/stage.go
+++ b/dev/stage.go
@@ -7,17 +7,17 @@
 	"github.com/oklog/run"
 )
 
-// runner runs one daemon until its context ends.
+// runner runs one daemon until ctx is cancelled or the daemon fails.
 type runner func(ctx context.Context) error
 
-// stage is a set of daemons that start and stop together. Stages stop in the reverse order of their start, each
-// waited for, so that an entry still has its agents, and an agent its control instance, while it drains.
+// stage is a set of daemons that start and stop together. Stages stop one after another in the reverse order of their
+// start, so that an entry can still reach its agents, and an agent its control instance, while it drains.
 type stage struct {
 	cancel context.CancelFunc
-	done   chan error
+	done   chan error // buffered; receives the result when all daemons have ended
 }
 
-// startStage runs the daemons; the first that ends stops the others of the stage.
+// startStage starts the daemons. The first one that ends stops the others of the stage.
 func startStage(runners []runner) *stage {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group run.Group
@@ -33,13 +33,13 @@
 	return s
 }
 
-// stop ends the stage and waits for all its daemons.
+// stop cancels the stage, waits for all its daemons and returns the first error.
 func (s *stage) stop() error {
 	s.cancel()
 	return <-s.done
 }
 
-// stopAll stops the stages in reverse order and returns the errors of all.
+// stopAll stops the stages in reverse order and returns their joined errors.
 func stopAll(stages []*stage) error {
 	var all []error
 	for i := len(stages) - 1; i >= 0; i-- {
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,8 +1,8 @@
-// Package operator is the client of the operators' HTTP interface, which any control instance serves. The command
-// line is built on it.
+// Package operator is a client of the operators' HTTP interface, which every control instance serves. The command line
+// is built on it.
 //
-// A change carries a change id, so a call whose answer was lost is sent again, also to another control instance,
-// and gets the first answer: it is never carried out twice.
+// A change carries a change id, which makes it idempotent: a call whose reply was lost may be resent, also to another
+// control instance, and returns the first reply without being executed again.
 package operator
 
 import (
@@ -24,25 +24,25 @@
 
 // Bounds of one call.
 const (
-	// AttemptTimeout bounds one try at one control instance.
+	// AttemptTimeout bounds one attempt at one control instance.
 	AttemptTimeout = 5 * time.Second
-	// MaxRounds is how often all control instances are tried before a call fails.
+	// MaxRounds is how many times all control instances are tried before a call fails.
 	MaxRounds = 3
-	// RoundDelay is waited between two rounds.
+	// RoundDelay is the delay between two rounds.
 	RoundDelay = 500 * time.Millisecond
-	// maxReplyBytes bounds a reply's size in bytes.
+	// maxReplyBytes bounds the size of a reply; the rest of a longer one is not read.
 	maxReplyBytes = 64 << 20
 )
 
-// Client calls the control instances in turn until one answers.
+// Client calls the control instances in turn until one gives a final reply.
 type Client struct {
 	controls []string
 	key      string
 	http     *http.Client
 }
 
-// New gives a client for the control instances at the given base URLs, with an operator key. Without a transport it
-// uses one of its own that takes no proxy from the environment.
+// New returns a client for the control instances at the given base URLs, with an operator key. If transport is nil, the
+// client uses a transport of its own that ignores proxy settings in the environment.
 func New(controls []string, key string, transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = &http.Transport{}
@@ -54,7 +54,7 @@
 	}
 }
 
-// Class is a class of work with its target, as operators see it.
+// Class is a class of work with its target.
 type Class struct {
 	Name       string  `json:"name"`
 	Tier       uint32  `json:"tier"`        // 1 is the highest
@@ -64,10 +64,10 @@
 	Repeatable bool    `json:"repeatable"`
 	Kind       string  `json:"kind"`              // "model" or "service"
 	Preempt    string  `json:"preempt,omitempty"` // "allowed" or "never"
-	Version    uint64  `json:"version,omitempty"` // configuration version that set it
+	Version    uint64  `json:"version,omitempty"` // configuration version that last changed it
 }
 
-// Classes is the list of classes and the configuration version it is of.
+// Classes is the list of classes at a configuration version.
 type Classes struct {
 	Version uint64  `json:"version"`
 	Classes []Class `json:"classes"`
@@ -78,26 +78,26 @@
 	Version uint64 `json:"version"`
 }
 
-// NewChangeID gives an id for one change; a resend of the change uses the same one.
+// NewChangeID returns a new id for one change. Every resend of the change must use the same id.
 func NewChangeID() string {
 	return uuid.NewString()
 }
 
-// Classes lists the classes.
+// Classes returns all classes and the configuration version in force.
 func (c *Client) Classes(ctx context.Context) (Classes, error) {
 	var out Classes
 	err := c.Get(ctx, "/v1/classes", &out)
 	return out, err
 }
 
-// Class gets one class.
+// Class returns one class. If it does not exist, the error is a *result.Error.
 func (c *Client) Class(ctx context.Context, name string) (Class, error) {
 	var out Class
 	err := c.Get(ctx, classPath(name), &out)
 	return out, err
 }
 
-// PutClass creates or changes a class if the version in force is still ifMatch.
+// PutClass creates or changes a class if the version in force is still ifMatch. It ignores class.Version.
 func (c *Client) PutClass(ctx context.Context, class Class, ifMatch uint64, changeID string) (Change, error) {
 	class.Version = 0
 	body, err := json.Marshal(class)
@@ -107,7 +107,8 @@
 	return c.PutClassJSON(ctx, class.Name, body, ifMatch, changeID)
 }
 
-// PutClassJSON puts a class from its JSON as written, so that a field which the interface refuses is refused by name.
+// PutClassJSON creates or changes a class from its JSON form, like PutClass. The body is sent unchanged, so that the
+// interface can name a field that it rejects.
 func (c *Client) PutClassJSON(ctx context.Context, name string, body []byte, ifMatch uint64, changeID string) (Change, error) {
 	return c.change(ctx, http.MethodPut, classPath(name), body, ifMatch, changeID)
 }
@@ -117,13 +118,13 @@
 	return c.change(ctx, http.MethodDelete, classPath(name), nil, ifMatch, changeID)
 }
 
-// Drain starts the graceful leave of a backend server.
+// Drain starts the drain of a backend server: it gets no new work and finishes what is in flight.
 func (c *Client) Drain(ctx context.Context, server, changeID string) (Change, error) {
 	path := "/v1/servers/" + url.PathEscape(server) + "/drain"
 	return c.change(ctx, http.MethodPost, path, nil, 0, changeID)
 }
 
-// Get reads a path into out.
+// Get requests a path and decodes the JSON reply into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	return c.call(ctx, apiCall{method: http.MethodGet, path: path}, out)
 }
@@ -144,7 +145,7 @@
 	return out, err
 }
 
-// apiCall is one apiCall, the same at every try.
+// apiCall is a call of the interface; every attempt sends the same one.
 type apiCall struct {
 	method   string
 	path     string
@@ -153,8 +154,9 @@
 	changeID string
 }
 
-// call tries every control instance, a few rounds long. A reply that another instance could better is not final:
-// the instance may be starting, cut off, or without a leader just now.
+// call tries all control instances in order, up to MaxRounds times, until one gives a final reply, and decodes it into
+// out. Otherwise it returns the last error. Other errors are retried because the instance may be starting, partitioned or
+// without a leader.
 func (c *Client) call(ctx context.Context, request apiCall, out any) error {
 	var lastErr error
 	for round := range MaxRounds {
@@ -176,7 +178,8 @@
 	return lastErr
 }
 
-// isFinal tells whether another control instance would say the same.
+// isFinal reports whether an error is a result code below HTTP status 500, which another control instance would return
+// too.
 func isFinal(err error) bool {
 	var coded *result.Error
 	if !errors.As(err, &coded) {
@@ -185,6 +188,7 @@
 	return coded.Code.Info().Status < http.StatusInternalServerError
 }
 
+// attempt sends the call to one control instance and decodes its reply into out.
 func (c *Client) attempt(ctx context.Context, baseURL string, call apiCall, out any) error {
 	request, err := http.NewRequestWithContext(ctx, call.method, baseURL+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -210,7 +214,7 @@
 	return decode(reply.StatusCode, body, out)
 }
 
-// decode reads a reply: the result asked for, or the numbered error.
+// decode decodes a reply with an HTTP status below 300 into out, and returns any other one as a *result.Error.
 func decode(status int, body []byte, out any) error {
 	if status < http.StatusMultipleChoices {
 		if err := json.Unmarshal(body, out); err != nil {
--- a/operator/requests.go
+++ b/operator/requests.go
@@ -12,7 +12,8 @@
 	Requests []Request `json:"requests"`
 }
 
-// Request explains one request: where it waits, which servers were passed over and why, its attempts and proofs.
+// Request describes one request: where it is queued, which servers were rejected for it and why, and its attempts with
+// the evidence of their outcomes.
 type Request struct {
 	Request      string       `json:"request"`
 	Organisation string       `json:"organisation"`
@@ -30,20 +31,20 @@
 	PassedOver   []PassedOver `json:"passed_over"`
 	Attempts     []Attempt    `json:"attempts"`
 	Candidates   []string     `json:"candidates"`
-	Delivered    uint64       `json:"delivered"` // events
+	Delivered    uint64       `json:"delivered"` // number of events sent to the caller
 	Code         uint16       `json:"code"`
-	Reason       string       `json:"reason"` // with Code
+	Reason       string       `json:"reason"` // explains Code
 	Ran          string       `json:"ran"`
 	Ended        time.Time    `json:"ended,omitzero"`
 }
 
-// PassedOver is a backend server that a request didn't go to.
+// PassedOver is a backend server that was not chosen for a request.
 type PassedOver struct {
 	Server string `json:"server"`
 	Reason string `json:"reason"`
 }
 
-// Attempt is one attempt of a request and how it is known to have ended.
+// Attempt is one attempt of a request with its outcome and the evidence of it.
 type Attempt struct {
 	Number  uint64    `json:"number"`
 	Server  string    `json:"server"`
@@ -57,14 +58,15 @@
 	Outcome string    `json:"outcome"`
 }
 
-// Requests lists the requests in progress at the entry that the client was made for.
+// Requests returns the requests in progress at an entry. The client must have been created with that entry's URL.
 func (c *Client) Requests(ctx context.Context) (Requests, error) {
 	var out Requests
 	err := c.Get(ctx, "/v1/requests", &out)
 	return out, err
 }
 
-// Request explains one request of that entry, also for a while after its end.
+// Request returns one request of an entry. Ended requests stay available for a limited time. The client must have been
+// created with that entry's URL.
 func (c *Client) Request(ctx context.Context, id string) (Request, error) {
 	var out Request
 	err := c.Get(ctx, "/v1/requests/"+url.PathEscape(id), &out)
--- a/operator/status.go
+++ b/operator/status.go
@@ -7,7 +7,7 @@
 	"github.com/carawaypitch/carawaypitch/pause"
 )
 
-// Status is what a control instance knows of the deployment.
+// Status is the state of the deployment as seen by one control instance.
 type Status struct {
 	Instance         string     `json:"instance"`
 	AvailabilityZone string     `json:"availability_zone"`
@@ -25,36 +25,36 @@
 	Agents           []Instance `json:"agents"`
 	Operations       Operations `json:"operations"`
 	Orders           int        `json:"orders"`
-	// WindowMS is how far back the counts of the classes reach, and EntriesHeard how many entries they cover: those
-	// that this control instance has heard itself.
+	// WindowMS is the length in milliseconds of the window that the counts of the classes cover. EntriesHeard is the
+	// number of entries included in them: those that reported to this control instance.
 	WindowMS     int64         `json:"window_ms"`
 	EntriesHeard int           `json:"entries_heard"`
 	Classes      []ClassStatus `json:"classes"`
 	Targets      []Target      `json:"targets"`
-	// Poison are the requests under which backend servers crashed twice or more.
+	// Poison lists the requests during which backend servers crashed at least twice.
 	Poison []Poison `json:"poison"`
-	// Advice is what backend servers ask of their senders.
+	// Advice lists the rate limits and drain announcements of backend servers.
 	Advice []Advice `json:"advice"`
 }
 
-// Advice is what a backend server names in its answers.
+// Advice is the rate limit and the drain announcement that a backend server sends with its answers.
 type Advice struct {
 	Server      string  `json:"server"`
 	RateLimited bool    `json:"rate_limited"`
-	RatePerS    float64 `json:"rate_per_s"` // requests a second from all senders together
-	Draining    bool    `json:"draining"`   // it leaves, and gets nothing new
+	RatePerS    float64 `json:"rate_per_s"` // requests a second from all senders together, if RateLimited
+	Draining    bool    `json:"draining"`   // gets no new requests
 }
 
-// Poison is a request under which backend servers crashed. With three of them it is refused.
+// Poison is a request during which backend servers crashed. After crashes of three servers it is refused.
 type Poison struct {
 	Organisation string   `json:"organisation"`
-	Fingerprint  string   `json:"fingerprint"` // as in the lines of its runs
+	Fingerprint  string   `json:"fingerprint"` // as logged with its attempts
 	Standing     string   `json:"standing"`    // "watched" or "quarantined"
 	Servers      []string `json:"servers"`     // that crashed
-	LeftMS       int64    `json:"left_ms"`     // until it steps down
+	LeftMS       int64    `json:"left_ms"`     // until Standing is lowered by one level
 }
 
-// ClassStatus is how a class stands against its targets, over the window.
+// ClassStatus compares a class with its targets over the window of the Status.
 type ClassStatus struct {
 	Name      string  `json:"name"`
 	Tier      uint32  `json:"tier"`
@@ -71,14 +71,14 @@
 	Total          ClassTotal        `json:"total"`
 }
 
-// ClassTotal counts since the entries started.
+// ClassTotal counts the requests of a class since the entries started.
 type ClassTotal struct {
 	Good uint64 `json:"good"`
 	Late uint64 `json:"late"`
 	Lost uint64 `json:"lost"`
 }
 
-// Target is a model or service, its backend servers and what waits for it.
+// Target is a model or service with its backend servers and its queue.
 type Target struct {
 	Name               string         `json:"name"`
 	Kind               string         `json:"kind"`
@@ -86,10 +86,10 @@
 	ServersByCondition map[string]int `json:"servers_by_condition"`
 	QueuedByTier       []uint32       `json:"queued_by_tier"` // tier 1 first
 	OldestWaitMS       uint64         `json:"oldest_wait_ms"`
-	ShortBecause       string         `json:"short_because"` // empty when it isn't short of room
+	ShortBecause       string         `json:"short_because"` // empty if it has enough capacity
 }
 
-// Replica is a member of the quorum.
+// Replica is a replica of the control state; only voters count towards a quorum.
 type Replica struct {
 	ID       string `json:"id"`
 	Instance string `json:"instance"`
@@ -97,14 +97,14 @@
 	Voter    bool   `json:"voter"`
 }
 
-// Instance is a process and what it last said.
+// Instance is a process and its last reported state.
 type Instance struct {
 	Instance         string `json:"instance"`
 	AvailabilityZone string `json:"availability_zone"`
 	Registered       bool   `json:"registered"`
 	Connected        bool   `json:"connected"`
 	ConfigVersion    uint64 `json:"config_version"`
-	SilentMS         int64  `json:"silent_ms"` // -1: never heard
+	SilentMS         int64  `json:"silent_ms"` // time since its last message; -1: none received
 }
 
 // Operations counts the operation records.
@@ -120,7 +120,7 @@
 	Servers []Server `json:"servers"`
 }
 
-// Server is a backend server as its agent committed it.
+// Server is a backend server as registered by its agent.
 type Server struct {
 	Server           string       `json:"server"`
 	Kind             string       `json:"kind"`
@@ -134,7 +134,7 @@
 	Order            *Order       `json:"order,omitempty"`
 }
 
-// Capabilities are what a backend server said it can do.
+// Capabilities are the capabilities that a backend server announced.
 type Capabilities struct {
 	Fencing      string `json:"fencing"`
 	KV           bool   `json:"kv"`
@@ -142,7 +142,7 @@
 	OnDisconnect string `json:"on_disconnect"`
 }
 
-// Order is an order under way at a backend server.
+// Order is a control order in progress at a backend server, such as loading a model.
 type Order struct {
 	ID    uint64 `json:"id"`
 	Kind  string `json:"order"`
@@ -150,25 +150,26 @@
 	Role  string `json:"role,omitempty"`
 }
 
-// Status reads the status from the first control instance that answers.
+// Status returns the status from the first control instance that answers.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	err := c.Get(ctx, "/v1/status", &out)
 	return out, err
 }
 
-// Servers reads the directory.
+// Servers returns the directory of backend servers.
 func (c *Client) Servers(ctx context.Context) (Servers, error) {
 	var out Servers
 	err := c.Get(ctx, "/v1/servers", &out)
 	return out, err
 }
 
-// inForcePollInterval is the pause between two looks of WaitInForce.
+// inForcePollInterval is the interval at which WaitInForce polls the status.
 const inForcePollInterval = 100 * time.Millisecond
 
-// WaitInForce returns once every connected instance has applied the configuration version or a later one. An
-// instance that isn't connected admits nothing before it has fetched the version in force.
+// WaitInForce polls until a quorum confirms the status and every connected instance has applied the configuration
+// version or a later one. It ignores disconnected instances, since they admit nothing before they have fetched the
+// version in force. It returns an error if a poll fails or ctx ends.
 func (c *Client) WaitInForce(ctx context.Context, version uint64) error {
 	for {
 		status, err := c.Status(ctx)
@@ -184,6 +185,7 @@
 	}
 }
 
+// inForce reports whether the status is confirmed and no connected instance is below the version.
 func inForce(status Status, version uint64) bool {
 	if !status.Confirmed {
 		return false
