--- a/cmd/carawaypitch/bench.go
+++ b/cmd/carawaypitch/bench.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return exit(err)
 	}
-	c.shorten(p)
+	c.overrideTimes(p)
 	r, err := c.run(ctx, p)
 	if r != nil {
 		err = errors.Join(err, c.write(r))
@@ -88,8 +88,8 @@
 	return exit(err)
 }
 
-// shorten takes the times of the command line for those of the file.
-func (c *benchCommand) shorten(p *plan.Plan) {
+// overrideTimes replaces the durations of the plan by those given on the command line; 0 keeps the plan's.
+func (c *benchCommand) overrideTimes(p *plan.Plan) {
 	if c.warmUp > 0 {
 		p.WarmUp = plan.Duration(c.warmUp)
 	}
@@ -98,8 +98,9 @@
 	}
 }
 
+// run executes the plan in the mode that the flags select. The report may be non-nil beside an error.
 func (c *benchCommand) run(ctx context.Context, p *plan.Plan) (*report.Report, error) {
-	options := experiment.Options{Scenarios: list(c.scenarios), Policies: list(c.policies)}
+	options := experiment.Options{Scenarios: splitList(c.scenarios), Policies: splitList(c.policies)}
 	if !c.quiet {
 		options.Progress = os.Stderr
 	}
@@ -109,7 +110,7 @@
 	switch {
 	case c.caller != "":
 		return experiment.Drive(ctx, p, options, experiment.Target{
-			Caller: c.caller, Key: c.key, Metrics: list(c.metrics), Rate: c.rate,
+			Caller: c.caller, Key: c.key, Metrics: splitList(c.metrics), Rate: c.rate,
 		})
 	case c.saturate:
 		return experiment.Saturate(ctx, p, options)
@@ -120,13 +121,15 @@
 	}
 }
 
-func list(text string) []string {
+// splitList splits text at its commas; empty text gives nil.
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.Split(text, ",")
 }
 
+// write saves the report as a page if -page is given, and prints it to standard output.
 func (c *benchCommand) write(r *report.Report) error {
 	if c.page != "" {
 		if err := writeFile(c.page, r.WritePage); err != nil {
@@ -142,7 +145,7 @@
 func writeFile(name string, write func(io.Writer) error) error {
 	file, err := os.Create(name)
 	if err != nil {
-		return errors.Wrap(err, "page")
+		return errors.Wrap(err, "create report page")
 	}
 	return errors.Join(write(file), file.Close())
 }
--- a/cmd/carawaypitch/binary_test.go
+++ b/cmd/carawaypitch/binary_test.go
@@ -12,13 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// binary is the program under test, built once.
-var binary string
+// binaryPath is the path of the program under test, which TestMain builds.
+var binaryPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
+// buildAndRun builds the program in a temporary folder, runs the tests and returns their exit code.
 func buildAndRun(m *testing.M) int {
 	folder, err := os.MkdirTemp("", "carawaypitch-test-")
 	if err != nil {
@@ -26,8 +27,8 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	binary = filepath.Join(folder, "carawaypitch")
-	build := exec.Command("go", "build", "-o", binary, ".")
+	binaryPath = filepath.Join(folder, "carawaypitch")
+	build := exec.Command("go", "build", "-o", binaryPath, ".")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
@@ -36,10 +37,10 @@
 	return m.Run()
 }
 
-// Symptom: on the users' machines the binary resolves nothing, or doesn't start. Sequence: it was built without cgo.
-// Cause: such a binary is static, while their programs are linked to the C library as usual.
+// A binary built without cgo is static. On the users' machines, whose programs are linked dynamically to the C library,
+// it resolves no names or does not start.
 func TestBinaryIsLinkedToLibc(t *testing.T) {
-	file, err := elf.Open(binary)
+	file, err := elf.Open(binaryPath)
 	require.NoError(t, err)
 	defer func() { _ = file.Close() }()
 	libraries, err := file.ImportedLibraries()
@@ -52,9 +53,8 @@
 	require.True(t, interpreter, "no dynamic linker in the ELF header")
 }
 
-// Symptom: CI and a person run different tests. Sequence: one of the two commands was changed. Cause: the README's
-// test command stands in both.
-func TestCIRunsTheCommandOfTheReadme(t *testing.T) {
+// CI and a developer run different tests if the test command is changed only in the README or only in the CI script.
+func TestCIRunsReadmeTestCommand(t *testing.T) {
 	const command = "go test ./..."
 	readme, err := os.ReadFile("../../README.md")
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	require.Contains(t, string(ci), "\n"+command)
 }
 
-// Symptom: a first start from the samples fails. Sequence: a settings type changed. Cause: the samples weren't.
+// Starting the sample deployments fails if a settings type changes and the sample files do not.
 func TestExamplesAreValid(t *testing.T) {
 	for _, deployment := range []string{"compost", "festival"} {
 		files, err := filepath.Glob("../../examples/" + deployment + "/*.jsonc")
@@ -76,7 +76,7 @@
 				withRole = append(withRole, file)
 			}
 		}
-		out, err := exec.Command(binary, append([]string{"check"}, withRole...)...).CombinedOutput()
+		out, err := exec.Command(binaryPath, append([]string{"check"}, withRole...)...).CombinedOutput()
 		require.NoError(t, err, "%s", out)
 	}
 }
--- a/cmd/carawaypitch/class.go
+++ b/cmd/carawaypitch/class.go
@@ -20,9 +20,9 @@
 // classCommand lists, shows, changes and removes classes of work.
 type classCommand struct {
 	operatorFlags
-	ifMatch  string
-	changeID string
-	wait     bool
+	ifMatch  string // version that a change is based on; empty: the one in force
+	changeID string // idempotency key of a change; empty: a new one
+	wait     bool   // return only once the change is in force on every instance
 }
 
 func (*classCommand) Name() string     { return "class" }
@@ -48,7 +48,7 @@
 }
 
 func (c *classCommand) SetFlags(flags *flag.FlagSet) {
-	c.set(flags)
+	c.register(flags)
 	flags.StringVar(&c.ifMatch, "if-match", "", "version that the change is based on (default: the one in force)")
 	flags.StringVar(&c.changeID, "change-id", "", "id of the change; give it again to resend one whose answer was lost")
 	flags.BoolVar(&c.wait, "wait", false, "return when the change is in force everywhere")
@@ -56,11 +56,11 @@
 
 func (c *classCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	verb, name := flags.Arg(0), flags.Arg(1)
-	wanted := 2
+	wantArgs := 2
 	if verb == "list" {
-		wanted = 1
+		wantArgs = 1
 	}
-	if flags.NArg() != wanted {
+	if flags.NArg() != wantArgs {
 		return usage("class: list, get NAME, put FILE or delete NAME; flags come first")
 	}
 	client, err := c.client()
@@ -125,23 +125,24 @@
 		return errors.Wrapf(err, "%s", file)
 	}
 	return c.change(ctx, client, func(ifMatch uint64, changeID string) (operator.Change, error) {
-		return client.PutRaw(ctx, named.Name, body, ifMatch, changeID)
+		return client.PutClassJSON(ctx, named.Name, body, ifMatch, changeID)
 	})
 }
 
-// readClass reads a class as written, so that the interface can name a field that it refuses.
+// readClass reads a class from a file, or from standard input for "-", and returns it as standard JSON without comments.
+// It keeps unknown fields, so that the operators' interface can name a field that it rejects.
 func readClass(file string) ([]byte, error) {
-	var written []byte
+	var source []byte
 	var err error
 	if file == "-" {
-		written, err = io.ReadAll(os.Stdin)
+		source, err = io.ReadAll(os.Stdin)
 	} else {
-		written, err = os.ReadFile(file)
+		source, err = os.ReadFile(file)
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "read class")
 	}
-	body, err := hujson.Standardize(written)
+	body, err := hujson.Standardize(source)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s", file)
 	}
@@ -154,9 +155,10 @@
 	})
 }
 
-// change makes a change at the version asked for or in force, and waits for it to be in force everywhere if told to.
+// change calls do with the base version and the change id, prints the accepted version and, with -wait, returns only
+// once that version is in force on every instance. An error of do names both values, so that the change can be resent.
 func (c *classCommand) change(ctx context.Context, client *operator.Client, do func(uint64, string) (operator.Change, error)) error {
-	ifMatch, err := c.version(ctx, client)
+	ifMatch, err := c.baseVersion(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -177,7 +179,8 @@
 	})
 }
 
-func (c *classCommand) version(ctx context.Context, client *operator.Client) (uint64, error) {
+// baseVersion returns the version given by -if-match, or the configuration version in force without that flag.
+func (c *classCommand) baseVersion(ctx context.Context, client *operator.Client) (uint64, error) {
 	if c.ifMatch != "" {
 		version, err := strconv.ParseUint(c.ifMatch, 10, 64)
 		if err != nil {
--- a/cmd/carawaypitch/cluster_request_test.go
+++ b/cmd/carawaypitch/cluster_request_test.go
@@ -16,10 +16,11 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// registries are the engines of the cluster that are registry services.
+// registries are the indices of the registry services among the engines of the cluster.
 var registries = []int{1, 2}
 
-func (c *cluster) runs(key string) int {
+// passRuns returns how many times the registries ran the issuance of a pass.
+func (c *cluster) passRuns(key string) int {
 	c.t.Helper()
 	total := 0
 	for _, i := range registries {
@@ -28,74 +29,76 @@
 	return total
 }
 
-func (c *cluster) registryFaults(faults any) {
+// setRegistryFaults sets the simulated faults of all registries.
+func (c *cluster) setRegistryFaults(faults any) {
 	for _, i := range registries {
-		c.faults(i, faults)
+		c.setFaults(i, faults)
 	}
 }
 
-// requireTruth checks what a caller heard of a pass issuance against how often it ran.
-func requireTruth(t testing.TB, got reply, runs int) {
+// requireConsistentReply checks the reply to a pass issuance against the number of runs: at most one, exactly one for a
+// success, and none if the reply says that it did not run.
+func requireConsistentReply(t testing.TB, got reply, runs int) {
 	t.Helper()
 	require.LessOrEqual(t, runs, 1, "a pass was issued %d times", runs)
 	if got.Status == http.StatusOK {
-		require.Equal(t, 1, runs, "an answer without a run")
+		require.Equal(t, 1, runs, "success reported, but the pass was not issued")
 		return
 	}
-	coded := got.coded(t)
+	coded := got.resultError(t)
 	if coded.Ran == result.RanNo {
-		require.Zero(t, runs, "told that it did not run: %s", got.Body)
+		require.Zero(t, runs, "reported as not run, but the pass was issued: %s", got.Body)
 	}
 }
 
-// Symptom: a pass is issued twice. Sequence: the entry is killed while the call runs at the registry; the caller sends
-// it again, with the same key, at the other entry. Cause: what the first entry had dispatched was known to it alone.
+// The entry is killed while its call runs at the registry, and the caller retries with the same key at the other entry.
+// If only the first entry knew that it had dispatched the call, the pass would be issued twice.
 func TestEntryKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
-	lost := make(chan error, 1)
+	c.setRegistryFaults(map[string]any{"slow": 300}) // about 1.5 s a call
+	callErr := make(chan error, 1)
 	go func() {
-		_, err := c.caller(0).issue("pass-1")
-		lost <- err
+		_, err := c.caller(0).issuePass("pass-1")
+		callErr <- err
 	}()
-	c.eventually(func() bool { return c.runs("pass-1") == 1 }, "the call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-1") == 1 }, "the call does not reach a registry")
 	c.entries[0].kill()
-	require.Error(t, <-lost)
-	got, err := c.caller(1).issue("pass-1")
+	require.Error(t, <-callErr)
+	got, err := c.caller(1).issuePass("pass-1")
 	require.NoError(t, err)
-	requireTruth(t, got, c.runs("pass-1"))
-	require.Equal(t, 1, c.runs("pass-1"))
+	requireConsistentReply(t, got, c.passRuns("pass-1"))
+	require.Equal(t, 1, c.passRuns("pass-1"))
 }
 
-// Symptom: a pass is issued twice, or its caller hears that it was not. Sequence: the registry runs the call and loses
-// the answer; the caller sends it again at both entries. Cause: a lost answer was taken for a call that never ran.
-func TestRegistryLosesTheAnswer(t *testing.T) {
+// The registry runs the call and loses the answer, and the caller retries at both entries. If a lost answer counted as a
+// call that did not run, the pass would be issued twice or reported as not issued.
+func TestLostRegistryAnswerIsUnknown(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"lose_answer": 1.0})
-	first, err := c.caller(0).issue("pass-2")
+	c.setRegistryFaults(map[string]any{"lose_answer": 1.0})
+	first, err := c.caller(0).issuePass("pass-2")
 	require.NoError(t, err)
-	require.Equal(t, result.RanUnknown, first.coded(t).Ran, "%s", first.Body)
-	c.registryFaults(map[string]any{})
+	require.Equal(t, result.RanUnknown, first.resultError(t).Ran, "%s", first.Body)
+	c.setRegistryFaults(map[string]any{})
 	for entry := range c.entries {
-		again, err := c.caller(entry).issue("pass-2")
+		again, err := c.caller(entry).issuePass("pass-2")
 		require.NoError(t, err)
-		require.Equal(t, result.RanUnknown, again.coded(t).Ran, "%s", again.Body)
+		require.Equal(t, result.RanUnknown, again.resultError(t).Ran, "%s", again.Body)
 	}
-	require.Equal(t, 1, c.runs("pass-2"))
+	require.Equal(t, 1, c.passRuns("pass-2"))
 }
 
-// Symptom: a caller waits for ever, or is told a lie. Sequence: the agent of each registry is killed while calls run
-// there, and restarts. Cause: the loss of an agent was taken for the end of its attempts.
+// The agent of each registry is killed while calls run there, and restarts. If the loss of an agent counted as the end of
+// its attempts, a caller would get no reply or a false one.
 func TestAgentKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 200}) // about 1 s a call
+	c.setRegistryFaults(map[string]any{"slow": 200}) // about 1 s a call
 	const calls = 4
 	keys := []string{"pass-a", "pass-b", "pass-c", "pass-d"}
 	replies := make([]reply, calls)
 	var wait sync.WaitGroup
 	for i := range calls {
 		wait.Go(func() {
-			got, err := c.caller(i % 2).issue(keys[i])
+			got, err := c.caller(i % 2).issuePass(keys[i])
 			if err == nil {
 				replies[i] = got
 			}
@@ -104,7 +107,7 @@
 	c.eventually(func() bool {
 		total := 0
 		for _, key := range keys {
-			total += c.runs(key)
+			total += c.passRuns(key)
 		}
 		return total > 0
 	}, "no call reaches a registry")
@@ -115,16 +118,16 @@
 	wait.Wait()
 	for i, got := range replies {
 		require.NotZero(t, got.Status, "no reply for %s", keys[i])
-		requireTruth(t, got, c.runs(keys[i]))
+		requireConsistentReply(t, got, c.passRuns(keys[i]))
 	}
 }
 
-// Symptom: a token is missing from an answer, or a part of it comes twice. Sequence: an engine dies in the middle of
-// streams and whole answers; they go on at another engine. Cause: the other engine was told to go on after as many
-// tokens as events had been delivered, but a chat's first event has none. Found by the checks of bench.
-func TestAnswersGoOnAtAnotherEngine(t *testing.T) {
+// An engine crashes during streamed and unstreamed completions, which resume on another engine. The resume position must
+// count tokens and not delivered events, since the first event of a chat has no token; otherwise a token is missing from
+// the answer or a part of it is repeated.
+func TestGenerationResumesOnAnotherEngine(t *testing.T) {
 	c := startCluster(t, "model-2")
-	c.faults(0, map[string]any{"die_after_tokens": 5, "down_ms": 500})
+	c.setFaults(0, map[string]any{"die_after_tokens": 5, "down_ms": 500})
 	const calls, tokens = 6, 40
 	body := func(i int) string {
 		return fmt.Sprintf(`{"model": "sample", "stream": %t, "max_tokens": %d, "messages": [{"role": "user", "content": "Question %d."}]}`,
@@ -134,7 +137,7 @@
 	var wait sync.WaitGroup
 	for i := range calls {
 		wait.Go(func() {
-			got, err := c.caller(i%2).try("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body(i))
+			got, err := c.caller(i%2).post("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body(i))
 			if err == nil {
 				replies[i] = got
 			}
@@ -145,12 +148,12 @@
 		require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 		want, err := standin.CompletionText([]byte(body(i)), "sample", tokens)
 		require.NoError(t, err)
-		require.Equal(t, want, textOf(t, got), "call %d", i)
+		require.Equal(t, want, completionText(t, got), "call %d", i)
 	}
 }
 
-// textOf puts together the text of a completion, streamed or whole.
-func textOf(t testing.TB, got reply) string {
+// completionText returns the text of a completion, streamed or not.
+func completionText(t testing.TB, got reply) string {
 	t.Helper()
 	var text strings.Builder
 	for line := range strings.Lines(string(got.Body)) {
@@ -172,31 +175,31 @@
 	return text.String()
 }
 
-// Symptom: a stream stops in the middle when its backend server leaves. Sequence: the server gets SIGTERM while it
-// streams a long answer. Cause: the leave did not wait for what was in flight.
-func TestGracefulLeaveCutsNoStream(t *testing.T) {
+// A backend server gets SIGTERM while it streams a long answer. If its graceful leave does not wait for the requests in
+// flight, the stream is truncated.
+func TestServerShutdownFinishesStreams(t *testing.T) {
 	c := startCluster(t)
 	body := `{"model": "sample", "stream": true, "max_tokens": 150, "messages": [{"role": "user", "content": "Long."}]}`
 	done := make(chan reply, 1)
 	go func() {
-		got, err := c.caller(0).try("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body)
+		got, err := c.caller(0).post("/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, body)
 		if err != nil {
 			got.Body = append(got.Body, err.Error()...)
 		}
 		done <- got
 	}()
-	c.eventually(func() bool { return c.streams(0) > 0 }, "the stream doesn't start")
+	c.eventually(func() bool { return c.runningStreams(0) > 0 }, "the stream does not start")
 	c.engines[0].stop()
 	got := <-done
 	require.Equal(t, http.StatusOK, got.Status)
-	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "cut: %s", tail(string(got.Body)))
-	after := c.caller(0).call(t, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, `{`+prompt+`}`)
+	require.True(t, strings.HasSuffix(strings.TrimSpace(string(got.Body)), "data: [DONE]"), "stream truncated: %s", tail(string(got.Body)))
+	after := c.caller(0).mustPost(t, "/v1/chat/completions", map[string]string{"Carawaypitch-Class": "summary"}, `{`+prompt+`}`)
 	require.NotEqual(t, http.StatusOK, after.Status)
-	require.Equal(t, result.RanNo, after.coded(t).Ran)
+	require.Equal(t, result.RanNo, after.resultError(t).Ran)
 }
 
-// streams counts what runs at a stand-in.
-func (c *cluster) streams(engine int) int {
+// runningStreams returns the number of streams in progress at a stand-in.
+func (c *cluster) runningStreams(engine int) int {
 	var list struct {
 		Streams []struct{} `json:"streams"`
 	}
@@ -204,23 +207,23 @@
 	return len(list.Streams)
 }
 
-// Symptom: an entry that came back after a long cut looks ready, and every request at it is refused. Sequence: it freezes
-// until control ends its incarnation, then thaws. Cause: it registered the ended incarnation again, which agents refuse
-// for good. Found by the specification (docs/SPEC.md, ended_stays_ended).
-func TestEntryComesBackAfterItsEnd(t *testing.T) {
+// An entry freezes until control ends its incarnation, and then resumes. If it registered the ended incarnation again,
+// which agents reject permanently, it would look ready while every request at it is refused. The specification calls the
+// rule ended_stays_ended.
+func TestEntryServesAfterIncarnationEnded(t *testing.T) {
 	c := startCluster(t)
 	c.entries[0].signal(syscall.SIGSTOP)
-	c.eventually(func() bool { return !c.isRegistered("entry-1") }, "the silent entry stays in the directory")
+	c.eventually(func() bool { return !c.isRegistered("entry-1") }, "the frozen entry stays in the directory")
 	c.entries[0].signal(syscall.SIGCONT)
 	c.eventually(func() bool {
-		got, err := c.caller(0).check()
+		got, err := c.caller(0).gateCheck()
 		return err == nil && got.Status == http.StatusOK
-	}, "the entry doesn't serve again")
+	}, "the resumed entry does not serve")
 }
 
-// isRegistered tells whether an entry is in the directory.
+// isRegistered reports whether an entry is in the directory.
 func (c *cluster) isRegistered(entry string) bool {
-	status, err := c.operatorOf().Status(c.t.Context())
+	status, err := c.operatorClient().Status(c.t.Context())
 	require.NoError(c.t, err)
 	for _, e := range status.Entries {
 		if e.Instance == entry {
@@ -230,38 +233,38 @@
 	return false
 }
 
-// Symptom: an entry that is cut off goes on by an old configuration without an end. Sequence: all control instances
-// freeze, which is silence and not a refusal. Cause: silence was taken for "nothing has changed".
+// All control instances freeze, so that the entry gets no messages but no refused connections either. If it took that for
+// an unchanged configuration, it would admit requests under an outdated one indefinitely.
 func TestEntryCutOffStopsAdmitting(t *testing.T) {
 	c := startCluster(t)
 	for _, p := range c.controls {
 		p.signal(syscall.SIGSTOP)
 	}
-	c.eventually(func() bool { return !answers(c.entryURLs[0] + "/readyz") }, "the entry stays ready")
-	got, err := c.caller(0).check()
+	c.eventually(func() bool { return !returnsOK(c.entryURLs[0] + "/readyz") }, "the entry stays ready")
+	got, err := c.caller(0).gateCheck()
 	require.NoError(t, err)
-	require.Equal(t, result.CutOffFromControl, got.coded(t).Code, "%s", got.Body)
-	require.Equal(t, result.RanNo, got.coded(t).Ran)
+	require.Equal(t, result.CutOffFromControl, got.resultError(t).Code, "%s", got.Body)
+	require.Equal(t, result.RanNo, got.resultError(t).Ran)
 	for _, p := range c.controls {
 		p.signal(syscall.SIGCONT)
 	}
-	c.eventually(func() bool { return answers(c.entryURLs[0] + "/readyz") }, "the entry doesn't come back")
-	got, err = c.caller(0).check()
+	c.eventually(func() bool { return returnsOK(c.entryURLs[0] + "/readyz") }, "the entry does not become ready again")
+	got, err = c.caller(0).gateCheck()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 }
 
-// Symptom: gate checks fail although only control is gone. Sequence: all control instances are killed: their ports
-// refuse connections. Cause: a refused connection was taken for silence, though nobody can accept a change there.
+// All control instances are killed, so that their ports refuse connections. No change can be accepted then; if the entry
+// treated a refused connection like a missing message, gate checks would fail although only control is down.
 func TestEntryServesWhileControlIsDown(t *testing.T) {
 	c := startCluster(t)
 	for _, p := range c.controls {
 		p.kill()
 	}
-	cutOff := 4 * time.Second // above the bound of the settings
-	deadline := time.Now().Add(cutOff)
+	observation := 4 * time.Second // longer than the entry's cut-off bound in the settings
+	deadline := time.Now().Add(observation)
 	for time.Now().Before(deadline) {
-		got, err := c.caller(0).check()
+		got, err := c.caller(0).gateCheck()
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, got.Status, "%s", got.Body)
 	}
--- a/cmd/carawaypitch/cluster_rolling_test.go
+++ b/cmd/carawaypitch/cluster_rolling_test.go
@@ -15,33 +15,34 @@
 	"github.com/carawaypitch/carawaypitch/result"
 )
 
-// sent is a call and what its caller heard in the end.
-type sent struct {
+// callRecord is a call and its final result for the caller.
+type callRecord struct {
 	key   string // empty for a gate check
-	entry int    // that replied
+	entry int    // index of the entry that was tried last, which replied if err is nil
 	reply reply
-	err   error // no entry replied
+	err   error // not nil if no entry replied
 }
 
-// issueEach issues passes one after another, alternating between the entries.
-func (c *cluster) issueEach(keys []string) []sent {
-	var all []sent
+// issuePasses issues passes one after another, alternating between the entries.
+func (c *cluster) issuePasses(keys []string) []callRecord {
+	var all []callRecord
 	for i, key := range keys {
-		all = append(all, c.sendAnywhere(i, key))
+		all = append(all, c.callWithFailover(i, key))
 	}
 	return all
 }
 
-// sendAnywhere sends a call as a balancer does: to one entry, and to the other if that doesn't reply.
-func (c *cluster) sendAnywhere(first int, key string) sent {
+// callWithFailover sends a call like a load balancer: to one entry and, if that does not reply, to the other, six times in
+// all. An empty key stands for a gate check, any other one for a pass issuance.
+func (c *cluster) callWithFailover(first int, key string) callRecord {
 	const tries = 6
-	s := sent{key: key}
+	s := callRecord{key: key}
 	for i := range tries {
 		s.entry = (first + i) % len(c.entries)
 		if key == "" {
-			s.reply, s.err = c.caller(s.entry).check()
+			s.reply, s.err = c.caller(s.entry).gateCheck()
 		} else {
-			s.reply, s.err = c.caller(s.entry).issue(key)
+			s.reply, s.err = c.caller(s.entry).issuePass(key)
 		}
 		if s.err == nil {
 			return s
@@ -50,30 +51,30 @@
 	return s
 }
 
-// Symptom: a pass is issued twice, or a caller hears a lie, or another answer when it sends again. Sequence: the leading
-// control instance is killed while passes are issued, with records on their way to be begun and completed; each caller
-// sends again at the other entry. Cause: a begin or an outcome that was lost with the leader taken for one that never was.
+// The leading control instance is killed while passes are issued and operation records are being created and completed.
+// Each caller then retries at the other entry. If a creation or an outcome lost with the leader counted as one that never
+// happened, a pass would be issued twice, or a caller would get a false reply or a different one on its retry.
 func TestControlLeaderKilledWhileIssuing(t *testing.T) {
 	c := startCluster(t)
-	c.registryFaults(map[string]any{"slow": 40}) // about 0.2 s a call
+	c.setRegistryFaults(map[string]any{"slow": 40}) // about 0.2 s a call
 	const workers, calls = 6, 6
-	heard := make([][]sent, workers)
+	records := make([][]callRecord, workers)
 	var wait sync.WaitGroup
 	for w := range workers {
 		var keys []string
 		for i := range calls {
 			keys = append(keys, fmt.Sprintf("pass-l-%d-%d", w, i))
 		}
-		wait.Go(func() { heard[w] = c.issueEach(keys) })
+		wait.Go(func() { records[w] = c.issuePasses(keys) })
 	}
-	c.eventually(func() bool { return c.runs("pass-l-0-0") == 1 }, "the first call doesn't reach a registry")
+	c.eventually(func() bool { return c.passRuns("pass-l-0-0") == 1 }, "the first call does not reach a registry")
 	leader := c.waitLeader(0)
 	c.controls[leader].kill()
 	wait.Wait()
 	answered := 0
-	for _, s := range concat(heard) {
+	for _, s := range concat(records) {
 		require.NoError(t, s.err, s.key)
-		requireTruth(t, s.reply, c.runs(s.key))
+		requireConsistentReply(t, s.reply, c.passRuns(s.key))
 		again := c.resend(1-s.entry, s.key)
 		if s.reply.Status != http.StatusOK {
 			continue
@@ -85,117 +86,121 @@
 	require.Positive(t, answered)
 }
 
-// resend sends an issuance until the entry could ask control about its record. Each reply must be true.
+// resend retries an issuance until the reply shows that the entry could read its record from control. Each reply must be
+// consistent with the number of runs.
 func (c *cluster) resend(entry int, key string) reply {
 	c.t.Helper()
 	var got reply
 	c.eventually(func() bool {
 		var err error
-		got, err = c.caller(entry).issue(key)
+		got, err = c.caller(entry).issuePass(key)
 		if err != nil {
 			return false
 		}
-		requireTruth(c.t, got, c.runs(key))
+		requireConsistentReply(c.t, got, c.passRuns(key))
 		if got.Status == http.StatusOK {
 			return true
 		}
-		code := got.coded(c.t).Code
+		code := got.resultError(c.t).Code
 		return code != result.CutOffFromControl && code != result.ControlUnavailable
-	}, "entry %d can't ask control about %s", entry, key)
+	}, "entry %d cannot read the record of %s from control", entry, key)
 	return got
 }
 
-func concat(lists [][]sent) []sent {
-	var all []sent
+func concat(lists [][]callRecord) []callRecord {
+	var all []callRecord
 	for _, list := range lists {
 		all = append(all, list...)
 	}
 	return all
 }
 
-// stream keeps calls coming from several callers until it is stopped.
-type stream struct {
+// traffic sends calls from several concurrent callers until it is stopped.
+type traffic struct {
 	cluster *cluster
 	stopped atomic.Bool
 	wait    sync.WaitGroup
 	mu      sync.Mutex
-	all     []sent
+	all     []callRecord
 }
 
-func (c *cluster) startStream(callers int) *stream {
-	s := &stream{cluster: c}
+// startTraffic starts the given number of callers.
+func (c *cluster) startTraffic(callers int) *traffic {
+	s := &traffic{cluster: c}
 	for i := range callers {
 		s.wait.Go(func() { s.run(i) })
 	}
 	return s
 }
 
-// run alternates gate checks and issuances.
-func (s *stream) run(caller int) {
+// run sends gate checks and pass issuances alternately.
+func (s *traffic) run(caller int) {
 	for n := 0; !s.stopped.Load(); n++ {
 		key := ""
 		if n%2 == 1 {
 			key = fmt.Sprintf("pass-r-%d-%d", caller, n)
 		}
-		got := s.cluster.sendAnywhere(caller+n/2, key)
+		got := s.cluster.callWithFailover(caller+n/2, key)
 		s.mu.Lock()
 		s.all = append(s.all, got)
 		s.mu.Unlock()
 	}
 }
 
-func (s *stream) stop() []sent {
+// stop waits for the calls in flight and returns the records of all calls.
+func (s *traffic) stop() []callRecord {
 	s.stopped.Store(true)
 	s.wait.Wait()
 	return s.all
 }
 
-// Symptom: a pass is issued twice, a caller hears a lie, or a gate check fails without a code. Sequence: every process is
-// restarted gracefully, one after another, while gate checks and issuances go on. Cause: a process that cuts off what is
-// in flight, forgets what it must not, or says that it may receive work before it can.
+// Every process is restarted gracefully, one after another, during gate checks and issuances. If a process aborts requests
+// in flight, loses state that it must keep, or reports ready before it can serve, a pass is issued twice, a caller gets a
+// false reply, or a gate check fails without a result code.
 func TestRollingRestart(t *testing.T) {
 	c := startCluster(t)
-	calls := c.startStream(4)
+	load := c.startTraffic(4)
 	for i := range c.controls {
 		c.controls[i].stop()
 		c.controls[i].start()
-		c.eventually(func() bool { return c.leader(i) >= 0 }, "control-%d doesn't come back", i+1)
+		c.eventually(func() bool { return c.leader(i) >= 0 }, "control-%d does not serve again", i+1)
 	}
 	for i := range c.entries {
-		c.restart(c.entries[i], c.entryURLs[i])
+		c.restartProcess(c.entries[i], c.entryURLs[i])
 	}
 	for i := range c.agents {
-		c.restart(c.agents[i], c.agentURLs[i])
+		c.restartProcess(c.agents[i], c.agentURLs[i])
 	}
-	before := map[string]int{} // runs at the engines that are gone
+	runs := map[string]int{} // by key; first those that engines counted before their restart
 	for i := range c.engines {
-		c.leave(i)
-		c.addRuns(before, i)
+		c.drainEngine(i)
+		c.addRegistryRuns(runs, i)
 		c.engines[i].stop()
 		c.engines[i].start()
-		c.eventually(func() bool { return answers(c.agentURLs[i] + "/readyz") }, "the agent of engine %d isn't ready", i)
+		c.eventually(func() bool { return returnsOK(c.agentURLs[i] + "/readyz") }, "the agent of engine %d is not ready", i)
 	}
-	all := calls.stop()
+	all := load.stop()
 	for _, i := range registries {
-		c.addRuns(before, i)
+		c.addRegistryRuns(runs, i)
 	}
-	requireAllTrue(t, all, before)
+	requireConsistentReplies(t, all, runs)
 }
 
-func (c *cluster) restart(p *process, url string) {
+// restartProcess stops a process gracefully, starts it again and waits until it is ready.
+func (c *cluster) restartProcess(p *process, url string) {
 	c.t.Helper()
 	p.stop()
 	p.start()
-	c.eventually(func() bool { return answers(url + "/readyz") }, "%s doesn't come back", url)
+	c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s is not ready after the restart", url)
 }
 
-// leave has a backend server leave, and waits until it is drained.
-func (c *cluster) leave(engine int) {
+// drainEngine asks an engine's agent for a graceful leave of its backend server and waits until that is drained.
+func (c *cluster) drainEngine(engine int) {
 	c.t.Helper()
 	server := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(c.engines[engine].file), "engine-"), ".jsonc")
 	agent := caller{entry: c.agentURLs[engine]}
 	c.eventually(func() bool {
-		got, err := agent.try("/v1/leave", nil, `{"server": "`+server+`"}`)
+		got, err := agent.post("/v1/leave", nil, `{"server": "`+server+`"}`)
 		if err != nil || got.Status >= 300 {
 			return false
 		}
@@ -206,13 +211,13 @@
 		defer func() { _ = state.Body.Close() }()
 		text, err := io.ReadAll(state.Body)
 		return err == nil && strings.Contains(string(text), "drained")
-	}, "%s isn't drained", server)
+	}, "%s is not drained", server)
 }
 
-// addRuns adds what a registry ran; other engines have no such page.
-func (c *cluster) addRuns(total map[string]int, engine int) {
+// addRegistryRuns adds the runs of a registry to total, by key. Model engines do not serve /v1/runs and add nothing.
+func (c *cluster) addRegistryRuns(total map[string]int, engine int) {
 	c.t.Helper()
-	if !answers(c.engineURLs[engine] + "/v1/runs") {
+	if !returnsOK(c.engineURLs[engine] + "/v1/runs") {
 		return
 	}
 	runs := map[string]int{}
@@ -222,20 +227,21 @@
 	}
 }
 
-// requireAllTrue checks every call of a stream: issuances against the runs, and that gate checks failed by a code only.
-func requireAllTrue(t testing.TB, all []sent, runs map[string]int) {
+// requireConsistentReplies checks that every call got a reply, that replies to issuances are consistent with the runs, and
+// that every failure has a result code.
+func requireConsistentReplies(t testing.TB, all []callRecord, runs map[string]int) {
 	t.Helper()
 	answered := 0
 	for _, s := range all {
 		require.NoError(t, s.err, "no entry replied for %q", s.key)
 		if s.key != "" {
-			requireTruth(t, s.reply, runs[s.key])
+			requireConsistentReply(t, s.reply, runs[s.key])
 		}
 		if s.reply.Status == http.StatusOK {
 			answered++
 			continue
 		}
-		coded := s.reply.coded(t)
+		coded := s.reply.resultError(t)
 		require.NotZero(t, coded.Code, "%s", s.reply.Body)
 		if s.key == "" {
 			require.Contains(t, []result.Ran{result.RanNo, result.RanUnknown}, coded.Ran, "%s", s.reply.Body)
--- a/cmd/carawaypitch/cluster_test.go
+++ b/cmd/carawaypitch/cluster_test.go
@@ -20,13 +20,14 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
-// Bounds of waiting in process tests. They only bound a failing test: nothing is concluded from how long it took.
+// Timeout and poll interval of eventually. The timeout only limits how long a failing test takes; no assertion depends on
+// elapsed time.
 const (
-	waitBound = 60 * time.Second
-	waitTick  = 20 * time.Millisecond
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// process is one daemon as a process of its own, with its settings file.
+// process is a daemon that runs as a separate process, with its settings file.
 type process struct {
 	t    testing.TB
 	role string
@@ -37,7 +38,7 @@
 	log lockedBuffer
 }
 
-// lockedBuffer collects the log of a process, which writes while the test reads.
+// lockedBuffer holds the log of a process, which writes while the test reads.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -55,22 +56,23 @@
 	return b.text.String()
 }
 
+// start starts the process without waiting until it is ready.
 func (p *process) start() {
 	p.t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cmd = exec.Command(binary, p.role, "-settings", p.file)
+	p.cmd = exec.Command(binaryPath, p.role, "-settings", p.file)
 	p.cmd.Stderr, p.cmd.Stdout = &p.log, &p.log
 	require.NoError(p.t, p.cmd.Start())
 }
 
-// signal sends a signal to the process; it must run.
+// signal sends a signal to the process, which must be running.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	require.NoError(p.t, p.cmd.Process.Signal(s))
 }
 
-// kill ends the process at once, as a crash does, and waits until it is gone.
+// kill terminates the process with SIGKILL, like a crash, and waits for its exit. It does nothing if none is running.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +84,7 @@
 	p.cmd = nil
 }
 
-// stop ends the process gracefully; its exit code must be 0.
+// stop sends SIGTERM and waits for the exit, whose code must be 0.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -91,8 +93,8 @@
 	require.NoError(p.t, err, "%s", p.log.String())
 }
 
-// cluster is a small deployment as separate processes: three control instances, two entries, two registry services and
-// one model engine, or as many as a test asks for, each with its agent.
+// cluster is a small deployment of separate processes: three control instances, two entries, and two registry services
+// and at least one model engine, each with its agent.
 type cluster struct {
 	t        testing.TB
 	folder   string
@@ -108,15 +110,17 @@
 	tls settings.TLS // of the links between all processes
 }
 
-const clusterControls = 3
+const controlInstances = 3
 
-func startCluster(t testing.TB, moreModels ...string) *cluster {
+// startCluster starts a cluster with the named model engines in addition to model-1, and waits until it is ready.
+func startCluster(t testing.TB, extraModels ...string) *cluster {
 	t.Helper()
 	c := newCluster(t)
-	c.startAll(moreModels...)
+	c.startAll(extraModels...)
 	return c
 }
 
+// newCluster returns a cluster without processes; those started later are killed at the end of the test.
 func newCluster(t testing.TB) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir(), operatorKey: "operator-key", callerKey: "caller-key"}
@@ -124,19 +128,19 @@
 	return c
 }
 
-// startAll starts the processes and waits until they are ready.
-func (c *cluster) startAll(moreModels ...string) {
+// startAll starts all processes and waits until the entries and agents are ready.
+func (c *cluster) startAll(extraModels ...string) {
 	c.t.Helper()
-	for range clusterControls {
+	for range controlInstances {
 		c.controlLinks = append(c.controlLinks, freeAddress(c.t))
 	}
-	for i := range clusterControls {
+	for i := range controlInstances {
 		c.addControl(i)
 	}
 	c.addServer("model-1", settings.KindModel, []string{"sample"})
 	c.addServer("registry-1", settings.KindService, []string{"registry"})
 	c.addServer("registry-2", settings.KindService, []string{"registry"})
-	for _, name := range moreModels {
+	for _, name := range extraModels {
 		c.addServer(name, settings.KindModel, []string{"sample"})
 	}
 	c.addEntry(0)
@@ -147,10 +151,11 @@
 		}
 	}
 	for _, url := range append(append([]string{}, c.entryURLs...), c.agentURLs...) {
-		c.eventually(func() bool { return answers(url + "/readyz") }, "%s is not ready", url)
+		c.eventually(func() bool { return returnsOK(url + "/readyz") }, "%s is not ready", url)
 	}
 }
 
+// killAll kills all processes and, if the test has failed, prints the ends of their logs.
 func (c *cluster) killAll() {
 	for _, group := range [][]*process{c.entries, c.engines, c.agents, c.controls} {
 		for _, p := range group {
@@ -166,39 +171,41 @@
 	}
 }
 
+// tail returns at most the last 6000 bytes of text.
 func tail(text string) string {
-	const keep = 6000
-	if len(text) > keep {
-		return text[len(text)-keep:]
+	const maxBytes = 6000
+	if len(text) > maxBytes {
+		return text[len(text)-maxBytes:]
 	}
 	return text
 }
 
+// eventually polls the condition and fails the test with the message if it does not hold within waitTimeout.
 func (c *cluster) eventually(condition func() bool, format string, args ...any) {
 	c.t.Helper()
-	require.Eventually(c.t, condition, waitBound, waitTick, append([]any{format}, args...)...)
+	require.Eventually(c.t, condition, waitTimeout, pollInterval, append([]any{format}, args...)...)
 }
 
-// addresses counts the loopback addresses handed out to the processes of this test run.
-var addresses atomic.Uint32
+// addressCounter counts the loopback addresses assigned to the processes of this test run.
+var addressCounter atomic.Uint32
 
-// freeAddress gives an IP number in 127.0.0.0/8 that no other process of this machine's tests uses, with a port below
-// the ephemeral ones.
+// freeAddress returns an address in 127.0.0.0/8 that no other test process on this machine uses, with a port below the
+// ephemeral range.
 //
-// A port found free at 127.0.0.1 may be taken by an outgoing connection before the daemon listens there; the daemon
-// then fails at its start, now and then.
+// A free ephemeral port at 127.0.0.1 is no alternative: an outgoing connection may take it before the daemon listens
+// there, so that the daemon occasionally fails to start.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	const port = 7000
-	n := addresses.Add(1)
+	n := addressCounter.Add(1)
 	pid := uint32(os.Getpid())
 	require.Less(t, n, uint32(1<<10), "too many addresses in one run")
 	ip := 127<<24 | 1<<23 | (pid&(1<<13-1))<<10 | n
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{byte(ip >> 24), byte(ip >> 16), byte(ip >> 8), byte(ip)}), port).String()
 }
 
-// write puts a settings file into the folder and makes the process for it.
-func (c *cluster) write(role, name string, value any) *process {
+// writeSettings writes a settings file into the cluster's folder and returns the process for it, not started.
+func (c *cluster) writeSettings(role, name string, value any) *process {
 	c.t.Helper()
 	data, err := settings.Marshal(value)
 	require.NoError(c.t, err)
@@ -207,12 +214,13 @@
 	return &process{t: c.t, role: role, file: file}
 }
 
-func digestOf(key string) []string {
+// keyDigests returns the digest of a key as settings files list it.
+func keyDigests(key string) []string {
 	return []string{settings.NewDigest(key, settings.NewSalt())}
 }
 
 func (c *cluster) organisations() []settings.Organisation {
-	return []settings.Organisation{{Name: "zagreb", KeyDigests: digestOf(c.callerKey), DefaultClass: "summary"}}
+	return []settings.Organisation{{Name: "zagreb", KeyDigests: keyDigests(c.callerKey), DefaultClass: "summary"}}
 }
 
 func (c *cluster) controlSettings(i int) settings.Control {
@@ -228,7 +236,7 @@
 	s.Bootstrap = true
 	s.Timing.ServerExpire = 3 * time.Second
 	s.DataDir = filepath.Join(c.folder, s.Instance)
-	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: digestOf(c.operatorKey)}}
+	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: keyDigests(c.operatorKey)}}
 	s.Organisations = c.organisations()
 	s.InitialClasses = []settings.Class{
 		{Name: "gate-check", Tier: 1, DeadlineMS: 5000, LateMax: 0.01, LostMax: 0.01, Repeatable: true, Kind: settings.KindService},
@@ -241,7 +249,7 @@
 func (c *cluster) addControl(i int) {
 	s := c.controlSettings(i)
 	require.NoError(c.t, os.MkdirAll(s.DataDir, 0o700))
-	c.controls = append(c.controls, c.write("control", s.Instance, s))
+	c.controls = append(c.controls, c.writeSettings("control", s.Instance, s))
 	c.controlURLs = append(c.controlURLs, "http://"+s.Listen.Operators)
 }
 
@@ -253,12 +261,12 @@
 	s.Controls = c.controlLinks
 	s.TLS = c.tls
 	s.Organisations = c.organisations()
-	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: digestOf(c.operatorKey)}}
-	c.entries = append(c.entries, c.write("entry", s.Instance, s))
+	s.Operators = []settings.OperatorAccount{{Name: "operator", KeyDigests: keyDigests(c.operatorKey)}}
+	c.entries = append(c.entries, c.writeSettings("entry", s.Instance, s))
 	c.entryURLs = append(c.entryURLs, "http://"+s.Listen.Callers)
 }
 
-// addServer adds a stand-in with its agent.
+// addServer adds a stand-in for a backend server, with its agent.
 func (c *cluster) addServer(name, kind string, models []string) {
 	a := settings.DefaultAgent()
 	a.Instance = "agent-" + name
@@ -267,7 +275,7 @@
 	a.Advertise = a.Listen.Links
 	a.Controls = c.controlLinks
 	a.TLS = c.tls
-	c.agents = append(c.agents, c.write("agent", a.Instance, a))
+	c.agents = append(c.agents, c.writeSettings("agent", a.Instance, a))
 	c.agentURLs = append(c.agentURLs, "http://"+a.Listen.HTTP)
 	c.agentLinks = append(c.agentLinks, a.Listen.Links)
 
@@ -277,16 +285,16 @@
 	e.Listen = freeAddress(c.t)
 	e.Agent = a.Listen.HTTP
 	e.Models = models
-	c.engines = append(c.engines, c.write("engine", "engine-"+name, e))
+	c.engines = append(c.engines, c.writeSettings("engine", "engine-"+name, e))
 	c.engineURLs = append(c.engineURLs, "http://"+e.Listen)
 }
 
-// faults switches the faults of a stand-in while it runs.
-func (c *cluster) faults(engine int, faults any) {
+// setFaults sets the simulated faults of a running stand-in.
+func (c *cluster) setFaults(engine int, faults any) {
 	c.t.Helper()
 	body, err := json.Marshal(faults)
 	require.NoError(c.t, err)
-	got := caller{entry: c.engineURLs[engine]}.call(c.t, "/v1/faults", nil, string(body))
+	got := caller{entry: c.engineURLs[engine]}.mustPost(c.t, "/v1/faults", nil, string(body))
 	require.Less(c.t, got.Status, 300, "%s", got.Body)
 }
 
@@ -294,8 +302,8 @@
 	return caller{c.entryURLs[entry], c.callerKey}
 }
 
-// operatorOf gives an operator's client of the given control instances, or of all.
-func (c *cluster) operatorOf(controls ...int) *operator.Client {
+// operatorClient returns an operator's client for the given control instances, or for all if none is given.
+func (c *cluster) operatorClient(controls ...int) *operator.Client {
 	urls := c.controlURLs
 	if len(controls) > 0 {
 		urls = nil
@@ -306,9 +314,10 @@
 	return operator.New(urls, c.operatorKey, nil)
 }
 
-// leader gives the index of the leading control instance as instance i sees it, or -1.
+// leader returns the index of the leading control instance as reported by instance seenBy, or -1 if that does not answer,
+// is not confirmed by a quorum or reports no leader.
 func (c *cluster) leader(seenBy int) int {
-	status, err := c.operatorOf(seenBy).Status(c.t.Context())
+	status, err := c.operatorClient(seenBy).Status(c.t.Context())
 	if err != nil || !status.Confirmed {
 		return -1
 	}
@@ -320,7 +329,7 @@
 	return -1
 }
 
-// waitLeader waits until one of the given control instances knows a leader, confirmed by a quorum.
+// waitLeader waits until control instance seenBy reports a leader, confirmed by a quorum, and returns the leader's index.
 func (c *cluster) waitLeader(seenBy int) int {
 	c.t.Helper()
 	leader := -1
--- a/cmd/carawaypitch/dev_lines_test.go
+++ b/cmd/carawaypitch/dev_lines_test.go
@@ -14,10 +14,10 @@
 	"github.com/carawaypitch/carawaypitch/link"
 )
 
-// Symptom: a newcomer copies a line that dev printed, and it fails. Sequence: a path, a flag or a class of the sample
-// changed. Cause: the lines are text that nothing runs.
-func TestLinesThatDevPrintsWork(t *testing.T) {
-	command := exec.Command(binary, "dev", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
+// The sample commands that dev prints are plain text. They fail for the user who copies them if a path, a flag or a class
+// of the sample changes and the text does not.
+func TestCommandsPrintedByDevSucceed(t *testing.T) {
+	command := exec.Command(binaryPath, "dev", "-entry", "127.0.0.1:0", "-control", "127.0.0.1:0", "-data", t.TempDir())
 	out, err := command.StdoutPipe()
 	require.NoError(t, err)
 	var log strings.Builder
@@ -26,34 +26,34 @@
 	t.Cleanup(func() {
 		_ = command.Process.Signal(syscall.SIGTERM)
 		require.NoError(t, command.Wait())
-		requireNoFalseFault(t, log.String())
+		requireNoLinkFaults(t, log.String())
 	})
-	tries := 0
+	commands := 0
 	for lines := bufio.NewScanner(out); lines.Scan() && lines.Text() != "Ctrl-C stops it."; {
-		text, isTry := strings.CutPrefix(lines.Text(), "  ")
-		if !isTry {
+		text, isCommand := strings.CutPrefix(lines.Text(), "  ")
+		if !isCommand {
 			continue
 		}
-		tries++
-		text = strings.Replace(text, "curl -s", "curl -sf", 1) // so that a refusal fails
+		commands++
+		text = strings.Replace(text, "curl -s", "curl -sf", 1) // makes curl fail on an HTTP error
 		shell := exec.Command("bash", "-c", text)
-		shell.Env = append(os.Environ(), "PATH="+filepath.Dir(binary)+":"+os.Getenv("PATH"))
+		shell.Env = append(os.Environ(), "PATH="+filepath.Dir(binaryPath)+":"+os.Getenv("PATH"))
 		answer, err := shell.CombinedOutput()
 		require.NoError(t, err, "%s\n%s", text, answer)
 		require.NotEmpty(t, answer, text)
 	}
-	require.Equal(t, 6, tries)
+	require.Equal(t, 6, commands)
 }
 
-// requireNoFalseFault fails if a link went down otherwise than by silence. All processes of dev share one machine; while
-// that is busy, heartbeats may truly come too late at any time before the stop. A stop that is taken for a fault closes
-// links instead.
-func requireNoFalseFault(t *testing.T, log string) {
+// requireNoLinkFaults fails if a link went down for another reason than missing heartbeats. Heartbeats may be late at any
+// time before the stop, since all daemons of dev share one machine that may be busy. Links that are closed during the stop
+// must not be logged as faults.
+func requireNoLinkFaults(t *testing.T, log string) {
 	t.Helper()
 	for line := range strings.Lines(log) {
 		down := strings.Contains(line, "event=link_down")
 		if down && !strings.Contains(line, link.ErrSilent.Error()) {
-			require.Fail(t, "the stop looks like a fault", line)
+			require.Fail(t, "the stop is logged as a link fault", line)
 		}
 	}
 }
--- a/cmd/carawaypitch/drain.go
+++ b/cmd/carawaypitch/drain.go
@@ -11,10 +11,10 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// drainCommand starts the graceful leave of a backend server.
+// drainCommand starts the drain of a backend server.
 type drainCommand struct {
 	operatorFlags
-	changeID string
+	changeID string // idempotency key of the change; empty: a new one
 }
 
 func (*drainCommand) Name() string     { return "drain" }
@@ -32,7 +32,7 @@
 }
 
 func (c *drainCommand) SetFlags(flags *flag.FlagSet) {
-	c.set(flags)
+	c.register(flags)
 	flags.StringVar(&c.changeID, "change-id", "", "id of the change; give it again to resend one whose answer was lost")
 }
 
--- a/cmd/carawaypitch/servers.go
+++ b/cmd/carawaypitch/servers.go
@@ -12,7 +12,7 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-// serversCommand lists the backend servers.
+// serversCommand lists the backend servers in the directory.
 type serversCommand struct{ operatorFlags }
 
 func (*serversCommand) Name() string { return "servers" }
@@ -33,7 +33,7 @@
 `
 }
 
-func (c *serversCommand) SetFlags(flags *flag.FlagSet) { c.set(flags) }
+func (c *serversCommand) SetFlags(flags *flag.FlagSet) { c.register(flags) }
 
 func (c *serversCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() > 0 {
@@ -56,6 +56,7 @@
 	}))
 }
 
+// orderText formats the order in progress at a backend server; nil, which is no order, gives "-".
 func orderText(o *operator.Order) string {
 	if o == nil {
 		return "-"
--- a/cmd/carawaypitch/status_advice_test.go
+++ b/cmd/carawaypitch/status_advice_test.go
@@ -9,7 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/operator"
 )
 
-func TestStatusShowsWhatServersAsk(t *testing.T) {
+// Rate limits of backend servers must be listed; without any, there must be no empty table.
+func TestStatusShowsServerAdvice(t *testing.T) {
 	var out bytes.Buffer
 	adviceTable(&out, operator.Status{})
 	require.Empty(t, out.String())
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -19,14 +19,16 @@
 	"github.com/carawaypitch/carawaypitch/settings"
 )
 
+// loopback is the listen address of every daemon without a configured one; port 0 takes a free one. readyPollInterval and
+// readyTimeout are the poll interval and the bound of the wait for readiness at start.
 const (
-	loopback   = "127.0.0.1:0"
-	operator   = "operator"
-	readyPoll  = 20 * time.Millisecond
-	readyBound = 20 * time.Second
+	loopback          = "127.0.0.1:0"
+	operatorName      = "operator"
+	readyPollInterval = 20 * time.Millisecond
+	readyTimeout      = 20 * time.Second
 )
 
-// Dev is a running sample deployment.
+// Dev is a sample deployment that runs in this process.
 type Dev struct {
 	options       Options
 	log           log.Interface
@@ -37,7 +39,8 @@
 	client        *http.Client
 }
 
-// Start starts everything and returns once callers can be served. Stop must follow.
+// Start starts all daemons and returns once callers can be served. If it fails, it stops what it has started; otherwise
+// the caller must call Stop.
 func Start(ctx context.Context, options Options) (*Dev, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -51,20 +54,20 @@
 	if d.log == nil {
 		d.log = &log.Logger{Handler: discard.New()}
 	}
-	d.makeKeys()
+	d.generateKeys()
 	if err := d.startAll(ctx); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
 	return d, nil
 }
 
-// Info tells how to reach what runs.
+// Info returns the addresses and keys of the deployment.
 func (d *Dev) Info() Info { return d.info }
 
-// Stop stops everything gracefully, entries first.
+// Stop stops all daemons gracefully, entries first, and returns their joined errors.
 func (d *Dev) Stop() error { return stopAll(d.stages) }
 
-// Failed returns a channel that gets the error of a stage that ended by itself.
+// Failed returns a channel that receives the result of each stage when it ends, also when it ends without Stop.
 func (d *Dev) Failed() <-chan error {
 	failed := make(chan error, len(d.stages))
 	for _, s := range d.stages {
@@ -77,8 +80,8 @@
 	return failed
 }
 
-// makeKeys gives each sample organisation a caller key and makes the operator key.
-func (d *Dev) makeKeys() {
+// generateKeys creates a caller key for each sample organisation, and the operator key.
+func (d *Dev) generateKeys() {
 	d.organisations = sampleOrganisations()
 	for i := range d.organisations {
 		key := newKey()
@@ -92,15 +95,17 @@
 	return "cwp-" + uuid.NewString()
 }
 
+// startAll starts the stages in order: control, agents, engines, entries. It returns once the entries and the agents are
+// ready.
 func (d *Dev) startAll(ctx context.Context) error {
-	links, err := d.startControl()
+	controlLink, err := d.startControl()
 	if err != nil {
 		return err
 	}
-	if err := d.startServers(ctx, links); err != nil {
+	if err := d.startServers(ctx, controlLink); err != nil {
 		return err
 	}
-	if err := d.startEntries(links); err != nil {
+	if err := d.startEntries(controlLink); err != nil {
 		return err
 	}
 	return d.waitReady(ctx)
@@ -122,24 +127,24 @@
 	if err != nil {
 		return "", errors.Wrap(err, "control")
 	}
-	d.stages = append(d.stages, start([]runner{c.Run}))
+	d.stages = append(d.stages, startStage([]runner{c.Run}))
 	d.info.Controls = append(d.info.Controls, "http://"+c.OperatorsAddr())
 	return c.LinkAddr(), nil
 }
 
 func (d *Dev) operators() []settings.OperatorAccount {
 	return []settings.OperatorAccount{{
-		Name:       operator,
+		Name:       operatorName,
 		KeyDigests: []string{settings.NewDigest(d.info.OperatorKey, settings.NewSalt())},
 	}}
 }
 
-// startServers starts an agent and a stand-in for each backend server.
-func (d *Dev) startServers(ctx context.Context, controls string) error {
+// startServers starts an agent and a stand-in for each backend server; controlLink is the control replica's link address.
+func (d *Dev) startServers(ctx context.Context, controlLink string) error {
 	var agents, engines []runner
-	var waits []*standin.Server
+	var servers []*standin.Server
 	add := func(options standin.Options, n int) error {
-		a, err := d.newAgent(options.Server, n, controls)
+		a, err := d.newAgent(options.Server, n, controlLink)
 		if err != nil {
 			return err
 		}
@@ -148,7 +153,7 @@
 		server := standin.New(options)
 		agents = append(agents, a.Run)
 		engines = append(engines, server.Run)
-		waits = append(waits, server)
+		servers = append(servers, server)
 		d.info.Agents = append(d.info.Agents, options.Agent)
 		return nil
 	}
@@ -166,12 +171,12 @@
 			return err
 		}
 	}
-	d.stages = append(d.stages, start(agents), start(engines))
-	return d.engineURLs(ctx, waits)
+	d.stages = append(d.stages, startStage(agents), startStage(engines))
+	return d.waitForEngines(ctx, servers)
 }
 
-// engineURLs waits until the stand-ins listen.
-func (d *Dev) engineURLs(ctx context.Context, servers []*standin.Server) error {
+// waitForEngines waits until the stand-ins listen and records their URLs and the names of the models and services.
+func (d *Dev) waitForEngines(ctx context.Context, servers []*standin.Server) error {
 	for _, s := range servers {
 		select {
 		case <-s.Ready():
@@ -189,13 +194,13 @@
 	return nil
 }
 
-func (d *Dev) newAgent(server string, n int, controls string) (*agent.Agent, error) {
+func (d *Dev) newAgent(server string, n int, controlLink string) (*agent.Agent, error) {
 	s := settings.DefaultAgent()
 	s.Instance = "agent-" + server
 	s.AvailabilityZone = zone(n)
 	s.Listen = settings.AgentListen{HTTP: loopback, Links: loopback}
 	s.Advertise = loopback
-	s.Controls = []string{controls}
+	s.Controls = []string{controlLink}
 	a, err := agent.New(s, agent.Options{Log: d.log})
 	if err != nil {
 		return nil, errors.Wrap(err, "agent")
@@ -203,7 +208,7 @@
 	return a, nil
 }
 
-func (d *Dev) startEntries(controls string) error {
+func (d *Dev) startEntries(controlLink string) error {
 	var runners []runner
 	for i := range d.options.Entries {
 		s := settings.DefaultEntry()
@@ -213,7 +218,7 @@
 		if i == 0 {
 			s.Listen.Callers = d.options.Entry
 		}
-		s.Controls = []string{controls}
+		s.Controls = []string{controlLink}
 		s.Organisations = d.organisations
 		s.Operators = d.operators()
 		e, err := entry.New(s, entry.Options{Log: d.log})
@@ -223,36 +228,38 @@
 		runners = append(runners, e.Run)
 		d.info.Entries = append(d.info.Entries, "http://"+e.CallersAddr())
 	}
-	d.stages = append(d.stages, start(runners))
+	d.stages = append(d.stages, startStage(runners))
 	return nil
 }
 
-// zone spreads the sample instances over three availability zones.
+// zone returns the availability zone of the i-th instance; there are three.
 func zone(i int) string {
 	const zones = 3
 	return fmt.Sprintf("zone-%d", i%zones+1)
 }
 
-// waitReady polls the entries until each may receive work and has room at every backend server.
+// waitReady polls /readyz for up to readyTimeout, until every entry may receive requests and every agent's backend server
+// has announced itself.
 func (d *Dev) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
-	var last error
+	var lastErr error
 	for {
-		if last = d.ready(ctx); last == nil {
+		if lastErr = d.checkReady(ctx); lastErr == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(last, "not ready in time")
+			return errors.Wrap(lastErr, "not ready in time")
 		case <-ticker.C:
 		}
 	}
 }
 
-func (d *Dev) ready(ctx context.Context) error {
+// checkReady returns the error of the first entry or agent that is not ready.
+func (d *Dev) checkReady(ctx context.Context) error {
 	for _, url := range append(d.info.Entries, d.info.Agents...) {
 		if err := d.probe(ctx, url+"/readyz"); err != nil {
 			return err
