--- a/result/codes.go
+++ b/result/codes.go
@@ -1,6 +1,6 @@
 package result
 
-// 10xx: the caller's request. Nothing was dispatched for it.
+// 10xx: the caller's request is rejected because of its path, headers or body. Nothing was dispatched for it.
 const (
 	MissingKey             Code = 1001
 	WrongKey               Code = 1002
@@ -21,7 +21,7 @@
 	RequestQuarantined     Code = 1017
 )
 
-// 12xx: refusals for want of room or time.
+// 12xx: the request is rejected for lack of capacity or time.
 const (
 	NoServer              Code = 1201
 	CannotFinishInTime    Code = 1202
@@ -35,7 +35,7 @@
 	ServerBackoff         Code = 1210
 )
 
-// 13xx: the end of an attempt.
+// 13xx: an attempt ended without a complete answer, or its outcome is not known.
 const (
 	RefusedNeverStarted       Code = 1301
 	Cancelled                 Code = 1302
@@ -50,7 +50,7 @@
 	UnprovenAttemptAtDeadline Code = 1311
 )
 
-// 14xx: the state of a daemon.
+// 14xx: the state of a process prevents it from handling the request.
 const (
 	Starting           Code = 1401
 	Stopping           Code = 1402
@@ -63,7 +63,7 @@
 	UnlistedEntry      Code = 1409
 )
 
-// 15xx: operators' calls.
+// 15xx: errors in operators' calls.
 const (
 	OperatorKeyWrong Code = 1501
 	VersionConflict  Code = 1502
@@ -78,7 +78,7 @@
 	InvalidDesiredState Code = 1510
 )
 
-// 16xx: mistakes in a settings file or chart file.
+// 16xx: errors in a settings file or a state chart file.
 const (
 	SettingsUnknownField  Code = 1601
 	SettingsWrongType     Code = 1602
@@ -96,7 +96,7 @@
 	ChartInvalid          Code = 1614
 )
 
-// 17xx: the journal and the quorum.
+// 17xx: errors of the journal and the quorum.
 const (
 	JournalDamaged     Code = 1701
 	DiskFull           Code = 1702
@@ -112,7 +112,7 @@
 	EntryTooLarge      Code = 1712
 )
 
-// 18xx: orders to engines.
+// 18xx: errors of orders to engines.
 const (
 	FenceTooOld     Code = 1801
 	ServerBusy      Code = 1802
@@ -123,7 +123,7 @@
 	OrderExpired    Code = 1807
 )
 
-// 19xx: faults inside carawaypitch.
+// 19xx: internal errors and errors of the protocol between processes.
 const (
 	Internal          Code = 1901
 	ChartEventRefused Code = 1902
--- a/result/json.go
+++ b/result/json.go
@@ -7,12 +7,13 @@
 	"github.com/go-faster/errors"
 )
 
-// envelope is the JSON form of an Error, as callers and operators see it.
+// envelope is the JSON form of an Error that callers and operators receive.
 type envelope struct {
-	Error *body `json:"error"`
+	Error *errorBody `json:"error"`
 }
 
-type body struct {
+// errorBody holds the fields of an Error inside its envelope.
+type errorBody struct {
 	Code         Code   `json:"code"`
 	Name         string `json:"name"`
 	Message      string `json:"message"`
@@ -20,19 +21,20 @@
 	RetryAfterMS int64  `json:"retry_after_ms"`
 }
 
-// MarshalJSON returns {"error": {"code", "name", "message", "ran", "retry_after_ms"}}. A part of a millisecond
-// counts as a whole one, so that a caller never comes back too early.
+// MarshalJSON returns {"error": {"code", "name", "message", "ran", "retry_after_ms"}}. RetryAfter is rounded
+// up to whole milliseconds, so that a caller never retries too early.
 func (e *Error) MarshalJSON() ([]byte, error) {
-	return json.Marshal(envelope{Error: &body{
+	return json.Marshal(envelope{Error: &errorBody{
 		Code:         e.Code,
 		Name:         e.Code.String(),
 		Message:      e.Message,
 		Ran:          e.Ran,
-		RetryAfterMS: milliseconds(e.RetryAfter),
+		RetryAfterMS: ceilMilliseconds(e.RetryAfter),
 	}})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote. A code that this version doesn't know is kept.
+// UnmarshalJSON decodes the output of MarshalJSON. It keeps a code that is not in the table. It returns an error if
+// data is not valid, or has no "error" field; e is unchanged then.
 func (e *Error) UnmarshalJSON(data []byte) error {
 	var in envelope
 	if err := json.Unmarshal(data, &in); err != nil {
@@ -50,6 +52,7 @@
 	return nil
 }
 
-func milliseconds(d time.Duration) int64 {
+// ceilMilliseconds returns d in milliseconds; a positive fraction of a millisecond is rounded up.
+func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/result/markdown.go
+++ b/result/markdown.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// groupSize is how many numbers one group of codes spans.
+// groupSize is the count of numbers reserved for each group of codes.
 const groupSize = 100
 
-// groups names the group of each hundred.
-var groups = map[Code]string{
+// groupTitles holds the title of each group, by its codes divided by groupSize.
+var groupTitles = map[Code]string{
 	10: "the caller's request",
 	12: "refusals for want of room or time",
 	13: "the end of an attempt",
@@ -22,9 +22,10 @@
 	19: "faults inside carawaypitch",
 }
 
-var byCode = index(table)
+// byCode holds the rows of table by code.
+var byCode = indexByCode(table)
 
-func index(rows []Info) map[Code]Info {
+func indexByCode(rows []Info) map[Code]Info {
 	m := make(map[Code]Info, len(rows))
 	for _, row := range rows {
 		m[row.Code] = row
@@ -32,12 +33,12 @@
 	return m
 }
 
-// Table returns a copy of the table of codes, sorted by number.
+// Table returns a copy of the table of codes, sorted by code.
 func Table() []Info {
 	return slices.Clone(table)
 }
 
-// Markdown returns the text of docs/CODES.md.
+// Markdown returns the table of codes as a Markdown page, which is the content of docs/CODES.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
@@ -56,7 +57,7 @@
 }
 
 func writeGroup(b *strings.Builder, group Code) {
-	fmt.Fprintf(b, "\n## %dxx: %s\n\n", uint16(group), groups[group])
+	fmt.Fprintf(b, "\n## %dxx: %s\n\n", uint16(group), groupTitles[group])
 	b.WriteString("| code | name | status | ran | meaning | what to do |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- |\n")
 }
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -23,7 +23,8 @@
 
 var update = flag.Bool("update", false, "rewrite "+docsPath)
 
-func TestDocsEqualTable(t *testing.T) {
+// Guards against a docs/CODES.md that differs from the table, when a row changes and the page is not generated again.
+func TestDocsMatchTable(t *testing.T) {
 	if *update {
 		require.NoError(t, os.WriteFile(docsPath, []byte(result.Markdown()), 0o644))
 	}
@@ -32,13 +33,14 @@
 	require.Equal(t, result.Markdown(), string(docs), "run go test ./result -update")
 }
 
-func TestTableIsSortedAndWhole(t *testing.T) {
-	snake := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
+// Guards against rows that are out of order, incomplete, or share a code or a name.
+func TestTableIsSortedAndComplete(t *testing.T) {
+	snakeCase := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	names := map[string]bool{}
-	last := result.Code(0)
+	previous := result.Code(0)
 	for _, info := range result.Table() {
-		require.Greater(t, info.Code, last)
-		require.Regexp(t, snake, info.Name)
+		require.Greater(t, info.Code, previous)
+		require.Regexp(t, snakeCase, info.Name)
 		require.False(t, names[info.Name], info.Name)
 		require.GreaterOrEqual(t, info.Status, http.StatusBadRequest, info.Name)
 		require.NotZero(t, info.Ran, info.Name)
@@ -46,14 +48,13 @@
 		require.NotEmpty(t, info.Advice, info.Name)
 		require.Equal(t, info, info.Code.Info())
 		names[info.Name] = true
-		last = info.Code
+		previous = info.Code
 	}
 }
 
-// Symptom: a caller sees "unknown_code" for a code that the program itself sent.
-// Sequence: a constant is added to codes.go; its row in table.go is forgotten.
-// Cause: Go doesn't tie the two together.
-func TestEachConstantHasARow(t *testing.T) {
+// Guards against "unknown_code" in a reply with a code of this version. It occurs when a constant is added without a
+// row in the table, which the compiler doesn't detect.
+func TestEachCodeHasATableRow(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, 0)
 	require.NoError(t, err)
 	count := 0
@@ -71,6 +72,8 @@
 	require.Len(t, result.Table(), count)
 }
 
+// Guards against changes of the JSON form that callers decode, and against a retry_after_ms that is rounded down, so
+// that callers retry too early.
 func TestJSONForm(t *testing.T) {
 	e := result.New(result.QueueFull, "class %s", "summary").WithRetryAfter(1500 * time.Microsecond)
 	data, err := json.Marshal(e)
@@ -78,26 +81,26 @@
 	require.JSONEq(t, `{"error": {"code": 1203, "name": "queue_full", "message": "class summary",
 		"ran": "no", "retry_after_ms": 2}}`, string(data))
 
-	var back result.Error
-	require.NoError(t, json.Unmarshal(data, &back))
-	require.Equal(t, 2*time.Millisecond, back.RetryAfter)
-	require.Equal(t, result.RanNo, back.Ran)
-	require.Equal(t, e.Code, back.Code)
+	var decoded result.Error
+	require.NoError(t, json.Unmarshal(data, &decoded))
+	require.Equal(t, 2*time.Millisecond, decoded.RetryAfter)
+	require.Equal(t, result.RanNo, decoded.Ran)
+	require.Equal(t, e.Code, decoded.Code)
 }
 
-func TestUnmarshalRefuses(t *testing.T) {
+// Guards against malformed input being decoded as an error with zero values.
+func TestUnmarshalRejectsMalformedErrors(t *testing.T) {
 	for _, text := range []string{`{}`, `[]`, `{"error": {"ran": "perhaps"}}`} {
 		require.Error(t, json.Unmarshal([]byte(text), new(result.Error)), text)
 	}
 }
 
-// Symptom: a caller is told "ran: no" and sends again work that ran.
-// Sequence: a code path takes an error of a lost engine and stamps "no" on it.
-// Cause: nothing tied the promise to codes whose meaning proves it.
-func TestRanIsOnlyWhatTheCodeProves(t *testing.T) {
+// Guards against work that runs twice because a caller receives "ran: no" for work that ran and sends it again. It occurs
+// when a code path sets RanNo on the error of a lost engine, whose code doesn't prove it.
+func TestWithRanRejectsValuesTheCodeDisallows(t *testing.T) {
 	cases := []struct {
 		code result.Code
-		say  result.Ran
+		ran  result.Ran
 		want result.Ran
 	}{
 		{result.EngineLost, result.RanNo, result.RanUnknown},
@@ -109,13 +112,15 @@
 		{result.Code(9999), result.RanNo, result.RanUnknown},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, result.New(c.code, "").WithRan(c.say).Ran, "%s %s", c.code, c.say)
+		require.Equal(t, c.want, result.New(c.code, "").WithRan(c.ran).Ran, "%s %s", c.code, c.ran)
 	}
 	require.Equal(t, result.RanUnknown, result.New(result.Cancelled, "").Ran)
 	require.Equal(t, result.RanUnknown, (&result.Error{}).Ran)
 }
 
-func TestChain(t *testing.T) {
+// Guards against a code or cause that is lost when an error is wrapped, and against a cause in the JSON form, which could
+// reveal internal addresses to callers.
+func TestErrorChain(t *testing.T) {
 	cause := errors.New("disk")
 	wrapped := errors.Wrap(result.Wrap(cause, result.SyncFailed, "journal %d", 3), "append")
 	require.ErrorIs(t, wrapped, cause)
--- a/result/table.go
+++ b/result/table.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// statusClientClosed is the status logged for a caller that closed its connection; no caller sees it.
+// statusClientClosed is the HTTP status logged when a caller closed its connection. It is never sent.
 const statusClientClosed = 499
 
-// table holds one row for each code, sorted by number.
+// table holds one row for each code, sorted by code.
 var table = []Info{
 	{
 		MissingKey, "missing_key", http.StatusUnauthorized, onlyNo, "no bearer key was sent",
@@ -102,7 +102,7 @@
 		"Retry after the time given; operators: see which ring, the instance is overloaded.",
 	},
 	{
-		CallerLeft, "caller_left", statusClientClosed, anyRan, "the caller closed its connection",
+		CallerLeft, "caller_left", statusClientClosed, anyValue, "the caller closed its connection",
 		"Nothing; retry with the same Idempotency-Key to learn the outcome.",
 	},
 	{
@@ -123,27 +123,27 @@
 		"Retry; the entry does so itself while time is left.",
 	},
 	{
-		Cancelled, "cancelled", http.StatusServiceUnavailable, anyRan, "the attempt was cancelled",
+		Cancelled, "cancelled", http.StatusServiceUnavailable, anyValue, "the attempt was cancelled",
 		"Retry if the work is still wanted.",
 	},
 	{
-		EngineFailed, "engine_failed", http.StatusBadGateway, begun, "the engine ended the attempt with an error",
+		EngineFailed, "engine_failed", http.StatusBadGateway, yesOrUnknown, "the engine ended the attempt with an error",
 		"Retry if the class is repeatable; operators: see the server's own log.",
 	},
 	{
-		EngineLost, "engine_lost", http.StatusBadGateway, begun, "the engine was lost while it ran the attempt",
+		EngineLost, "engine_lost", http.StatusBadGateway, yesOrUnknown, "the engine was lost while it ran the attempt",
 		"Retry with the same Idempotency-Key; operators: see the server's state.",
 	},
 	{
-		AnswerIncomplete, "answer_incomplete", http.StatusBadGateway, begun, "the answer ended before its final length",
+		AnswerIncomplete, "answer_incomplete", http.StatusBadGateway, yesOrUnknown, "the answer ended before its final length",
 		"Retry if the class is repeatable.",
 	},
 	{
-		AnswerDigestMismatch, "answer_digest_mismatch", http.StatusBadGateway, begun, "the answer's digest is not the one announced",
+		AnswerDigestMismatch, "answer_digest_mismatch", http.StatusBadGateway, yesOrUnknown, "the answer's digest is not the one announced",
 		"Retry if the class is repeatable; operators: suspect the agent's host or the network.",
 	},
 	{
-		AnswerTooLarge, "answer_too_large", http.StatusBadGateway, begun, "the answer is larger than the limit",
+		AnswerTooLarge, "answer_too_large", http.StatusBadGateway, yesOrUnknown, "the answer is larger than the limit",
 		"Ask for less, or ask the operators to raise limits.max_answer.",
 	},
 	{
@@ -151,11 +151,11 @@
 		"Find out at the service whether it ran; this key will never be run again.",
 	},
 	{
-		AttemptSuperseded, "attempt_superseded", http.StatusConflict, anyRan, "a newer attempt or owner has taken the operation over",
+		AttemptSuperseded, "attempt_superseded", http.StatusConflict, anyValue, "a newer attempt or owner has taken the operation over",
 		"Retry with the same Idempotency-Key to get the newer owner's answer.",
 	},
 	{
-		LeaseExpired, "lease_expired", http.StatusGatewayTimeout, anyRan, "the entry stopped renewing the attempt's lease",
+		LeaseExpired, "lease_expired", http.StatusGatewayTimeout, anyValue, "the entry stopped renewing the attempt's lease",
 		"Retry with the same Idempotency-Key.",
 	},
 	{
@@ -368,7 +368,7 @@
 		"See the server's log for its reason.",
 	},
 	{
-		OrderFailed, "order_failed", http.StatusBadGateway, begun, "the engine failed to carry out the order",
+		OrderFailed, "order_failed", http.StatusBadGateway, yesOrUnknown, "the engine failed to carry out the order",
 		"See the server's log for its reason.",
 	},
 	{
