--- a/wire/run_test.go
+++ b/wire/run_test.go
@@ -9,7 +9,8 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-func TestNamesOfRuns(t *testing.T) {
+// Guards against names that parse to another run, when an ID contains the separator or the start time is absent.
+func TestRunNameRoundTrip(t *testing.T) {
 	for name, run := range map[string]wire.Run{
 		"i-7":               {ID: "i-7"},
 		"i-7@1760000000123": {ID: "i-7", StartedMS: 1760000000123},
@@ -19,11 +20,12 @@
 		require.Equal(t, name, run.String())
 		require.Equal(t, run, wire.ParseRun(name))
 	}
-	require.Equal(t, wire.Run{ID: "a@b"}, wire.ParseRun("a@b"), "no time")
+	require.Equal(t, wire.Run{ID: "a@b"}, wire.ParseRun("a@b"), "a name without a start time")
 }
 
-// No two runs have the same name, whatever their ids are.
-func TestRunsAreToldByTheirNames(t *testing.T) {
+// Guards against two runs with the same name, whose stored data would be mixed. It occurs when an ID contains the
+// separator or digits that look like a start time.
+func TestRunNamesAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) wire.Run {
 			return wire.Run{
--- a/wire/usage_test.go
+++ b/wire/usage_test.go
@@ -9,58 +9,57 @@
 	"github.com/carawaypitch/carawaypitch/wire"
 )
 
-// step is what a value of when use leaves stands for, in a window of 8 s.
+// step is the duration that one value of Usage.Leaving covers in a window of 8 s.
 const step = 8 * time.Second / wire.LeavingSteps
 
-// bySecond spreads what leaves the window in each second over its steps.
-func bySecond(used uint64, seconds ...uint64) *wire.Usage {
-	word := &wire.Usage{Used: used}
+// usageLeavingBySecond returns a Usage of used units. The units that leave in each second are divided over its steps.
+func usageLeavingBySecond(used uint64, seconds ...uint64) *wire.Usage {
+	usage := &wire.Usage{Used: used}
 	for _, units := range seconds {
 		for range time.Second / step {
-			word.Leaving = append(word.Leaving, units/uint64(time.Second/step))
+			usage.Leaving = append(usage.Leaving, units/uint64(time.Second/step))
 		}
 	}
-	return word
+	return usage
 }
 
-// Symptom: an organisation goes beyond its cap and what is tolerated. Sequence: its entries have used much in the last two
-// seconds and die; a second later control counts an eighth less of it, and gives that to others, though nothing has left the
-// window. Cause: use that was taken to be spread over the window, or over a second, evenly. What is surely in the window, and
-// what is surely gone, are two figures.
-func TestWhatIsLeftInAWindow(t *testing.T) {
-	even := []uint64{100, 100, 100, 100, 100, 100, 100, 100}
-	lately := []uint64{0, 0, 0, 0, 0, 0, 400, 400}
+// Guards against an organisation exceeding its cap and tolerance. It occurs when usage is taken as uniform over the window
+// or a second: entries that used much in the last two seconds crash, and a second later control grants an eighth of it to
+// other entries though none has left the window. Upper and lower bounds of the usage in the window are therefore separate.
+func TestUsageLeftInWindow(t *testing.T) {
+	uniform := []uint64{100, 100, 100, 100, 100, 100, 100, 100}
+	recent := []uint64{0, 0, 0, 0, 0, 0, 400, 400}
 	cases := map[string]struct {
 		leaving []uint64
 		age     time.Duration
 		want    uint64
 	}{
-		"just told":           {even, 0, 800},
-		"even, half a second": {even, 500 * time.Millisecond, 750},
-		"risen lately":        {lately, time.Second, 800},
-		"all of it old":       {[]uint64{800, 0, 0, 0, 0, 0, 0, 0}, time.Second, 0},
-		"half of the rest":    {even, 4500 * time.Millisecond, 350},
-		"the whole window":    {lately, 8 * time.Second, 0},
-		"longer":              {even, time.Minute, 0},
-		"a word not yet told": {even, -time.Second, 800},
+		"new report":             {uniform, 0, 800},
+		"uniform, half a second": {uniform, 500 * time.Millisecond, 750},
+		"recent increase":        {recent, time.Second, 800},
+		"oldest usage only":      {[]uint64{800, 0, 0, 0, 0, 0, 0, 0}, time.Second, 0},
+		"uniform, 4.5 seconds":   {uniform, 4500 * time.Millisecond, 350},
+		"the whole window":       {recent, 8 * time.Second, 0},
+		"after the window":       {uniform, time.Minute, 0},
+		"negative age":           {uniform, -time.Second, 800},
 	}
 	for name, c := range cases {
-		word := bySecond(800, c.leaving...)
-		most, least := word.LeftAtMost(c.age, 8*time.Second), word.LeftAtLeast(c.age, 8*time.Second)
+		usage := usageLeavingBySecond(800, c.leaving...)
+		most, least := usage.LeftAtMost(c.age, 8*time.Second), usage.LeftAtLeast(c.age, 8*time.Second)
 		require.Equal(t, c.want, most, name)
 		require.LessOrEqual(t, least, c.want, name)
 		if c.age >= 0 {
-			later := word.LeftAtMost(c.age+step, 8*time.Second)
-			require.Equal(t, later, least, "%s: what is left a step later is there at least", name)
+			later := usage.LeftAtMost(c.age+step, 8*time.Second)
+			require.Equal(t, later, least, "%s: the lower bound must equal the upper bound one step later", name)
 		}
 	}
 }
 
-// Symptom: an organisation goes beyond its cap by what one entry had used at one moment. Sequence: the entry used all of it in
-// an instant and died; it leaves the window in an instant too, but half of its step counted as gone when half of the step was
-// over. Cause: a step that was taken to be even.
-func TestNothingOfAStepIsGoneBeforeItsEnd(t *testing.T) {
-	word := &wire.Usage{Used: 800, Leaving: []uint64{0, 800}}
+// Guards against an organisation exceeding its cap by the usage of one entry at one moment. It occurs when usage is taken
+// as uniform within a step: an entry uses its units at one instant and crashes, and half of them count as gone halfway
+// through the step although all of them leave the window at one instant.
+func TestUsageLeftWithinAStep(t *testing.T) {
+	usage := &wire.Usage{Used: 800, Leaving: []uint64{0, 800}}
 	for age, want := range map[time.Duration][2]uint64{
 		0:          {800, 800},
 		step - 1:   {800, 800},
@@ -68,14 +67,15 @@
 		2*step - 1: {800, 0},
 		2 * step:   {0, 0},
 	} {
-		require.Equal(t, want[0], word.LeftAtMost(age, 8*time.Second), age.String())
-		require.Equal(t, want[1], word.LeftAtLeast(age, 8*time.Second), age.String())
+		require.Equal(t, want[0], usage.LeftAtMost(age, 8*time.Second), age.String())
+		require.Equal(t, want[1], usage.LeftAtLeast(age, 8*time.Second), age.String())
 	}
 }
 
-// The last word of a process that died stands for a whole window, by when its use leaves it.
-func TestLastWordTellsWhenItsUseLeaves(t *testing.T) {
-	word := bySecond(800, 12, 12, 12, 12, 12, 12, 364, 364)
+// Guards against usage of a crashed process that is released early or late. Its last report applies for a whole window,
+// reduced step by step as Leaving states.
+func TestLeftAtMostFollowsLeaving(t *testing.T) {
+	usage := usageLeavingBySecond(800, 12, 12, 12, 12, 12, 12, 364, 364)
 	for age, want := range map[time.Duration]uint64{
 		0:                       800,
 		time.Second:             788,
@@ -86,19 +86,21 @@
 		8 * time.Second:         0,
 		time.Minute:             0,
 	} {
-		require.Equal(t, want, word.LeftAtMost(age, 8*time.Second), age.String())
+		require.Equal(t, want, usage.LeftAtMost(age, 8*time.Second), age.String())
 	}
 }
 
-// An entry that doesn't tell when its use leaves has used it, as far as anybody knows, just now or all long ago.
-func TestWordWithoutTimesTellsNothingOfThem(t *testing.T) {
-	word := &wire.Usage{Used: 800}
-	require.EqualValues(t, 800, word.LeftAtMost(7*time.Second, 8*time.Second))
-	require.Zero(t, word.LeftAtLeast(0, 8*time.Second))
-	require.Zero(t, word.LeftAtMost(8*time.Second, 8*time.Second))
+// Guards against an assumed distribution of usage for a report without Leaving. All of the usage may be new or may be
+// about to leave the window, so the upper bound is all of it and the lower bound is zero.
+func TestUsageLeftWithoutLeaving(t *testing.T) {
+	usage := &wire.Usage{Used: 800}
+	require.EqualValues(t, 800, usage.LeftAtMost(7*time.Second, 8*time.Second))
+	require.Zero(t, usage.LeftAtLeast(0, 8*time.Second))
+	require.Zero(t, usage.LeftAtMost(8*time.Second, 8*time.Second))
 }
 
-func TestBoundOfACap(t *testing.T) {
+// Guards against a wrong bound of a cap, and against an integer overflow for very large rates and bursts.
+func TestCapToleranceBound(t *testing.T) {
 	tolerance := &wire.CapTolerance{WindowMs: 8000, OverrunPermille: 100, Allowance: 50}
 	require.EqualValues(t, 1150, tolerance.Bound(&wire.Member{RatePerS: 100, Burst: 200}))
 	require.Zero(t, (*wire.CapTolerance)(nil).Bound(nil))
